--- a/bench/decision/decision_bench.cpp
+++ b/bench/decision/decision_bench.cpp
@@ -19,8 +19,8 @@
 using namespace std::chrono_literals;
 
 constexpr mono_time Begin{1h};
-constexpr mono_span Spacing = 125ms; ///< Between two requests: 2,500 a second over 320 entries.
-constexpr std::size_t LiveWork = 32; ///< Attempts of one entry under way at once.
+constexpr mono_duration Spacing = 125ms; ///< Between two requests: 2,500 a second over 320 entries.
+constexpr std::size_t LiveWork = 32;     ///< Attempts of one entry under way at once.
 constexpr std::size_t RequestsPerRound = 400;
 constexpr std::size_t LoadReportsPerRound = 2'000;
 constexpr std::size_t WaitingWork = 512;
--- a/bench/decision/sample_fleet.cpp
+++ b/bench/decision/sample_fleet.cpp
@@ -35,7 +35,7 @@
 std::vector<std::uint64_t> prefixesOf(std::uint64_t Number) {
   std::vector<std::uint64_t> Hashes;
   for (std::uint64_t Place = 0; Place < Prefixes; ++Place)
-    Hashes.push_back(mixHash(Number, Place));
+    Hashes.push_back(combineHashes(Number, Place));
   return Hashes;
 }
 
@@ -50,7 +50,7 @@
   for (std::uint64_t Part = 0; Part < 4; ++Part) {
     char Digits[17];
     std::snprintf(Digits, sizeof Digits, "%016llx",
-                  static_cast<unsigned long long>(mixHash(Place, Part)));
+                  static_cast<unsigned long long>(combineHashes(Place, Part)));
     Text += Digits;
   }
   return Text;
--- a/bench/decision/suspect_bench.cpp
+++ b/bench/decision/suspect_bench.cpp
@@ -47,7 +47,7 @@
 suspect_list listOf(std::size_t Count) {
   std::vector<told_suspect> Told;
   for (std::size_t Number = 0; Number < Count; ++Number)
-    Told.push_back({{Number, mixHash(Number, 1), Number, Number}, milliseconds(1'000)});
+    Told.push_back({{Number, combineHashes(Number, 1), Number, Number}, milliseconds(1'000)});
   return {Told, mono_time{}};
 }
 
--- a/bench/decision/work_bench.cpp
+++ b/bench/decision/work_bench.cpp
@@ -82,7 +82,7 @@
         Entries > work_share_tuning().MostDirect ? report_scope::Others : report_scope::Group;
     for (std::size_t Load = 0; Load < LoadsOfReport; ++Load) {
       work_load Told;
-      Told.Life = listingOf(Random.below(Engines)).Key.Life;
+      Told.Incarnation = listingOf(Random.below(Engines)).Key.Incarnation;
       Told.Requests = static_cast<std::uint32_t>(Random.below(6));
       Told.Writers = Told.Requests;
       Told.Tokens = Told.Requests * 5'000;
--- a/bench/membership/membership_bench.cpp
+++ b/bench/membership/membership_bench.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr double BudgetBytesPerSecond = 8192; // a host, at the design size
-constexpr mono_span Window = 30s;
+constexpr mono_duration Window = 30s;
 constexpr int Trials = 5;
 const gossip_secret Secret{"accra", "a shared key"};
 
@@ -34,7 +34,7 @@
   return static_cast<double>(Time.tv_sec) * 1e6 + static_cast<double>(Time.tv_nsec) / 1e3;
 }
 
-double seconds(mono_span Span) { return std::chrono::duration<double>(Span).count(); }
+double seconds(mono_duration Span) { return std::chrono::duration<double>(Span).count(); }
 
 /// A fleet on the virtual network with what is measured of it.
 class measured_fleet {
--- a/bench/policy/entry_policy.cpp
+++ b/bench/policy/entry_policy.cpp
@@ -11,7 +11,7 @@
 enum class baseline_kind : std::uint8_t { Random, RoundRobin, LeastOutstanding, PowerOfTwo };
 
 /// Own attempts begun within this time before a report came are added to it.
-constexpr mono_span ReportLag = std::chrono::milliseconds(300);
+constexpr mono_duration ReportLag = std::chrono::milliseconds(300);
 
 /// Routes each request at once by the count of requests, as a plain balancer does.
 class baseline {
@@ -123,7 +123,7 @@
 
 policy_maker makerOf(baseline_kind Kind) {
   return [Kind](const run_settings &Run, std::size_t Entry) {
-    const auto State = std::make_shared<baseline>(Kind, mixHash(Run.Seed, Entry + 1), Entry);
+    const auto State = std::make_shared<baseline>(Kind, combineHashes(Run.Seed, Entry + 1), Entry);
     entry_policy Policy;
     Policy.Submit = [State](const work_item &Item, mono_time) { return State->submit(Item); };
     Policy.Poll = [State](mono_time Now) { return State->poll(Now); };
@@ -145,7 +145,7 @@
 entry_policy makeOwn(const run_settings &Run, std::size_t Entry) {
   const auto Own =
       std::make_shared<scheduler>(scheduler_builder()
-                                      .seed(mixHash(Run.Seed, Entry + 1))
+                                      .seed(combineHashes(Run.Seed, Entry + 1))
                                       .host(host_name("entry-" + std::to_string(Entry)))
                                       .build());
   Own->applyDeclaration(makeDeclaration(Run));
--- a/bench/policy/simulation.cpp
+++ b/bench/policy/simulation.cpp
@@ -14,8 +14,8 @@
 /// Virtual time zero; not the clock's own zero, which code may treat as "never".
 constexpr mono_time Start{std::chrono::hours(1)};
 
-mono_span spanOf(double Seconds) {
-  return std::chrono::duration_cast<mono_span>(std::chrono::duration<double>(Seconds));
+mono_duration spanOf(double Seconds) {
+  return std::chrono::duration_cast<mono_duration>(std::chrono::duration<double>(Seconds));
 }
 
 } // namespace
@@ -48,8 +48,8 @@
 
 mono_time simulation::now() const { return Start + spanOf(Time); }
 
-void simulation::push(double At, event_kind Kind, std::size_t Index, std::uint64_t Life) {
-  Events.push({At, NextOrder++, Kind, Index, Life});
+void simulation::push(double At, event_kind Kind, std::size_t Index, std::uint64_t Incarnation) {
+  Events.push({At, NextOrder++, Kind, Index, Incarnation});
 }
 
 std::vector<sim_record> simulation::run() {
@@ -80,7 +80,7 @@
   case event_kind::Arrival:
     return arrive(Event.Index);
   case event_kind::StepEnd:
-    if (Engines[Event.Index].Life == Event.Life)
+    if (Engines[Event.Index].Incarnation == Event.Incarnation)
       finishStep(Event.Index);
     return;
   case event_kind::Report:
@@ -122,7 +122,7 @@
     const bool Shared = At + ChunkOfHash <= Request.PrefixTokens;
     const auto Chunk = static_cast<std::uint64_t>(At);
     Item.PrefixHashes.push_back(
-        mixHash(Shared ? Request.Prefix : mixHash(Index + 1, Settings.Seed), Chunk));
+        combineHashes(Shared ? Request.Prefix : combineHashes(Index + 1, Settings.Seed), Chunk));
   }
   return Item;
 }
@@ -190,7 +190,7 @@
 void simulation::stepEngine(std::size_t Number) {
   engine_state &State = Engines[Number];
   if (!State.Lost && State.Engine.canStart())
-    push(Time + State.Engine.start(), event_kind::StepEnd, Number, State.Life);
+    push(Time + State.Engine.start(), event_kind::StepEnd, Number, State.Incarnation);
 }
 
 void simulation::finishStep(std::size_t Number) {
@@ -271,7 +271,7 @@
   if (!Change.Lost)
     return State.Engine.setSlowdown(Change.Slowdown);
   State.Lost = true;
-  ++State.Life;
+  ++State.Incarnation;
   push(Time + LostAfter, event_kind::MarkLost, Change.Engine);
   for (const std::size_t Attempt : State.Engine.lose())
     failAttempt(Attempt, attempt_failure::BrokenSent);
--- a/bench/policy/simulation_base.h
+++ b/bench/policy/simulation_base.h
@@ -43,7 +43,7 @@
     std::uint64_t Order{0};
     event_kind Kind{event_kind::Arrival};
     std::size_t Index{0};
-    std::uint64_t Life{0}; ///< Of a step: outdated where the engine was lost meanwhile.
+    std::uint64_t Incarnation{0}; ///< Of a step: outdated where the engine was lost meanwhile.
 
     bool operator>(const event &Other) const {
       return Time != Other.Time ? Time > Other.Time : Order > Other.Order;
@@ -53,7 +53,7 @@
     sim_engine Engine;
     backend_view View;
     bool Lost{false};
-    std::uint64_t Life{0};
+    std::uint64_t Incarnation{0};
   };
   struct attempt_state {
     std::size_t Request{0};
@@ -67,7 +67,7 @@
     double WakeAt{-1};
   };
 
-  void push(double Time, event_kind Kind, std::size_t Index, std::uint64_t Life = 0);
+  void push(double Time, event_kind Kind, std::size_t Index, std::uint64_t Incarnation = 0);
   void handle(const event &Event);
   void arrive(std::size_t Request);
   void submit(std::size_t Request);
--- a/bench/policy/workload.cpp
+++ b/bench/policy/workload.cpp
@@ -32,15 +32,15 @@
 /// Pareto between two bounds. @return A draw.
 double boundedPareto(random_source &Random, double Least, double Most, double Tail) {
   const double Ratio = std::pow(Least / Most, Tail);
-  return Least / std::pow(1.0 - Random.unit() * (1.0 - Ratio), 1.0 / Tail);
+  return Least / std::pow(1.0 - Random.uniform() * (1.0 - Ratio), 1.0 / Tail);
 }
 
 double exponential(random_source &Random, double Mean) {
-  return -Mean * std::log(1.0 - Random.unit());
+  return -Mean * std::log(1.0 - Random.uniform());
 }
 
 void drawLengths(random_source &Random, sim_request &Request) {
-  const double Part = Random.unit();
+  const double Part = Random.uniform();
   if (Part < LongPart) {
     Request.Class = length_class::Long;
     Request.Prompt =
@@ -51,8 +51,8 @@
         static_cast<std::int64_t>(boundedPareto(Random, MediumLeast, LongLeast, MediumTail));
   } else {
     Request.Class = length_class::Short;
-    Request.Prompt =
-        static_cast<std::int64_t>(ShortLeast * std::pow(MediumLeast / ShortLeast, Random.unit()));
+    Request.Prompt = static_cast<std::int64_t>(
+        ShortLeast * std::pow(MediumLeast / ShortLeast, Random.uniform()));
   }
   Request.AnswerLimit = AnswerBound;
   const double Answer = 20 + exponential(Random, MeanAnswer - 20);
@@ -76,10 +76,10 @@
 std::size_t drawAccount(random_source &Random, const run_settings &Run) {
   if (Run.EqualAccounts) {
     const double Total = Run.FloodFactor + static_cast<double>(Accounts - 1);
-    const double Draw = Random.unit() * Total;
+    const double Draw = Random.uniform() * Total;
     return Draw < Run.FloodFactor ? 0 : 1 + static_cast<std::size_t>(Random.below(Accounts - 1));
   }
-  double Draw = Random.unit();
+  double Draw = Random.uniform();
   for (std::size_t Account = 0; Account < Accounts; ++Account) {
     if (Draw < LargeAccounts[Account])
       return Account;
@@ -106,7 +106,7 @@
 }
 
 std::vector<sim_request> makeWorkload(const run_settings &Run) {
-  random_source Random(mixHash(Run.Seed, 17));
+  random_source Random(combineHashes(Run.Seed, 17));
   const double Flood =
       Run.EqualAccounts ? (Run.FloodFactor + static_cast<double>(Accounts - 1)) / Accounts : 1.0;
   const double Rate = Run.Load * Flood * static_cast<double>(Run.Engines) / meanSeconds(Run.Engine);
@@ -121,7 +121,7 @@
     drawLengths(Random, Request);
     Request.Entry = static_cast<std::size_t>(Random.below(Run.Entries));
     Request.Account = drawAccount(Random, Run);
-    Request.Prefix = mixHash(Run.Seed, Requests.size() + 1'000);
+    Request.Prefix = combineHashes(Run.Seed, Requests.size() + 1'000);
     const bool Shares = Random.chance(PrefixPart);
     const std::uint64_t Which = Random.below(PrefixesPerAccount);
     if (Shares && Request.Prompt > PrefixLength) {
--- a/programs/pollenstall-control/control_codec.cpp
+++ b/programs/pollenstall-control/control_codec.cpp
@@ -50,14 +50,14 @@
   Into(Command.Changes);
 }
 template <typename Archive> void serialize(Archive &Into, note_crash &Command) {
-  Into(Command.Marks, Command.Life, Command.Time);
+  Into(Command.Marks, Command.Incarnation, Command.Time);
 }
 template <typename Archive> void serialize(Archive &Into, clear_suspect &Command) {
   Into(Command.High);
 }
 template <typename Archive> void serialize(Archive &Into, suspect_record &Record) {
   Into(Record.Mark, Record.Crashes, Record.Blocks, Record.LastCrash, Record.BlockedUntil,
-       Record.Lives);
+       Record.Incarnations);
 }
 template <typename Archive> void serializeInitial(Archive &Into, control_snapshot &Snapshot) {
   Into(Snapshot.Declared, Snapshot.History, Snapshot.Answers, Snapshot.Drains,
--- a/programs/pollenstall-control/control_core.cpp
+++ b/programs/pollenstall-control/control_core.cpp
@@ -411,7 +411,7 @@
 void control_core::reportInForce() {
   const std::optional<revision> InForce = Desk.inForce(Now);
   while (InForce && !AwaitingForce.empty() && AwaitingForce.begin()->first <= *InForce) {
-    const mono_span Took = Now - AwaitingForce.begin()->second;
+    const mono_duration Took = Now - AwaitingForce.begin()->second;
     Parts.Metrics->InForce.Observe(std::chrono::duration<double>(Took).count());
     logEvent(log_level::Info, "declaration_in_force",
              {{"revision", static_cast<std::int64_t>(AwaitingForce.begin()->first.value())},
--- a/programs/pollenstall-control/control_core_request.cpp
+++ b/programs/pollenstall-control/control_core_request.cpp
@@ -216,8 +216,8 @@
                                   const control_request &Request) {
   if (!mayServe(Request))
     return;
-  noteBackends(Directory.withdraw(Question.Life, boot_clock::now()), Question.Life.Instance,
-               Request.Answer);
+  noteBackends(Directory.withdraw(Question.Incarnation, boot_clock::now()),
+               Question.Incarnation.Instance, Request.Answer);
 }
 
 /**
--- a/programs/pollenstall-control/control_core_status.cpp
+++ b/programs/pollenstall-control/control_core_status.cpp
@@ -27,7 +27,7 @@
   }
 }
 
-std::int64_t wholeMillis(mono_span Span) {
+std::int64_t wholeMillis(mono_duration Span) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(Span).count();
 }
 
@@ -60,7 +60,7 @@
 
 /// A lost host that is not fully replaced: one more loss may stop the log.
 bool repairUnfinished(const replica_status &Status, const member_set &Committed,
-                      std::size_t Expected, mono_span Silence) {
+                      std::size_t Expected, mono_duration Silence) {
   if (voterCount(Committed) < Expected)
     return true;
   for (const member_progress &Progress : Status.Progress)
@@ -73,7 +73,7 @@
 json::object entryObject(const entry_lease &Entry, mono_time Now) {
   json::object Object;
   Object["host"] = Entry.Process.Host.str();
-  Object["incarnation"] = Entry.Process.Life.value();
+  Object["incarnation"] = Entry.Process.Incarnation.value();
   Object["failure_domain"] = Entry.Domain.str();
   Object["revision"] = Entry.Confirmed ? json::value(Entry.Confirmed->value()) : json::value();
   Object["lease_ms"] = std::max<std::int64_t>(0, wholeMillis(Entry.LeaseEnd - Now));
@@ -132,7 +132,7 @@
   Object["asking_admission"] = std::move(Asking);
   const bool Unfinished =
       !Applicants.empty() || repairUnfinished(Status, Members, Parts.Settings.Peers.size(),
-                                              2 * mono_span(Parts.Settings.Election));
+                                              2 * mono_duration(Parts.Settings.Election));
   Object["repair_unfinished"] = Serving ? json::value(Unfinished) : json::value();
   json::array Entries;
   for (const entry_lease &Entry : Desk.entries())
--- a/programs/pollenstall-control/control_main.cpp
+++ b/programs/pollenstall-control/control_main.cpp
@@ -124,18 +124,19 @@
 }
 
 /// How one life of a control host ended; the process may begin another one.
-enum class life_end : std::uint8_t {
+enum class host_exit_reason : std::uint8_t {
   Stopped,    ///< It was asked to stop.
   Failed,     ///< It cannot go on; the log says why.
   DiskFailed, ///< The disk refused a write: what it holds is to be read anew.
 };
 
-life_end failStart(const std::string &Why) {
+host_exit_reason failStart(const std::string &Why) {
   logEvent(log_level::Error, "start_failed", {{"error", Why}});
-  return life_end::Failed;
+  return host_exit_reason::Failed;
 }
 
-life_end serve(const control_settings &Settings, const stop_signal &Stop, control_host &Host) {
+host_exit_reason serve(const control_settings &Settings, const stop_signal &Stop,
+                       control_host &Host) {
   const peer_addresses Own{Host.Peers->address(), Host.Entries->address(),
                            Host.Operators->address()};
   Host.Peers->announce(Own);
@@ -148,23 +149,23 @@
     return failStart(Settings.AddressFile + ": cannot be written");
   while (!Stop.waitFor(WatchInterval)) {
     if (Host.Core->diskFailed())
-      return life_end::DiskFailed;
+      return host_exit_reason::DiskFailed;
     if (Host.Core->failed())
-      return life_end::Failed;
+      return host_exit_reason::Failed;
   }
   logEvent(log_level::Info, "stopping");
-  return life_end::Stopped;
+  return host_exit_reason::Stopped;
 }
 
 /// From the opening of the disk to the end of all threads.
-life_end live(const control_settings &Settings, const std::string &KeyHash,
-              const stop_signal &Stop) {
+host_exit_reason live(const control_settings &Settings, const std::string &KeyHash,
+                      const stop_signal &Stop) {
   auto Folder = data_folder::open(storageOptions(Settings));
   if (!succeeded(Folder)) {
     const bool MayPass = std::holds_alternative<file_failure>(errorOf(Folder)) ||
                          std::holds_alternative<disk_full>(errorOf(Folder));
     failStart(toText(errorOf(Folder)));
-    return MayPass ? life_end::DiskFailed : life_end::Failed;
+    return MayPass ? host_exit_reason::DiskFailed : host_exit_reason::Failed;
   }
   control_host Host;
   const member_id Self = valueOf(Folder)->identity().Key.Member;
@@ -217,10 +218,10 @@
     return exit_code::Failure;
   }
   while (true) {
-    const life_end End = live(Settings, *KeyHash, Stop);
-    if (End == life_end::Failed)
+    const host_exit_reason End = live(Settings, *KeyHash, Stop);
+    if (End == host_exit_reason::Failed)
       return exit_code::Failure;
-    if (End == life_end::Stopped || !waitForDisk(Settings, Stop))
+    if (End == host_exit_reason::Stopped || !waitForDisk(Settings, Stop))
       return exit_code::Ok;
   }
 }
--- a/programs/pollenstall-control/control_request_type.h
+++ b/programs/pollenstall-control/control_request_type.h
@@ -45,7 +45,7 @@
 
 /// A backend server ends this life.
 struct withdrawal_wanted {
-  backend_life Life;
+  backend_incarnation Incarnation;
 };
 
 using control_question =
--- a/programs/pollenstall-control/control_services.cpp
+++ b/programs/pollenstall-control/control_services.cpp
@@ -11,22 +11,22 @@
 service_answer answerFor(const control_outcome &Outcome) {
   return std::visit(
       overloaded{[](const leader_elsewhere &Other) {
-                   return service_answer{service_verdict::Elsewhere, Other.OperatorUrl};
+                   return service_answer{service_status::NotLeader, Other.OperatorUrl};
                  },
                  [](const control_answer &) {
-                   return service_answer{service_verdict::Done, {}};
+                   return service_answer{service_status::Accepted, {}};
                  },
                  [](const backend_noted &) {
-                   return service_answer{service_verdict::Done, {}};
+                   return service_answer{service_status::Accepted, {}};
                  },
                  [](const std::string &) {
-                   return service_answer{service_verdict::Done, {}};
+                   return service_answer{service_status::Accepted, {}};
                  },
                  [](const auto &) { return service_answer{}; }},
       Outcome);
 }
 
-declared_answer readDeclared(control_core &Core) {
+declaration_answer readDeclared(control_core &Core) {
   // Filled before the answer is handed over; a read that comes too late fills what nobody looks at.
   auto Read = std::make_shared<declared_text>();
   const control_outcome Outcome = Core.ask(read_wanted{[Read](const control_state &State) {
@@ -34,9 +34,9 @@
                                              return std::string();
                                            }},
                                            ServiceLimit);
-  declared_answer Answer;
+  declaration_answer Answer;
   Answer.Answer = answerFor(Outcome);
-  if (Answer.Answer.Verdict != service_verdict::Done)
+  if (Answer.Answer.Status != service_status::Accepted)
     return Answer;
   Answer.Revision = Read->Revision;
   Answer.Text = Read->Text;
@@ -44,26 +44,26 @@
 }
 
 /// A withdrawal that does not say when its life began ends each one that has begun by now.
-backend_life endedLife(backend_life Life) {
-  if (Life.Started == life_start())
-    Life.Started = life_start(static_cast<std::uint64_t>(wallClock().count()));
-  return Life;
+backend_incarnation withdrawnIncarnation(backend_incarnation Incarnation) {
+  if (Incarnation.Started == incarnation_start())
+    Incarnation.Started = incarnation_start(static_cast<std::uint64_t>(wallClock().count()));
+  return Incarnation;
 }
 
 } // namespace
 
 control_services controlServices(control_core &Core, std::string OwnUrl) {
   control_services Services;
-  Services.Offer = [&Core](revision Revision, std::string Text) {
+  Services.ProposeDeclaration = [&Core](revision Revision, std::string Text) {
     return answerFor(Core.ask(
         command_wanted{offer_declaration{Revision, std::move(Text), wallClock()}}, ServiceLimit));
   };
-  Services.Declared = [&Core] { return readDeclared(Core); };
+  Services.ReadDeclaration = [&Core] { return readDeclared(Core); };
   Services.Announce = [&Core](const backend_notice &Notice) {
     return answerFor(Core.ask(announcement_wanted{Notice}, ServiceLimit));
   };
-  Services.Withdraw = [&Core](const backend_life &Life) {
-    return answerFor(Core.ask(withdrawal_wanted{endedLife(Life)}, ServiceLimit));
+  Services.Withdraw = [&Core](const backend_incarnation &Incarnation) {
+    return answerFor(Core.ask(withdrawal_wanted{withdrawnIncarnation(Incarnation)}, ServiceLimit));
   };
   Services.OwnUrl = std::move(OwnUrl);
   return Services;
--- a/programs/pollenstall-control/control_settings.cpp
+++ b/programs/pollenstall-control/control_settings.cpp
@@ -158,7 +158,7 @@
   const std::size_t Equals = Text.find('=');
   if (Equals == std::string::npos)
     return std::nullopt;
-  const auto Id = numberFrom<std::uint64_t>(std::string_view(Text).substr(0, Equals));
+  const auto Id = parseNumber<std::uint64_t>(std::string_view(Text).substr(0, Equals));
   std::string Address = Text.substr(Equals + 1);
   if (!Id || *Id == 0 || checkAddress(Address))
     return std::nullopt;
--- a/programs/pollenstall-control/entry_desk.cpp
+++ b/programs/pollenstall-control/entry_desk.cpp
@@ -21,7 +21,7 @@
 /// the one before the newest is not kept, every change goes to every entry whole.
 constexpr std::size_t MaxRecentBytes = 2 * MaxLinkReplyBytes;
 
-std::uint32_t wholeMillis(mono_span Span) {
+std::uint32_t wholeMillis(mono_duration Span) {
   return static_cast<std::uint32_t>(
       std::chrono::duration_cast<std::chrono::milliseconds>(Span).count());
 }
@@ -147,7 +147,7 @@
 
 void entry_desk::handleRequest(connection_number /*From*/, const link_crash &Request,
                                mono_time /*Now*/) {
-  Hooks.Propose(note_crash{Request.Marks, Request.Life, wallClock()},
+  Hooks.Propose(note_crash{Request.Marks, Request.Incarnation, wallClock()},
                 [](const auto & /*Known*/) {});
 }
 
@@ -267,7 +267,7 @@
   link_reply Message = messageFor(Session.Holds);
   const auto *Change = std::get_if<link_declaration_change>(&Message);
   const packed_text &Text = Change ? Change->Change : std::get<link_declaration>(Message).Text;
-  Pace.began(To, Text.Bytes.size(), Now);
+  Pace.began(To, Text.Compressed.size(), Now);
   Session.Sent = Hooks.State().declared().Revision;
   Hooks.Send({To, std::move(Message)});
 }
@@ -279,7 +279,7 @@
     return link_declaration{Declared.Revision, packedText()};
   const packed_text &Change = packedDifference(Base->first, Base->second);
   // A difference as long as the text it makes saves nothing.
-  if (Change.Size >= Declared.Text.size())
+  if (Change.UncompressedSize >= Declared.Text.size())
     return link_declaration{Declared.Revision, packedText()};
   return link_declaration_change{Base->first, Declared.Revision, Change};
 }
@@ -294,7 +294,7 @@
   const auto Made = Differences.find(Base);
   if (Made != Differences.end())
     return Made->second;
-  const text_difference Change = differenceOf(Old, Hooks.State().declared().Text);
+  const text_difference Change = computeDifference(Old, Hooks.State().declared().Text);
   return Differences.emplace(Base, packDifference(Change)).first->second;
 }
 
--- a/programs/pollenstall-control/order_service.cpp
+++ b/programs/pollenstall-control/order_service.cpp
@@ -46,7 +46,7 @@
   std::optional<std::vector<placement>> Placements;
 };
 
-std::optional<fencing_number> takeFence(control_core &Core) {
+std::optional<fencing_token> takeFence(control_core &Core) {
   const control_outcome Outcome = Core.ask(command_wanted{take_fence{}}, FenceLimit);
   const auto *Answer = std::get_if<control_answer>(&Outcome);
   const auto *Granted = Answer == nullptr ? nullptr : std::get_if<fence_granted>(Answer);
@@ -89,8 +89,8 @@
 std::optional<std::string> order_service::open(const control_settings &Settings) {
   if (Settings.GossipAddress.empty())
     return std::nullopt;
-  const auto Life = static_cast<std::uint64_t>(std::chrono::system_clock::now().time_since_epoch() /
-                                               std::chrono::nanoseconds(1));
+  const auto Incarnation = static_cast<std::uint64_t>(
+      std::chrono::system_clock::now().time_since_epoch() / std::chrono::nanoseconds(1));
   gossip_options Options;
   Options.Secret.Fleet = Settings.Fleet;
   if (!Settings.GossipKeyFile.empty()) {
@@ -99,11 +99,11 @@
       return "cannot read " + Settings.GossipKeyFile;
   }
   Options.Bind = peer_address(Settings.GossipAddress);
-  Options.Identity.Self = {host_name(Settings.Host), incarnation(Life)};
+  Options.Identity.Self = {host_name(Settings.Host), incarnation(Incarnation)};
   Options.Identity.Domain = failure_domain_name(Settings.Domain);
   for (const std::string &Seed : Settings.GossipSeeds)
     Options.Identity.Seeds.emplace_back(Seed);
-  Options.RandomSeed = Life;
+  Options.RandomSeed = Incarnation;
   auto Created = gossip_service::create(std::move(Options));
   if (!succeeded(Created))
     return "cannot listen for gossip on " + Settings.GossipAddress;
--- a/programs/pollenstall-entry/announcement.cpp
+++ b/programs/pollenstall-entry/announcement.cpp
@@ -163,7 +163,7 @@
   Into.Key.Address = backend_address(From.text("address"));
   if (checkAddress(Into.Key.Address.str()))
     From.refuse("address", "must be IP:port");
-  Into.Key.Life = incarnation(From.number("incarnation"));
+  Into.Key.Incarnation = incarnation(From.number("incarnation"));
   Into.Domain = failure_domain_name(From.text("failure_domain"));
   Into.Service = service_name(From.text("service"));
   const bool Model = From.textOf("kind", {"model", "plain"}) == "model";
--- a/programs/pollenstall-entry/decision_seam.cpp
+++ b/programs/pollenstall-entry/decision_seam.cpp
@@ -21,7 +21,7 @@
 }
 
 /// Backend servers announce themselves about once a second: a new leader has heard of all by then.
-constexpr mono_span NewLeaderGrace = std::chrono::milliseconds(3000);
+constexpr mono_duration NewLeaderGrace = std::chrono::milliseconds(3000);
 
 attempt_report reportOf(const attempt_ending &Ending) {
   attempt_report Report;
@@ -221,7 +221,7 @@
 
 void decision_seam::setReady(bool Ready) { Dispatcher.setReady(Ready); }
 
-void decision_seam::beginShutdown(mono_time Now, mono_span Limit) {
+void decision_seam::beginShutdown(mono_time Now, mono_duration Limit) {
   Dispatcher.beginShutdown(Now, Limit);
 }
 
--- a/programs/pollenstall-entry/decision_seam_base.h
+++ b/programs/pollenstall-entry/decision_seam_base.h
@@ -60,7 +60,7 @@
   std::vector<backend_key> enginesToList(mono_time Now) { return Patrol.due(Now); }
   /// Admitted work that was placed on views older than this could go to a server that is leaving.
   void setReady(bool Ready);
-  void beginShutdown(mono_time Now, mono_span Limit);
+  void beginShutdown(mono_time Now, mono_duration Limit);
 
   /// Lets time pass and places what can be placed. @return What is to be done.
   std::vector<dispatch_action> step(mono_time Now);
--- a/programs/pollenstall-entry/decision_thread.cpp
+++ b/programs/pollenstall-entry/decision_thread.cpp
@@ -11,15 +11,15 @@
 namespace {
 
 constexpr std::size_t ListCapacity = 256;
-constexpr mono_span LongestSleep = std::chrono::milliseconds(100);
+constexpr mono_duration LongestSleep = std::chrono::milliseconds(100);
 /// Sleep while orders wait for room in the ring.
-constexpr mono_span FullRingSleep = std::chrono::milliseconds(1);
+constexpr mono_duration FullRingSleep = std::chrono::milliseconds(1);
 
 /// Between two looks at what this entry has under way: what is placed in between by two entries can
 /// meet on one engine.
-constexpr mono_span LoadInterval = std::chrono::milliseconds(10);
+constexpr mono_duration LoadInterval = std::chrono::milliseconds(10);
 /// Where nothing changes; well within the silence after which what was told counts no longer.
-constexpr mono_span LoadRepeat = std::chrono::milliseconds(250);
+constexpr mono_duration LoadRepeat = std::chrono::milliseconds(250);
 
 result<fleet_declaration, std::string> readOwnFormat(const std::string &Text) {
   auto Parsed = parseDeclaration(Text, "declaration");
@@ -28,7 +28,7 @@
   return valueOf(std::move(Parsed));
 }
 
-std::int64_t wholeMillis(mono_span Span) {
+std::int64_t wholeMillis(mono_duration Span) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(Span).count();
 }
 
@@ -67,7 +67,7 @@
 decision_thread::decision_thread(decision_plan Wanted)
     : Plan(std::move(Wanted)), Events(Plan.RingCapacity), Lists(ListCapacity),
       CrashNews(ListCapacity), Orders(Plan.RingCapacity), Outbox(Orders),
-      Seam(Plan.Self, Plan.Self.Life.value(), Plan.Backends),
+      Seam(Plan.Self, Plan.Self.Incarnation.value(), Plan.Backends),
       OrphanCounter(prometheus::BuildCounter()
                         .Name("pollenstall_orphans_cancelled_total")
                         .Help("Attempts of dead owners that this entry asked engines to end")
@@ -108,7 +108,7 @@
     Thread.join();
 }
 
-void decision_thread::beginShutdown(mono_span Limit) {
+void decision_thread::beginShutdown(mono_duration Limit) {
   {
     const std::lock_guard<std::mutex> Lock(Guard);
     ShutdownWanted = Limit;
@@ -352,13 +352,13 @@
   }
 }
 
-mono_span decision_thread::untilNextWake(mono_time Now) const {
+mono_duration decision_thread::untilNextWake(mono_time Now) const {
   if (Outbox.waiting() > 0)
     return FullRingSleep;
-  mono_span Sleep = LongestSleep;
+  mono_duration Sleep = LongestSleep;
   if (const auto Wake = Seam.nextWake())
     Sleep = std::min(Sleep, *Wake - Now);
-  return std::max(Sleep, mono_span::zero());
+  return std::max(Sleep, mono_duration::zero());
 }
 
 void decision_thread::logReach() {
--- a/programs/pollenstall-entry/decision_thread_base.h
+++ b/programs/pollenstall-entry/decision_thread_base.h
@@ -34,7 +34,7 @@
   declaration_reader ReadDeclaration;
   std::optional<double> RetryShare;   ///< Of first attempts; none: as declared.
   std::optional<double> RetryReserve; ///< Of all entries, in the window; none: a fixed one here.
-  mono_span RetryWindow{std::chrono::seconds(10)};
+  mono_duration RetryWindow{std::chrono::seconds(10)};
   std::size_t RingCapacity{1U << 16U};
   std::shared_ptr<prometheus::Registry> Registry;
 };
@@ -71,7 +71,7 @@
   void useViews(bounded_ring<membership_event> &Source) { Views = &Source; }
   void start();
   /// Refuses new requests; those admitted end by themselves or at the limit.
-  void beginShutdown(mono_span Limit);
+  void beginShutdown(mono_duration Limit);
   /// Ends the thread.
   void stop();
 
@@ -102,7 +102,7 @@
   void answerDumps(mono_time Now);
   void publishGauges();
   void logReach();
-  [[nodiscard]] mono_span untilNextWake(mono_time Now) const;
+  [[nodiscard]] mono_duration untilNextWake(mono_time Now) const;
   /// @return Until when the declaration may be acted upon.
   [[nodiscard]] mono_time declarationUsableUntil() const;
   /// @return Until when new requests may be admitted, as far as is known.
@@ -139,7 +139,7 @@
   std::atomic<bool> Stopping{false};
   std::mutex Guard; ///< Of the two below, which other threads set.
   std::vector<std::promise<std::string>> DumpsWanted;
-  std::optional<mono_span> ShutdownWanted;
+  std::optional<mono_duration> ShutdownWanted;
   prometheus::Counter &OrphanCounter;
   prometheus::Gauge &QueueGauge;
   prometheus::Gauge &LiveGauge;
--- a/programs/pollenstall-entry/entry.cpp
+++ b/programs/pollenstall-entry/entry.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-process_key newLife(const std::string &Host) {
+process_key newProcessKey(const std::string &Host) {
   const auto Wall = std::chrono::system_clock::now().time_since_epoch();
   const auto Nanos = std::chrono::duration_cast<std::chrono::nanoseconds>(Wall).count();
   return {host_name(Host), incarnation(static_cast<std::uint64_t>(Nanos))};
@@ -25,7 +25,7 @@
 } // namespace
 
 entry::entry(entry_settings Wanted)
-    : Settings(std::move(Wanted)), Self(newLife(Settings.Host)),
+    : Settings(std::move(Wanted)), Self(newProcessKey(Settings.Host)),
       Registry(std::make_shared<prometheus::Registry>()), Work(asio::make_work_guard(Io)) {}
 
 entry::~entry() {
@@ -138,7 +138,7 @@
   Options.Identity.Domain = failure_domain_name(Settings.FailureDomain);
   for (const std::string &Seed : Settings.GossipSeeds)
     Options.Identity.Seeds.emplace_back(Seed);
-  Options.RandomSeed = Self.Life.value();
+  Options.RandomSeed = Self.Incarnation.value();
   auto Created = gossip_service::create(std::move(Options));
   if (!succeeded(Created))
     return entry_error{"cannot listen for gossip on " + Settings.GossipAddress};
--- a/programs/pollenstall-entry/entry_report.cpp
+++ b/programs/pollenstall-entry/entry_report.cpp
@@ -58,7 +58,7 @@
   const std::string Silent = R"("no answer")";
   const std::string Membership = Gossip ? Gossip->dump() : std::string("null");
   return R"({"process":{"host":")" + Self.Host.str() + R"(","incarnation":)" +
-         std::to_string(Self.Life.value()) + R"(},"relay":)" +
+         std::to_string(Self.Incarnation.value()) + R"(},"relay":)" +
          dumpRelay(DumpLimit).value_or(Silent) + R"(,"decisions":)" +
          Decision->dump(DumpLimit).value_or(Silent) + R"(,"membership":)" +
          (Membership.empty() ? Silent : Membership) + "}";
--- a/programs/pollenstall-entry/entry_stop.cpp
+++ b/programs/pollenstall-entry/entry_stop.cpp
@@ -48,7 +48,7 @@
   if (Settings.DrainTime.count() > 0) {
     asio::post(Io, [this] { Relay->beginDrain(); });
     std::this_thread::sleep_until(std::chrono::steady_clock::now() +
-                                  std::min<mono_span>(Settings.DrainTime, Killed - Asked));
+                                  std::min<mono_duration>(Settings.DrainTime, Killed - Asked));
   }
   asio::post(Io, [this] { Relay->beginStop(); });
   const mono_time Limit = std::min(boot_clock::now() + Settings.ShutdownLimit, Killed);
--- a/programs/pollenstall-entry/wake_gate_base.h
+++ b/programs/pollenstall-entry/wake_gate_base.h
@@ -21,7 +21,7 @@
   }
 
   /// Sleeps until woken, at most so long.
-  void sleepFor(mono_span Limit) {
+  void sleepFor(mono_duration Limit) {
     std::unique_lock<std::mutex> Lock(Guard);
     Changed.wait_for(Lock, Limit, [this] { return Woken; });
     Woken = false;
--- a/programs/pollenstallctl/ctl_options.cpp
+++ b/programs/pollenstallctl/ctl_options.cpp
@@ -88,7 +88,7 @@
 }
 
 std::optional<std::int64_t> numberIn(const std::string &Text, std::int64_t Max) {
-  const auto Value = numberFrom<std::int64_t>(Text);
+  const auto Value = parseNumber<std::int64_t>(Text);
   return Value && *Value >= 0 && *Value <= Max ? Value : std::nullopt;
 }
 
--- a/programs/pollenstallctl/http_client.cpp
+++ b/programs/pollenstallctl/http_client.cpp
@@ -97,7 +97,7 @@
     Host = Host.substr(1, Host.size() - 2);
   error_code NotAnAddress;
   asio::ip::make_address(std::string(Host), NotAnAddress);
-  const auto Port = numberFrom<std::uint16_t>(Authority.substr(Colon + 1));
+  const auto Port = parseNumber<std::uint16_t>(Authority.substr(Colon + 1));
   if (NotAnAddress || !Port || *Port == 0)
     return std::nullopt;
   return http_url{std::string(Host), *Port, std::string(Path)};
--- a/programs/pollenstallctl/verb_member.cpp
+++ b/programs/pollenstallctl/verb_member.cpp
@@ -10,7 +10,7 @@
 
 verb_result runMember(const ctl_options &Options) {
   const std::string &Action = Options.Arguments[0];
-  const auto Member = numberFrom<std::uint64_t>(Options.Arguments[1]);
+  const auto Member = parseNumber<std::uint64_t>(Options.Arguments[1]);
   if ((Action != "admit" && Action != "remove") || !Member)
     return verb_failure{
         ctl_exit::BadUsage, "member: allowed: admit or remove, then a member's number", {}};
--- a/src/address/address.cpp
+++ b/src/address/address.cpp
@@ -16,7 +16,7 @@
   std::string_view Host = Text.substr(0, Colon);
   if (Host.size() > 1 && Host.front() == '[' && Host.back() == ']')
     Host = Host.substr(1, Host.size() - 2);
-  const auto Port = numberFrom<std::uint16_t>(Text.substr(Colon + 1));
+  const auto Port = parseNumber<std::uint16_t>(Text.substr(Colon + 1));
   boost::system::error_code Error;
   const auto Address = ip::make_address(std::string(Host), Error);
   if (!Port || Error)
--- a/src/consensus/consensus_type.h
+++ b/src/consensus/consensus_type.h
@@ -301,20 +301,20 @@
 /// Bounds and times; the same on every member.
 struct replica_options {
   /// Followers grant no vote for this long after they heard from a leader.
-  mono_span MinElectionTimeout{std::chrono::milliseconds(1000)};
+  mono_duration MinElectionTimeout{std::chrono::milliseconds(1000)};
   /// A follower stands after a random time between the minimum and this.
-  mono_span MaxElectionTimeout{std::chrono::milliseconds(2000)};
-  mono_span HeartbeatInterval{std::chrono::milliseconds(100)};
+  mono_duration MaxElectionTimeout{std::chrono::milliseconds(2000)};
+  mono_duration HeartbeatInterval{std::chrono::milliseconds(100)};
   /// A member that has just started, or knows that its leader leads no more, stands after a random
   /// time up to this, and again after up to twice of it.
-  mono_span EarlyElectionTimeout{std::chrono::milliseconds(100)};
+  mono_duration EarlyElectionTimeout{std::chrono::milliseconds(100)};
   /// How much faster or slower than true time a member's clock may run, in parts per thousand.
   std::uint32_t ClockSkewPermille{20};
   /// A longer time between two events, or any step back, counts as a clock jump.
-  mono_span MaxClockStep{std::chrono::milliseconds(500)};
-  mono_span JoinInterval{std::chrono::milliseconds(500)}; ///< Between two admission_requests.
-  std::size_t MaxBatchBytes{256U << 10U};                 ///< Entries' bytes in one append.
-  std::size_t MaxBatchEntries{256};                       ///< Entries in one append.
+  mono_duration MaxClockStep{std::chrono::milliseconds(500)};
+  mono_duration JoinInterval{std::chrono::milliseconds(500)}; ///< Between two admission_requests.
+  std::size_t MaxBatchBytes{256U << 10U};                     ///< Entries' bytes in one append.
+  std::size_t MaxBatchEntries{256};                           ///< Entries in one append.
   std::size_t MaxInFlight{8};               ///< Appends to one member without an answer.
   std::size_t MaxPayloadBytes{1U << 20U};   ///< Of one proposal.
   std::size_t MaxUncommitted{4096};         ///< Entries a leader holds that are not committed.
--- a/src/consensus/member_repair_func.h
+++ b/src/consensus/member_repair_func.h
@@ -15,9 +15,9 @@
   std::size_t TargetVoters{0}; ///< 0: nobody is ever replaced.
   /// A voter that answers nothing for so long is replaced where another host stands by. Two
   /// election timeouts: a voter that only missed a leader's change is back by then.
-  mono_span VoterSilence{std::chrono::milliseconds(2000)};
+  mono_duration VoterSilence{std::chrono::milliseconds(2000)};
   /// A learner that answers nothing for so long is forgotten; it asks again when it is back.
-  mono_span LearnerSilence{std::chrono::milliseconds(10'000)};
+  mono_duration LearnerSilence{std::chrono::milliseconds(10'000)};
   std::uint64_t CaughtUpWithin{replica_options().CaughtUpWithin}; ///< Entries.
 };
 
--- a/src/consensus/replica_base.h
+++ b/src/consensus/replica_base.h
@@ -16,8 +16,8 @@
 /// How far one member is, as the leader knows it.
 struct member_progress {
   log_member Member;
-  log_index Match;        ///< Known to be on its disk.
-  mono_span SinceHeard{}; ///< Since the send time of the last message it answered.
+  log_index Match;            ///< Known to be on its disk.
+  mono_duration SinceHeard{}; ///< Since the send time of the last message it answered.
 };
 
 /// What a replica says of itself, for status pages.
--- a/src/consensus/replica_core.cpp
+++ b/src/consensus/replica_core.cpp
@@ -22,7 +22,7 @@
       restoreMembers(Log.at(Index));
   PromiseOver = Hard.Followed.Member == Self; // It led itself, and that lease ended with it.
   EarlyUntil = Now + Options.MinElectionTimeout;
-  drawEarlyDeadline(Now, mono_span());
+  drawEarlyDeadline(Now, mono_duration());
 }
 
 void replica_core::restoreMembers(const log_entry &Entry) {
--- a/src/consensus/replica_core_base.h
+++ b/src/consensus/replica_core_base.h
@@ -85,7 +85,7 @@
   [[nodiscard]] bool mayVote(mono_time Now) const;
   void heardLeader(mono_time Now);
   void drawElectionDeadline(mono_time Now);
-  void drawEarlyDeadline(mono_time Now, mono_span After);
+  void drawEarlyDeadline(mono_time Now, mono_duration After);
   void follow(const member_key &Member);
   void noteLeadsNoMore(const consensus_message &Message, mono_time Now);
   void stand(mono_time Now);
--- a/src/consensus/replica_core_election.cpp
+++ b/src/consensus/replica_core_election.cpp
@@ -42,18 +42,18 @@
   PromiseOver = true;
   EarlyUntil = Now + Options.MinElectionTimeout;
   if (role() != replica_role::Candidate)
-    drawEarlyDeadline(Now, mono_span());
+    drawEarlyDeadline(Now, mono_duration());
 }
 
 void replica_core::drawElectionDeadline(mono_time Now) {
-  const mono_span Spread = Options.MaxElectionTimeout - Options.MinElectionTimeout;
+  const mono_duration Spread = Options.MaxElectionTimeout - Options.MinElectionTimeout;
   const auto Drawn = Random.below(static_cast<std::uint64_t>(Spread.count()) + 1);
-  ElectionDeadline = Now + Options.MinElectionTimeout + mono_span(static_cast<long>(Drawn));
+  ElectionDeadline = Now + Options.MinElectionTimeout + mono_duration(static_cast<long>(Drawn));
 }
 
-void replica_core::drawEarlyDeadline(mono_time Now, mono_span After) {
+void replica_core::drawEarlyDeadline(mono_time Now, mono_duration After) {
   const auto Spread = static_cast<std::uint64_t>(Options.EarlyElectionTimeout.count());
-  ElectionDeadline = Now + After + mono_span(static_cast<long>(Random.below(Spread + 1)));
+  ElectionDeadline = Now + After + mono_duration(static_cast<long>(Random.below(Spread + 1)));
 }
 
 void replica_core::stand(mono_time Now) {
--- a/src/consensus/replica_core_leader.cpp
+++ b/src/consensus/replica_core_leader.cpp
@@ -79,7 +79,7 @@
 }
 
 void replica_core::sendHeartbeat(follower_progress &Progress) {
-  const mono_span SnapshotRetry = 2 * Options.MaxElectionTimeout;
+  const mono_duration SnapshotRetry = 2 * Options.MaxElectionTimeout;
   const bool Stuck = Progress.mode() == send_mode::Snapshot;
   if (Stuck && LastEvent - Progress.snapshotSentAt() >= SnapshotRetry) {
     Progress.leaveSnapshot(Progress.next(), NextRound);
@@ -107,7 +107,7 @@
   if (role() != replica_role::Leader || Message.Term < Hard.Term)
     return;
   follower_progress *Progress = progressOf(Message.From);
-  const mono_time SentAt{mono_span(Reply.SentAt)};
+  const mono_time SentAt{mono_duration(Reply.SentAt)};
   if (Progress == nullptr || SentAt > Now || Reply.Round >= NextRound)
     return;
   if (Reply.Round >= LeaseRound)
--- a/src/control_link/control_link.cpp
+++ b/src/control_link/control_link.cpp
@@ -293,7 +293,8 @@
     for (std::size_t At = 0; At < Request.Marks.size(); At += MaxCrashMarks) {
       const auto First = Request.Marks.begin() + static_cast<std::ptrdiff_t>(At);
       const auto Count = std::min(MaxCrashMarks, Request.Marks.size() - At);
-      link_crash Crash{Request.Backend.Life, {First, First + static_cast<std::ptrdiff_t>(Count)}};
+      link_crash Crash{Request.Backend.Incarnation,
+                       {First, First + static_cast<std::ptrdiff_t>(Count)}};
       send(Crash);
       Crashes.emplace_back(Now, std::move(Crash));
     }
--- a/src/control_link/control_link_codec_func.h
+++ b/src/control_link/control_link_codec_func.h
@@ -35,13 +35,13 @@
   Into(Message.Call, Message.Claim);
 }
 template <typename Archive> void serialize(Archive &Into, packed_text &Packed) {
-  Into(Packed.Size, Packed.Bytes);
+  Into(Packed.UncompressedSize, Packed.Compressed);
 }
 template <typename Archive> void serialize(Archive &Into, link_declaration &Message) {
   Into(Message.Revision, Message.Text);
 }
 template <typename Archive> void serialize(Archive &Into, difference_step &Step) {
-  Into(Step.From, Step.Bytes, Step.Own);
+  Into(Step.CopyOffset, Step.CopyBytes, Step.Inserted);
 }
 template <typename Archive> void serialize(Archive &Into, text_difference &Difference) {
   Into(Difference.OldHash, Difference.NewHash, Difference.Steps);
@@ -75,7 +75,7 @@
   Into(Told.Mark, Told.BlockedFor);
 }
 template <typename Archive> void serialize(Archive &Into, link_crash &Message) {
-  Into(Message.Life, Message.Marks);
+  Into(Message.Incarnation, Message.Marks);
 }
 template <typename Archive> void serialize(Archive &Into, link_clear_suspect &Message) {
   Into(Message.Mark);
--- a/src/control_link/control_link_message_type.h
+++ b/src/control_link/control_link_message_type.h
@@ -56,7 +56,7 @@
 /// Requests that this entry had on a backend server when it crashed. Sent again on the next
 /// connection: the log counts a life once.
 struct link_crash {
-  incarnation Life; ///< Of the backend server.
+  incarnation Incarnation; ///< Of the backend server.
   std::vector<request_mark> Marks;
 };
 
--- a/src/control_link/silence_watch_base.h
+++ b/src/control_link/silence_watch_base.h
@@ -33,7 +33,9 @@
   void message(mono_time Now) { begin(Now); }
 
   /// @return Whether the other side has been silent for longer than Limit.
-  [[nodiscard]] bool isOver(mono_time Now, mono_span Limit) const { return Now - HeardAt > Limit; }
+  [[nodiscard]] bool isOver(mono_time Now, mono_duration Limit) const {
+    return Now - HeardAt > Limit;
+  }
   /// @return Bytes of a message that is not whole.
   [[nodiscard]] std::uint64_t partBytes() const { return Part; }
   [[nodiscard]] std::chrono::milliseconds sinceMessage(mono_time Now) const {
--- a/src/control_state/control_state_base.h
+++ b/src/control_state/control_state_base.h
@@ -86,7 +86,7 @@
   std::deque<change_id> AnswerOrder; ///< Oldest first.
   std::set<backend_address> Drains;
   std::uint64_t DrainsVersion{0};
-  fencing_number LastFence;
+  fencing_token LastFence;
   unix_millis LatestTime{0}; ///< Rises only, whatever the leaders' clocks do.
   claim_table Claims;
   std::map<instance_name, backend_listing> Backends; ///< The newest life of each name.
--- a/src/control_state/control_state_cmd.cpp
+++ b/src/control_state/control_state_cmd.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 std::uint64_t contentOf(const apply_change &Command) {
-  return mixHash(stableHash(Command.Text), Command.Base.value());
+  return combineHashes(stableHash(Command.Text), Command.Base.value());
 }
 
 std::uint64_t contentOf(const set_drain &Command) {
-  return mixHash(stableHash(Command.Backend.str()), Command.Undo ? 1 : 0);
+  return combineHashes(stableHash(Command.Backend.str()), Command.Undo ? 1 : 0);
 }
 
 } // namespace
@@ -156,7 +156,7 @@
 
 control_answer control_state::executeCommand(const note_crash &Command) {
   LatestTime = std::max(LatestTime, Command.Time);
-  Suspects.noteCrash(Command.Marks, Command.Life, LatestTime);
+  Suspects.noteCrash(Command.Marks, Command.Incarnation, LatestTime);
   return suspects_kept{};
 }
 
--- a/src/control_state/control_state_type.h
+++ b/src/control_state/control_state_type.h
@@ -56,8 +56,8 @@
 /// Requests that an entry had on a backend server when it crashed.
 struct note_crash {
   std::vector<request_mark> Marks;
-  incarnation Life;    ///< Of the backend server.
-  unix_millis Time{0}; ///< The proposing leader's wall clock.
+  incarnation Incarnation; ///< Of the backend server.
+  unix_millis Time{0};     ///< The proposing leader's wall clock.
 };
 
 /// A request does not crash backend servers: a run of it ended well, or an operator says so.
@@ -119,7 +119,7 @@
 };
 
 struct fence_granted {
-  fencing_number Fence;
+  fencing_token Fence;
 
   bool operator==(const fence_granted &) const = default;
 };
@@ -200,7 +200,7 @@
   std::vector<answer_record> Answers;  ///< In the order they were given.
   std::vector<backend_address> Drains; ///< Ascending.
   std::uint64_t DrainsVersion{0};
-  fencing_number LastFence;
+  fencing_token LastFence;
   unix_millis LatestTime{0};
   claim_snapshot Claims;
   std::vector<backend_listing> Backends; ///< By their names.
--- a/src/control_state/in_force_tracker.cpp
+++ b/src/control_state/in_force_tracker.cpp
@@ -13,18 +13,18 @@
 
 } // namespace
 
-mono_span in_force_tracker::longest(mono_span Lease) const {
+mono_duration in_force_tracker::longest(mono_duration Lease) const {
   // The entry's clock may run slow and this one fast, each by the skew.
   return Lease + Lease * (2 * Options.ClockSkewPermille) / Permille;
 }
 
-mono_span in_force_tracker::leaseFor(revision Confirmed, mono_time Now) const {
+mono_duration in_force_tracker::leaseFor(revision Confirmed, mono_time Now) const {
   // What was accepted longer ago than ConfirmWithin is below the floor, so nobody lags behind it.
   const auto Missed = std::find_if(Recent.begin(), Recent.end(),
                                    [&](const auto &Change) { return Confirmed < Change.first; });
   if (Missed == Recent.end())
     return Options.Lease;
-  const mono_span Left = Missed->second + Options.ApplyWithin - Now;
+  const mono_duration Left = Missed->second + Options.ApplyWithin - Now;
   return std::min(Options.Lease, Left * Permille / (Permille + 2 * Options.ClockSkewPermille));
 }
 
@@ -54,9 +54,10 @@
   return Known ? std::max(Due, *Known) : Due;
 }
 
-std::optional<mono_span> in_force_tracker::renew(const process_key &Process,
-                                                 const failure_domain_name &Domain,
-                                                 std::optional<revision> Confirmed, mono_time Now) {
+std::optional<mono_duration> in_force_tracker::renew(const process_key &Process,
+                                                     const failure_domain_name &Domain,
+                                                     std::optional<revision> Confirmed,
+                                                     mono_time Now) {
   const revision Floor = leaseFloor(Now);
   entry_lease &Entry = Entries[Process];
   const bool Reverts = Entry.Confirmed && (!Confirmed || *Confirmed < *Entry.Confirmed);
@@ -70,8 +71,8 @@
   // ever; without a lease it turns unready and the change is in force without it.
   if (!Confirmed || *Confirmed < Floor || *Confirmed > Current)
     return std::nullopt;
-  const mono_span Lease = leaseFor(*Confirmed, Now);
-  if (Lease <= mono_span::zero())
+  const mono_duration Lease = leaseFor(*Confirmed, Now);
+  if (Lease <= mono_duration::zero())
     return std::nullopt;
   // An earlier lease, given before the change that it lags behind, may end later.
   Entry.LeaseEnd = std::max(Entry.LeaseEnd, Now + longest(Lease));
--- a/src/control_state/in_force_tracker_base.h
+++ b/src/control_state/in_force_tracker_base.h
@@ -15,12 +15,12 @@
 
 /// Times of the entries' leases; the same on every control host.
 struct in_force_options {
-  mono_span Lease{std::chrono::milliseconds(5000)};
+  mono_duration Lease{std::chrono::milliseconds(5000)};
   /// An entry that lags behind a change for longer gets no further lease.
-  mono_span ConfirmWithin{std::chrono::milliseconds(2000)};
+  mono_duration ConfirmWithin{std::chrono::milliseconds(2000)};
   /// Nobody acts on an older declaration for longer after a change was acknowledged: leases of
   /// entries that lag end by then, and a change is acknowledged no sooner than the others allow.
-  mono_span ApplyWithin{std::chrono::seconds(10)};
+  mono_duration ApplyWithin{std::chrono::seconds(10)};
   /// How much faster or slower than true time a clock may run, in parts per thousand.
   std::uint32_t ClockSkewPermille{20};
 };
@@ -54,8 +54,8 @@
 
   /// An entry asks for a lease. @return The lease, shorter where it lags, or nothing where it
   /// lags behind too far.
-  std::optional<mono_span> renew(const process_key &Process, const failure_domain_name &Domain,
-                                 std::optional<revision> Confirmed, mono_time Now);
+  std::optional<mono_duration> renew(const process_key &Process, const failure_domain_name &Domain,
+                                     std::optional<revision> Confirmed, mono_time Now);
 
   /// @return The highest revision known to be in force everywhere; nothing while that is unknown.
   std::optional<revision> inForce(mono_time Now);
@@ -74,9 +74,9 @@
 
 private:
   /// @return The longest that a lease lasts by any clock.
-  [[nodiscard]] mono_span longest(mono_span Lease) const;
+  [[nodiscard]] mono_duration longest(mono_duration Lease) const;
   /// @return What may be given to an entry that acts on this revision.
-  [[nodiscard]] mono_span leaseFor(revision Confirmed, mono_time Now) const;
+  [[nodiscard]] mono_duration leaseFor(revision Confirmed, mono_time Now) const;
   [[nodiscard]] revision leaseFloor(mono_time Now);
   void forgetOldEntries(mono_time Now);
 
--- a/src/core/clock_type.h
+++ b/src/core/clock_type.h
@@ -30,7 +30,7 @@
 /// A moment on the boot clock; decision code is handed it and never reads a clock itself.
 using mono_time = boot_clock::time_point;
 /// A span on the boot clock.
-using mono_span = boot_clock::duration;
+using mono_duration = boot_clock::duration;
 
 /// @return Milliseconds since 1970; for records that outlive the process, never for timeouts.
 inline std::chrono::milliseconds wallClock() {
--- a/src/core/hash_func.h
+++ b/src/core/hash_func.h
@@ -22,7 +22,7 @@
 }
 
 /// @return A well-mixed combination of two hashes.
-constexpr std::uint64_t mixHash(std::uint64_t A, std::uint64_t B) {
+constexpr std::uint64_t combineHashes(std::uint64_t A, std::uint64_t B) {
   std::uint64_t Mixed = A ^ (B + 0x9E3779B97F4A7C15ULL + (A << 6U) + (A >> 2U));
   Mixed = (Mixed ^ (Mixed >> 30U)) * 0xBF58476D1CE4E5B9ULL;
   Mixed = (Mixed ^ (Mixed >> 27U)) * 0x94D049BB133111EBULL;
--- a/src/core/identity.cpp
+++ b/src/core/identity.cpp
@@ -27,26 +27,26 @@
 } // namespace
 
 std::string toText(const attempt_id &Attempt) {
-  return Attempt.Owner.Host.str() + "/" + std::to_string(Attempt.Owner.Life.value()) + "/" +
+  return Attempt.Owner.Host.str() + "/" + std::to_string(Attempt.Owner.Incarnation.value()) + "/" +
          std::to_string(Attempt.Request.value()) + "/" + std::to_string(Attempt.Ordinal);
 }
 
-std::optional<attempt_id> attemptFromText(std::string_view Text) {
+std::optional<attempt_id> parseAttemptId(std::string_view Text) {
   const auto Parts = splitAttempt(Text);
   if (!Parts || (*Parts)[0].empty())
     return std::nullopt;
-  const auto Life = numberFrom<std::uint64_t>((*Parts)[1]);
-  const auto Request = numberFrom<std::uint64_t>((*Parts)[2]);
-  const auto Ordinal = numberFrom<std::uint32_t>((*Parts)[3]);
-  if (!Life || !Request || !Ordinal)
+  const auto Incarnation = parseNumber<std::uint64_t>((*Parts)[1]);
+  const auto Request = parseNumber<std::uint64_t>((*Parts)[2]);
+  const auto Ordinal = parseNumber<std::uint32_t>((*Parts)[3]);
+  if (!Incarnation || !Request || !Ordinal)
     return std::nullopt;
-  return attempt_id{{host_name(std::string((*Parts)[0])), incarnation(*Life)},
+  return attempt_id{{host_name(std::string((*Parts)[0])), incarnation(*Incarnation)},
                     request_number(*Request),
                     *Ordinal};
 }
 
 std::string toText(const backend_key &Key) {
-  return Key.Address.str() + "#" + std::to_string(Key.Life.value());
+  return Key.Address.str() + "#" + std::to_string(Key.Incarnation.value());
 }
 
 } // namespace pollenstall
--- a/src/core/identity_type.h
+++ b/src/core/identity_type.h
@@ -41,20 +41,20 @@
 /// Number of a request within one life of one entry.
 using request_number = strong_id<request_tag>;
 /// Rises with each leader's term and order; an engine refuses an order that carries a lower one.
-using fencing_number = strong_id<fence_tag>;
+using fencing_token = strong_id<fence_tag>;
 
 /// One life of one backend server: a new incarnation at the same address is another backend server.
 struct backend_key {
   backend_address Address; ///< Where it answers HTTP.
-  incarnation Life;        ///< Announced by the backend server itself.
+  incarnation Incarnation; ///< Announced by the backend server itself.
 
   auto operator<=>(const backend_key &) const = default;
 };
 
 /// One life of one process of the system.
 struct process_key {
-  host_name Host;   ///< From the settings.
-  incarnation Life; ///< Drawn from the wall clock at start, in nanoseconds.
+  host_name Host;          ///< From the settings.
+  incarnation Incarnation; ///< Drawn from the wall clock at start, in nanoseconds.
 
   auto operator<=>(const process_key &) const = default;
 };
@@ -75,7 +75,7 @@
 std::string toText(const attempt_id &Attempt);
 
 /// @return The attempt a text names, or nothing where the text has another form.
-std::optional<attempt_id> attemptFromText(std::string_view Text);
+std::optional<attempt_id> parseAttemptId(std::string_view Text);
 
 /// @return "address#incarnation", for logs and dumps.
 std::string toText(const backend_key &Key);
--- a/src/core/number_func.h
+++ b/src/core/number_func.h
@@ -9,7 +9,7 @@
 namespace pollenstall {
 
 /// @return The decimal number that the whole text is; nothing where it is none, or out of range.
-template <typename Number> std::optional<Number> numberFrom(std::string_view Text) {
+template <typename Number> std::optional<Number> parseNumber(std::string_view Text) {
   Number Value{};
   const char *Last = Text.data() + Text.size();
   const auto [End, Error] = std::from_chars(Text.data(), Last, Value);
--- a/src/core/random_type.h
+++ b/src/core/random_type.h
@@ -34,13 +34,13 @@
   std::uint64_t below(std::uint64_t Bound) { return Bound == 0 ? 0 : (*this)() % Bound; }
 
   /// @return A number in [0, 1).
-  double unit() {
+  double uniform() {
     constexpr double Scale = 1.0 / 9007199254740992.0; // 2^53
     return static_cast<double>((*this)() >> 11U) * Scale;
   }
 
   /// @return True with the given probability.
-  bool chance(double Probability) { return unit() < Probability; }
+  bool chance(double Probability) { return uniform() < Probability; }
 
 private:
   std::uint64_t State;
--- a/src/directory/backend_directory.cpp
+++ b/src/directory/backend_directory.cpp
@@ -26,13 +26,14 @@
 
 std::vector<backend_listing> backend_directory::hear(const backend_notice &Notice, mono_time Now) {
   const auto Known = Records.find(Notice.Instance);
-  const bool SameLife = Known != Records.end() && Known->second.Listing.Started == Notice.Started;
+  const bool SameIncarnation =
+      Known != Records.end() && Known->second.Listing.Started == Notice.Started;
   if (isRetired(Notice.Instance, Notice.Started)) {
-    if (SameLife)
+    if (SameIncarnation)
       Known->second.LastHeard = Now;
     return {};
   }
-  if (SameLife)
+  if (SameIncarnation)
     return refresh(Known->second, Notice, Now);
   std::vector<backend_listing> Changes;
   if (Known != Records.end()) {
@@ -48,7 +49,7 @@
 void backend_directory::end(record &Known, std::vector<backend_listing> &Changes) {
   Known.Listing.State = listing_state::Gone;
   Changes.push_back(Known.Listing);
-  const backend_life Ended{Known.Listing.Instance, Known.Listing.Started};
+  const backend_incarnation Ended{Known.Listing.Instance, Known.Listing.Started};
   retire(Ended);
   Records.erase(Ended.Instance);
 }
@@ -95,8 +96,9 @@
 
 bool backend_directory::mayTakeOver(const record &Holder, const backend_notice &Notice,
                                     mono_time Now) {
-  const life_start HolderStarted = Holder.Listing.Started;
-  const bool BothTell = HolderStarted != life_start() && Notice.Started != life_start();
+  const incarnation_start HolderStarted = Holder.Listing.Started;
+  const bool BothTell =
+      HolderStarted != incarnation_start() && Notice.Started != incarnation_start();
   if (BothTell && Notice.Started < HolderStarted)
     return false;
   if (!Holder.Heard)
@@ -121,19 +123,20 @@
   return Found == Records.end() ? nullptr : &Found->second;
 }
 
-std::vector<backend_listing> backend_directory::withdraw(const backend_life &Life, mono_time Now) {
-  retire(Life);
-  const auto Known = Records.find(Life.Instance);
+std::vector<backend_listing> backend_directory::withdraw(const backend_incarnation &Incarnation,
+                                                         mono_time Now) {
+  retire(Incarnation);
+  const auto Known = Records.find(Incarnation.Instance);
   if (Known == Records.end()) {
     // An earlier leader may have listed it: entries know it by its name and start.
     backend_listing Listing;
-    Listing.Key = keyOf(backend_address(), Life);
-    Listing.Instance = Life.Instance;
-    Listing.Started = Life.Started;
+    Listing.Key = keyOf(backend_address(), Incarnation);
+    Listing.Instance = Incarnation.Instance;
+    Listing.Started = Incarnation.Started;
     Listing.State = listing_state::Leaving;
     return {Listing};
   }
-  if (Known->second.Listing.Started > Life.Started)
+  if (Known->second.Listing.Started > Incarnation.Started)
     return {}; // Late: the name is that of a newer life by now.
   Known->second.LastHeard = Now;
   if (Known->second.Listing.State == listing_state::Leaving)
@@ -146,7 +149,7 @@
   std::vector<backend_listing> Changes;
   for (auto At = Records.begin(); At != Records.end();) {
     record &Known = At->second;
-    const mono_span Silence = Now - Known.LastHeard;
+    const mono_duration Silence = Now - Known.LastHeard;
     if (Silence > Options.ForgetAfter) {
       const bool Leaves = Known.Listing.State == listing_state::Leaving;
       Known.Listing.State = listing_state::Gone;
@@ -186,17 +189,17 @@
   Challengers.clear();
 }
 
-bool backend_directory::isRetired(const instance_name &Instance, life_start Started) const {
+bool backend_directory::isRetired(const instance_name &Instance, incarnation_start Started) const {
   const auto Ended = Retired.find(Instance);
   return Ended != Retired.end() && Started <= Ended->second;
 }
 
-void backend_directory::retire(const backend_life &Life) {
-  const auto [Ended, New] = Retired.try_emplace(Life.Instance, Life.Started);
-  Ended->second = std::max(Ended->second, Life.Started);
+void backend_directory::retire(const backend_incarnation &Incarnation) {
+  const auto [Ended, New] = Retired.try_emplace(Incarnation.Instance, Incarnation.Started);
+  Ended->second = std::max(Ended->second, Incarnation.Started);
   if (!New)
     return;
-  RetiredOrder.push_back(Life.Instance);
+  RetiredOrder.push_back(Incarnation.Instance);
   if (RetiredOrder.size() <= Options.MaxRetired)
     return;
   Retired.erase(RetiredOrder.front());
--- a/src/directory/backend_directory_base.h
+++ b/src/directory/backend_directory_base.h
@@ -26,7 +26,7 @@
   std::vector<backend_listing> hear(const backend_notice &Notice, mono_time Now);
   /// A backend server ends this life: it gets no new work; what it runs goes on. Lives under the
   /// same name that began earlier are over too.
-  std::vector<backend_listing> withdraw(const backend_life &Life, mono_time Now);
+  std::vector<backend_listing> withdraw(const backend_incarnation &Incarnation, mono_time Now);
   /// Lets time pass. @return Listings of those that have fallen silent.
   std::vector<backend_listing> advance(mono_time Now);
 
@@ -56,14 +56,14 @@
   [[nodiscard]] bool mayTakeOver(const record &Holder, const backend_notice &Notice, mono_time Now);
   record *holderOf(const backend_address &Address);
   void end(record &Known, std::vector<backend_listing> &Changes);
-  [[nodiscard]] bool isRetired(const instance_name &Instance, life_start Started) const;
-  void retire(const backend_life &Life);
+  [[nodiscard]] bool isRetired(const instance_name &Instance, incarnation_start Started) const;
+  void retire(const backend_incarnation &Incarnation);
 
   directory_options Options;
   std::map<instance_name, record> Records; ///< The newest life of each name.
   std::map<backend_address, challenger> Challengers;
-  std::map<instance_name, life_start> Retired; ///< The newest ended life of each name.
-  std::deque<instance_name> RetiredOrder;      ///< Oldest first.
+  std::map<instance_name, incarnation_start> Retired; ///< The newest ended life of each name.
+  std::deque<instance_name> RetiredOrder;             ///< Oldest first.
 };
 
 } // namespace pollenstall
--- a/src/directory/directory_follower.cpp
+++ b/src/directory/directory_follower.cpp
@@ -7,7 +7,7 @@
 
 std::vector<backend_listing>
 directory_follower::takeAll(const std::vector<backend_listing> &Listings, mono_time Now) {
-  for (auto &[Life, Known] : Records)
+  for (auto &[Incarnation, Known] : Records)
     Known.Confirmed = false;
   Told = true;
   ReviewAt = Now + Grace;
@@ -26,7 +26,7 @@
                                  std::vector<backend_listing> &Changes) {
   if (Listing.Key.Address.empty())
     return takeWithdrawal(Listing, Changes);
-  const auto Known = Records.find(Listing.Key.Life);
+  const auto Known = Records.find(Listing.Key.Incarnation);
   if (Known == Records.end())
     return takeNew(Listing, Changes);
   record &Record = Known->second;
@@ -54,14 +54,14 @@
       return;
     change(Former->second, listing_state::Gone, Changes);
   }
-  Records.emplace(Listing.Key.Life, record{Listing, true});
+  Records.emplace(Listing.Key.Incarnation, record{Listing, true});
   Changes.push_back(Listing);
 }
 
 /// The leader had not heard of what was withdrawn, so it knows no address.
 void directory_follower::takeWithdrawal(const backend_listing &Listing,
                                         std::vector<backend_listing> &Changes) {
-  for (auto &[Life, Known] : Records)
+  for (auto &[Incarnation, Known] : Records)
     if (Known.Listing.Instance == Listing.Instance && Known.Listing.Started <= Listing.Started) {
       Known.Confirmed = true;
       return change(Known, listing_state::Leaving, Changes);
@@ -75,7 +75,7 @@
   Known.Listing.State = State;
   Changes.push_back(Known.Listing);
   if (State == listing_state::Gone)
-    Records.erase(Known.Listing.Key.Life);
+    Records.erase(Known.Listing.Key.Incarnation);
 }
 
 std::vector<backend_listing> directory_follower::advance(mono_time Now) {
@@ -83,7 +83,7 @@
   if (!ReviewAt || Now < *ReviewAt)
     return Changes;
   ReviewAt.reset();
-  for (auto &[Life, Known] : Records) {
+  for (auto &[Incarnation, Known] : Records) {
     if (Known.Confirmed || Known.Listing.State != listing_state::Active)
       continue;
     Known.Listing.State = listing_state::Silent;
@@ -93,7 +93,7 @@
 }
 
 const backend_listing *directory_follower::find(const backend_key &Key) const {
-  const auto Known = Records.find(Key.Life);
+  const auto Known = Records.find(Key.Incarnation);
   return Known == Records.end() ? nullptr : &Known->second.Listing;
 }
 
--- a/src/directory/directory_follower_base.h
+++ b/src/directory/directory_follower_base.h
@@ -18,7 +18,7 @@
 class directory_follower {
 public:
   /// @param Patience How long a new leader may take to hear of every backend server.
-  explicit directory_follower(mono_span Patience) : Grace(Patience) {}
+  explicit directory_follower(mono_duration Patience) : Grace(Patience) {}
 
   /// A leader told what it knows, at the start of a connection. @return What changed.
   std::vector<backend_listing> takeAll(const std::vector<backend_listing> &Listings, mono_time Now);
@@ -41,7 +41,7 @@
   void takeWithdrawal(const backend_listing &Listing, std::vector<backend_listing> &Changes);
   void change(record &Known, listing_state State, std::vector<backend_listing> &Changes);
 
-  mono_span Grace;
+  mono_duration Grace;
   bool Told{false};
   std::optional<mono_time> ReviewAt;
   std::map<incarnation, record> Records;
--- a/src/directory/directory_type.h
+++ b/src/directory/directory_type.h
@@ -15,17 +15,17 @@
 /// order.
 using instance_name = strong_text<instance_tag>;
 
-struct life_start_tag {};
+struct incarnation_start_tag {};
 /// When a life began, in Unix milliseconds by the server's own clock; 0 where it does not say.
-using life_start = strong_id<life_start_tag>;
+using incarnation_start = strong_id<incarnation_start_tag>;
 
 /// One life of a backend server. Of two under the same name the one that began later is the newer:
 /// it holds nothing of what the former one held.
-struct backend_life {
+struct backend_incarnation {
   instance_name Instance;
-  life_start Started;
+  incarnation_start Started;
 
-  bool operator==(const backend_life &) const = default;
+  bool operator==(const backend_incarnation &) const = default;
 };
 
 /// What a backend server says of itself, at a steady interval and before it leaves.
@@ -37,7 +37,7 @@
   std::uint32_t Places{1};   ///< Requests that it runs at once.
   bool Leaving{false};       ///< Takes no new work.
   std::uint64_t Sequence{0}; ///< Rises with each notice of one life, so that a late one shows.
-  life_start Started;
+  incarnation_start Started;
 };
 
 /// How a backend server stands.
@@ -56,25 +56,26 @@
   failure_domain_name Domain;
   std::uint32_t Places{1};
   listing_state State{listing_state::Active};
-  life_start Started;
+  incarnation_start Started;
 
   bool operator==(const backend_listing &) const = default;
 };
 
 /// @return The key of a life. Its number has no order: which of two lives at one address is the
 /// newer one is known to the directory alone.
-inline backend_key keyOf(const backend_address &Address, const backend_life &Life) {
-  return {Address,
-          incarnation(mixHash(stableHash(Life.Instance.str()), Life.Started.value()) | 1U)};
+inline backend_key keyOf(const backend_address &Address, const backend_incarnation &Incarnation) {
+  return {Address, incarnation(combineHashes(stableHash(Incarnation.Instance.str()),
+                                             Incarnation.Started.value()) |
+                               1U)};
 }
 
 /// Times of the directory.
 struct directory_options {
-  mono_span NoticeInterval{std::chrono::milliseconds(1000)}; ///< Backend servers' own.
-  std::uint32_t SilentAfter{4};                              ///< Intervals without a notice.
-  mono_span ForgetAfter{std::chrono::seconds(60)};           ///< Silence after which it is dropped.
-  std::size_t MaxBackends{4096};                             ///< Listed at once.
-  std::size_t MaxRetired{16'384};                            ///< Names of ended lives remembered.
+  mono_duration NoticeInterval{std::chrono::milliseconds(1000)}; ///< Backend servers' own.
+  std::uint32_t SilentAfter{4};                                  ///< Intervals without a notice.
+  mono_duration ForgetAfter{std::chrono::seconds(60)}; ///< Silence after which it is dropped.
+  std::size_t MaxBackends{4096};                       ///< Listed at once.
+  std::size_t MaxRetired{16'384};                      ///< Names of ended lives remembered.
 };
 
 } // namespace pollenstall
--- a/src/dispatch/abandoned.cpp
+++ b/src/dispatch/abandoned.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-constexpr mono_span FirstPause = std::chrono::milliseconds(250);
-constexpr mono_span LongestPause = std::chrono::seconds(10);
+constexpr mono_duration FirstPause = std::chrono::milliseconds(250);
+constexpr mono_duration LongestPause = std::chrono::seconds(10);
 /// Doublings that reach the longest pause; more would overflow the shift.
 constexpr std::uint32_t MostDoublings = 6;
 /// How long the bytes of a closed connection may still reach a slow backend server.
-constexpr mono_span LateStartWindow = std::chrono::seconds(15);
+constexpr mono_duration LateStartWindow = std::chrono::seconds(15);
 
 } // namespace
 
@@ -22,7 +22,7 @@
 }
 
 void abandoned_ledger::add(abandoned_attempt Attempt, mono_time Now) {
-  requireInvariant(Attempt.Life.state() == attempt_state::Cancelling,
+  requireInvariant(Attempt.Lifecycle.state() == attempt_state::Cancelling,
                    "an attempt in the ledger is being cancelled");
   const attempt_id Id = Attempt.Attempt;
   const bool Added = Attempts.emplace(Id, std::move(Attempt)).second;
@@ -37,7 +37,7 @@
 
 abandoned_attempt abandoned_ledger::take(const attempt_id &Attempt) {
   const auto Found = Attempts.find(Attempt);
-  requireInvariant(Found != Attempts.end() && isFinal(Found->second.Life.state()),
+  requireInvariant(Found != Attempts.end() && isFinal(Found->second.Lifecycle.state()),
                    "an attempt leaves the ledger only when its end is sure");
   abandoned_attempt Taken = std::move(Found->second);
   Attempts.erase(Found);
@@ -55,11 +55,11 @@
   return cancel_attempt{Attempt.Attempt, Attempt.Backend};
 }
 
-mono_span abandoned_ledger::pauseAfter(std::uint32_t CancelsSent) {
+mono_duration abandoned_ledger::pauseAfter(std::uint32_t CancelsSent) {
   const std::uint32_t Doublings = std::min(CancelsSent - 1, MostDoublings);
-  const mono_span Pause = std::min(FirstPause * (std::int64_t{1} << Doublings), LongestPause);
+  const mono_duration Pause = std::min(FirstPause * (std::int64_t{1} << Doublings), LongestPause);
   // Spread over half the pause, so that the cancels of one broken engine do not come in bursts.
-  return Pause - mono_span(Random.below(static_cast<std::uint64_t>(Pause.count()) / 2));
+  return Pause - mono_duration(Random.below(static_cast<std::uint64_t>(Pause.count()) / 2));
 }
 
 std::vector<attempt_id> abandoned_ledger::onBackend(const backend_key &Backend) const {
--- a/src/dispatch/abandoned_base.h
+++ b/src/dispatch/abandoned_base.h
@@ -20,7 +20,7 @@
 struct abandoned_attempt {
   attempt_id Attempt;
   backend_key Backend;
-  attempt_life Life;                                  ///< In Cancelling.
+  attempt_lifecycle Lifecycle;                        ///< In Cancelling.
   attempt_state GivenUpIn{attempt_state::Connecting}; ///< Moved on by events that come late.
   std::optional<attempt_failure> Failure;
   std::optional<std::string> ClaimKey; ///< Where its claim was settled as Unknown.
@@ -69,7 +69,7 @@
   [[nodiscard]] std::vector<abandoned_dump> dump(mono_time Now) const;
 
 private:
-  mono_span pauseAfter(std::uint32_t CancelsSent);
+  mono_duration pauseAfter(std::uint32_t CancelsSent);
 
   std::map<attempt_id, abandoned_attempt> Attempts;
   wake_queue<attempt_id> Cancels;
--- a/src/dispatch/attempt.cpp
+++ b/src/dispatch/attempt.cpp
@@ -76,14 +76,14 @@
 
 } // namespace
 
-struct attempt_life::machine : boost::msm::back::state_machine<attempt_def> {};
+struct attempt_lifecycle::machine : boost::msm::back::state_machine<attempt_def> {};
 
-attempt_life::attempt_life() : Machine(std::make_unique<machine>()) { Machine->start(); }
-attempt_life::~attempt_life() = default;
-attempt_life::attempt_life(attempt_life &&Other) noexcept = default;
-attempt_life &attempt_life::operator=(attempt_life &&Other) noexcept = default;
+attempt_lifecycle::attempt_lifecycle() : Machine(std::make_unique<machine>()) { Machine->start(); }
+attempt_lifecycle::~attempt_lifecycle() = default;
+attempt_lifecycle::attempt_lifecycle(attempt_lifecycle &&Other) noexcept = default;
+attempt_lifecycle &attempt_lifecycle::operator=(attempt_lifecycle &&Other) noexcept = default;
 
-bool attempt_life::apply(attempt_step Step) {
+bool attempt_lifecycle::apply(attempt_step Step) {
   Machine->Refused = false;
   switch (Step) {
   case attempt_step::Start:
@@ -120,6 +120,6 @@
   return !Machine->Refused;
 }
 
-attempt_state attempt_life::state() const { return Machine->Current; }
+attempt_state attempt_lifecycle::state() const { return Machine->Current; }
 
 } // namespace pollenstall
--- a/src/dispatch/attempt_base.h
+++ b/src/dispatch/attempt_base.h
@@ -9,14 +9,14 @@
 namespace pollenstall {
 
 /// One attempt's state; refuses steps that do not fit, so that late and crossed events do nothing.
-class attempt_life {
+class attempt_lifecycle {
 public:
-  attempt_life();
-  ~attempt_life();
-  attempt_life(attempt_life &&Other) noexcept;
-  attempt_life &operator=(attempt_life &&Other) noexcept;
-  attempt_life(const attempt_life &) = delete;
-  attempt_life &operator=(const attempt_life &) = delete;
+  attempt_lifecycle();
+  ~attempt_lifecycle();
+  attempt_lifecycle(attempt_lifecycle &&Other) noexcept;
+  attempt_lifecycle &operator=(attempt_lifecycle &&Other) noexcept;
+  attempt_lifecycle(const attempt_lifecycle &) = delete;
+  attempt_lifecycle &operator=(const attempt_lifecycle &) = delete;
 
   /// @return Whether the step fits the state; otherwise the state stays as it was.
   bool apply(attempt_step Step);
--- a/src/dispatch/dispatch_type.h
+++ b/src/dispatch/dispatch_type.h
@@ -188,7 +188,7 @@
   bool MayRetry{false};      ///< The body must be kept until the answer begins.
   std::vector<backend_key> Helpers{}; ///< Read parts of the prompt.
   std::vector<memory_hold> Holds{};   ///< At helpers, for what the first engine has no room for.
-  mono_span Expected{};               ///< To the first event, for the log.
+  mono_duration Expected{};           ///< To the first event, for the log.
   std::string Instance{};             ///< The server's name for its life, where it has one.
 };
 /// Reconnect to the same server and go on at the exact event that was relayed last.
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -12,7 +12,7 @@
 using std::chrono::seconds;
 
 /// How long the control log may take to answer for a claim.
-constexpr mono_span ClaimPatience = seconds(2);
+constexpr mono_duration ClaimPatience = seconds(2);
 /// How long after the deadline a caller's software may still resend with the same key.
 constexpr milliseconds ResendWindow = std::chrono::minutes(10);
 constexpr seconds DefaultRetryAfter{1};
--- a/src/dispatch/dispatcher_attempt.cpp
+++ b/src/dispatch/dispatcher_attempt.cpp
@@ -12,17 +12,18 @@
 /// A first byte later than this many times the expectation is slow.
 constexpr int SlowFactor = 4;
 /// Nothing is called slow earlier; expectations of short prompts are noisy.
-constexpr mono_span LeastPatience = std::chrono::seconds(30);
+constexpr mono_duration LeastPatience = std::chrono::seconds(30);
 /// Where a target is declared nothing is called slow before this many times the target: its caller
 /// still waits (callers of short streams leave after 2 s). At twice the target, engines that were
 /// only full of the work of a fleet that had just restarted were left: 85 requests in a second.
 constexpr int TargetFactor = 4;
 constexpr std::uint32_t MostResumes = 3;
-constexpr mono_span ResumePause = std::chrono::milliseconds(200);
+constexpr mono_duration ResumePause = std::chrono::milliseconds(200);
 
 /// @return After which time without an answer an attempt is slow.
-mono_span patienceFor(const request_facts &Facts, mono_span ExpectedFirstToken) {
-  const mono_span Least = Facts.Target.count() > 0 ? Facts.Target * TargetFactor : LeastPatience;
+mono_duration patienceFor(const request_facts &Facts, mono_duration ExpectedFirstToken) {
+  const mono_duration Least =
+      Facts.Target.count() > 0 ? Facts.Target * TargetFactor : LeastPatience;
   return std::max(Least, ExpectedFirstToken * SlowFactor);
 }
 
@@ -40,7 +41,7 @@
   live_request *Request = withCurrent(Attempt);
   // While a resume waits, what arrives is left over from the connection that broke.
   const bool Fits = Request != nullptr && !Request->Current->ResumeAt;
-  if (Fits && Request->Current->Life.apply(Step))
+  if (Fits && Request->Current->Lifecycle.apply(Step))
     return true;
   ignore();
   return false;
@@ -83,12 +84,12 @@
   Request.Phase = request_phase::Running;
   Request.Current.emplace(running_attempt{{Self, Request.Facts.Id, Request.Attempts},
                                           Placement.Backend,
-                                          attempt_life{},
+                                          attempt_lifecycle{},
                                           AnswerBy,
                                           0,
                                           std::nullopt,
                                           false});
-  Request.Current->Life.apply(attempt_step::Start);
+  Request.Current->Lifecycle.apply(attempt_step::Start);
   const attempt_id Id = Request.Current->Id;
   Actions.emplace_back(start_attempt{Id,
                                      Placement.Backend,
@@ -138,7 +139,7 @@
 void dispatcher::on(const attempt_completed &Event, mono_time Now) {
   if (abandoned_attempt *Late = Abandoned.find(Event.Attempt)) {
     ignore();
-    Late->Life.apply(attempt_step::Complete);
+    Late->Lifecycle.apply(attempt_step::Complete);
     if (Late->ClaimKey)
       Actions.emplace_back(settle_claim{Event.Attempt.Request, *Late->ClaimKey,
                                         claim_standing::Complete, Late->ClaimLifetime});
@@ -162,7 +163,7 @@
   abandoned_attempt *Late = Abandoned.find(Event.Attempt);
   if (Late == nullptr || mayHoldMemory(failureInState(Event.Failure, Late->GivenUpIn)))
     return;
-  Late->Life.apply(attempt_step::Fail);
+  Late->Lifecycle.apply(attempt_step::Fail);
   Late->Failure = Event.Failure;
   endAbandoned(Event.Attempt, attempt_end::Failed, Now);
 }
@@ -173,14 +174,14 @@
     return ignore();
   if (Event.NeverSeen && !Late->startIsOver(Now))
     return; // The cancel is repeated; a later answer tells.
-  Late->Life.apply(attempt_step::Confirm);
+  Late->Lifecycle.apply(attempt_step::Confirm);
   endAbandoned(Event.Attempt, attempt_end::Cancelled, Now);
 }
 
 void dispatcher::failAttempt(live_request &Request, const attempt_failed &Event, mono_time Now) {
   if (Request.Current->ResumeAt)
     return ignore(); // The connection is broken already; this tells of the same break.
-  const attempt_state State = Request.Current->Life.state();
+  const attempt_state State = Request.Current->Lifecycle.state();
   const attempt_failure Failure = failureInState(Event.Failure, State);
   if (resumeAttempt(Request, Failure, Now))
     return;
@@ -198,7 +199,7 @@
   const bool Able = Seam.Resumes && Seam.Resumes(Current.Backend) && !Current.BackendGone;
   if (!mayResume(Failure) || !Able || Current.Resumes >= MostResumes)
     return false;
-  if (!Current.Life.apply(attempt_step::Resume))
+  if (!Current.Lifecycle.apply(attempt_step::Resume))
     return false;
   Current.ResumeAt = Now + ResumePause * Current.Resumes; // The first at once.
   ++Current.Resumes;
@@ -217,8 +218,8 @@
   Request.Tried.push_back(Request.Current->Backend);
   if (!HoldsNothing)
     return abandon(Request, Failure, Now);
-  Request.Current->Life.apply(attempt_step::Fail);
-  requireInvariant(Request.Current->Life.state() == attempt_state::Failed,
+  Request.Current->Lifecycle.apply(attempt_step::Fail);
+  requireInvariant(Request.Current->Lifecycle.state() == attempt_state::Failed,
                    "an attempt that holds nothing has failed", [this] { return text(); });
   attempt_ending Ending;
   Ending.Attempt = Request.Current->Id;
@@ -235,7 +236,7 @@
   running_attempt Current = std::move(*Request.Current);
   Request.Current.reset();
   if (Current.BackendGone) {
-    Current.Life.apply(attempt_step::BackendGone);
+    Current.Lifecycle.apply(attempt_step::BackendGone);
     Actions.emplace_back(cancel_attempt{Current.Id, Current.Backend}); // Closes the connection.
     return reportEnd({Current.Id, Current.Backend, attempt_end::BackendGone, Failure, std::nullopt,
                       std::nullopt, std::nullopt},
@@ -246,9 +247,9 @@
   abandoned_attempt Given;
   Given.Attempt = Id;
   Given.Backend = Current.Backend;
-  Given.GivenUpIn = Current.Life.state();
-  Given.Life = std::move(Current.Life);
-  Given.Life.apply(attempt_step::Cancel);
+  Given.GivenUpIn = Current.Lifecycle.state();
+  Given.Lifecycle = std::move(Current.Lifecycle);
+  Given.Lifecycle.apply(attempt_step::Cancel);
   Given.Failure = Failure;
   Given.Since = Now;
   if (Request.Claim == claim_progress::Granted) {
--- a/src/dispatch/dispatcher_base.h
+++ b/src/dispatch/dispatcher_base.h
@@ -58,7 +58,7 @@
   std::vector<dispatch_action> takeActions();
 
   /// Refuses new requests; those admitted end by themselves, or at Now + Limit.
-  void beginShutdown(mono_time Now, mono_span Limit);
+  void beginShutdown(mono_time Now, mono_duration Limit);
   /// An entry without a declaration in force refuses new requests; those admitted go on.
   void setReady(bool Value) { Ready = Value; }
   /// Takes the limits of a new declaration; running attempts keep theirs.
--- a/src/dispatch/dispatcher_dump.cpp
+++ b/src/dispatch/dispatcher_dump.cpp
@@ -20,7 +20,7 @@
   Dump.MayHaveRun = Request.mayHaveRun();
   if (Request.Current) {
     Dump.Backend = Request.Current->Backend;
-    Dump.State = Request.Current->Life.state();
+    Dump.State = Request.Current->Lifecycle.state();
   }
   Dump.Remaining = std::chrono::duration_cast<std::chrono::milliseconds>(Facts.Deadline - Now);
   return Dump;
@@ -49,7 +49,7 @@
         << Request.mayHaveRun();
     if (Request.Current)
       Out << " " << toText(Request.Current->Id) << " at " << toText(Request.Current->Backend)
-          << " state " << static_cast<int>(Request.Current->Life.state());
+          << " state " << static_cast<int>(Request.Current->Lifecycle.state());
     Out << "\n";
   }
   return Out.str();
--- a/src/dispatch/dispatcher_retry.cpp
+++ b/src/dispatch/dispatcher_retry.cpp
@@ -47,7 +47,7 @@
 }
 
 void dispatcher::retryElsewhere(live_request &Request, attempt_failure Failure, mono_time Now) {
-  const bool Unanswered = Request.Current && !hasAnswered(Request.Current->Life.state());
+  const bool Unanswered = Request.Current && !hasAnswered(Request.Current->Lifecycle.state());
   if (!Unanswered || !Request.Facts.Idempotent || !payForRetry(Request, Now))
     return;
   closeAttempt(Request, Failure, Now);
@@ -74,7 +74,7 @@
     if (Request.Current && Request.Current->Backend == Backend)
       Request.Current->BackendGone = true;
   for (const attempt_id &Attempt : Abandoned.onBackend(Backend)) {
-    Abandoned.find(Attempt)->Life.apply(attempt_step::BackendGone);
+    Abandoned.find(Attempt)->Lifecycle.apply(attempt_step::BackendGone);
     endAbandoned(Attempt, attempt_end::BackendGone, Now);
   }
   moveUnanswered(Backend, Now);
--- a/src/dispatch/dispatcher_time.cpp
+++ b/src/dispatch/dispatcher_time.cpp
@@ -39,7 +39,7 @@
     Actions.emplace_back(resume_attempt{Current.Id, Current.Backend});
     return;
   }
-  if (hasAnswered(Current.Life.state()) || Now < Current.AnswerBy)
+  if (hasAnswered(Current.Lifecycle.state()) || Now < Current.AnswerBy)
     return;
   // Where no retry may start, the slow attempt is still the best hope; it keeps the whole time.
   Current.AnswerBy = Request.Facts.Deadline;
@@ -52,7 +52,7 @@
     Wake = std::min(Wake, Request.ClaimBy);
   if (Request.Current && Request.Current->ResumeAt)
     Wake = std::min(Wake, *Request.Current->ResumeAt);
-  if (Request.Current && !hasAnswered(Request.Current->Life.state()))
+  if (Request.Current && !hasAnswered(Request.Current->Lifecycle.state()))
     Wake = std::min(Wake, Request.Current->AnswerBy);
   Wakes.set(Request.Facts.Id, Wake);
 }
@@ -74,7 +74,7 @@
   return Next;
 }
 
-void dispatcher::beginShutdown(mono_time Now, mono_span Limit) {
+void dispatcher::beginShutdown(mono_time Now, mono_duration Limit) {
   const mono_time By = Now + Limit;
   ShutdownBy = ShutdownBy ? std::min(*ShutdownBy, By) : By;
 }
--- a/src/dispatch/live_request_type.h
+++ b/src/dispatch/live_request_type.h
@@ -26,7 +26,7 @@
 struct running_attempt {
   attempt_id Id;
   backend_key Backend;
-  attempt_life Life;
+  attempt_lifecycle Lifecycle;
   mono_time AnswerBy;
   std::uint32_t Resumes{0};
   std::optional<mono_time> ResumeAt; ///< The next resume waits until then.
--- a/src/dispatch/retry_budget.cpp
+++ b/src/dispatch/retry_budget.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr std::uint64_t OneRetry = 100;
-constexpr std::uint64_t Burst = 100;                  ///< Retries that can be saved up at most.
-constexpr mono_span Refill = std::chrono::seconds(1); ///< The floor regains one retry in it.
+constexpr std::uint64_t Burst = 100;                      ///< Retries that can be saved up at most.
+constexpr mono_duration Refill = std::chrono::seconds(1); ///< The floor regains one retry in it.
 
 } // namespace
 
--- a/src/dispatch/retry_window.cpp
+++ b/src/dispatch/retry_window.cpp
@@ -10,7 +10,7 @@
 } // namespace
 
 retry_window::slot &retry_window::slotAt(mono_time Now) {
-  const mono_span Length = Allowance.Window / SlotsPerWindow;
+  const mono_duration Length = Allowance.Window / SlotsPerWindow;
   // One slot more than the window is kept, so that no span of its length is left out.
   while (!Slots.empty() && Slots.front().Begin + Allowance.Window + Length <= Now)
     Slots.pop_front();
--- a/src/dispatch/retry_window_base.h
+++ b/src/dispatch/retry_window_base.h
@@ -12,8 +12,8 @@
 
 /// What one entry may retry in any span of a length.
 struct retry_allowance {
-  double Extra{0};                            ///< Beside the share of first attempts.
-  mono_span Window{std::chrono::seconds(10)}; ///< Any span of this length.
+  double Extra{0};                                ///< Beside the share of first attempts.
+  mono_duration Window{std::chrono::seconds(10)}; ///< Any span of this length.
 };
 
 /**
--- a/src/fake_backend/backend_calls.cpp
+++ b/src/fake_backend/backend_calls.cpp
@@ -280,7 +280,7 @@
   return {{"models", textArray(Orders.models())},
           {"role", Orders.role()},
           {"fence", Orders.fence()},
-          {"incarnation", Incarnation}};
+          {"incarnation", OwnIncarnation}};
 }
 
 json::object backend_server::statsJson() const {
@@ -288,7 +288,7 @@
   json::array Executed;
   for (const engine_order &Order : Orders.executed())
     Executed.push_back(orderJson(Order));
-  return {{"incarnation", Incarnation},
+  return {{"incarnation", OwnIncarnation},
           {"starts", Starts},
           {"starts_by_attempt", countsOf(StartsByAttempt)},
           {"starts_by_key", countsOf(StartsByKey)},
@@ -311,7 +311,7 @@
   const json::object Body{
       {"fleet", Settings.Fleet},
       {"address", Address},
-      {"incarnation", Incarnation},
+      {"incarnation", OwnIncarnation},
       {"sequence", ++AnnounceSequence},
       {"failure_domain", Settings.FailureDomain},
       {"service", Settings.Service},
--- a/src/fake_backend/backend_server.cpp
+++ b/src/fake_backend/backend_server.cpp
@@ -60,7 +60,7 @@
     : Settings(Given), Engine(limitsOf(Given)), Orders(checkingOf(Given), Given.Models),
       CacheEvents(Given.CacheEventLag, Given.CacheEventLoss,
                   static_cast<std::uint64_t>(Given.Seed)),
-      Incarnation(unixNanoseconds()), Address(Given.Listen), Io(1), Acceptor(Io), StepTimer(Io),
+      OwnIncarnation(unixNanoseconds()), Address(Given.Listen), Io(1), Acceptor(Io), StepTimer(Io),
       SampleTimer(Io) {
   applyFaults(Faults, Given.Faults); // checked when the settings were read
   if (!Settings.AnnounceTo.empty())
@@ -84,7 +84,7 @@
     return backend_start_error{errorOf(Opened)};
   if (!Settings.AddressFile.empty())
     std::ofstream(Settings.AddressFile) << Address << "\n";
-  logEvent(log_level::Info, "listening", {{"address", Address}, {"incarnation", Incarnation}});
+  logEvent(log_level::Info, "listening", {{"address", Address}, {"incarnation", OwnIncarnation}});
   return done{};
 }
 
--- a/src/fake_backend/backend_server_base.h
+++ b/src/fake_backend/backend_server_base.h
@@ -117,7 +117,7 @@
   std::uint64_t LoadSequence{0};
   std::uint64_t AnnounceSequence{0};
   std::uint64_t DirectAttempts{0};
-  std::int64_t Incarnation;
+  std::int64_t OwnIncarnation;
   std::int64_t OpenAnswers{0};
   std::string Address;
   bool Stepping{false};
--- a/src/fake_backend/backend_work.cpp
+++ b/src/fake_backend/backend_work.cpp
@@ -186,7 +186,7 @@
   Job->Answer.PromptTokens = Call.PromptTokens;
   Job->Answer.AnswerTokens = Call.AnswerTokens > 0 ? Call.AnswerTokens : Settings.AnswerTokens;
   Job->Answer.Model = std::move(Call.Model);
-  Job->Answer.CreatedUnixS = Incarnation / 1'000'000'000;
+  Job->Answer.CreatedUnixS = OwnIncarnation / 1'000'000'000;
   Job->BlockHashes = std::move(Call.BlockHashes);
   return Job;
 }
--- a/src/fake_backend/cache_event_log_base.h
+++ b/src/fake_backend/cache_event_log_base.h
@@ -14,7 +14,7 @@
 class cache_event_log {
 public:
   /// @param LossShare Probability from 0 to 1 that an event is lost.
-  cache_event_log(mono_span EventLag, double LossShare, std::uint64_t Seed)
+  cache_event_log(mono_duration EventLag, double LossShare, std::uint64_t Seed)
       : Lag(EventLag), Loss(LossShare), Random(Seed) {}
 
   void add(const prefix_cache::changes &Changes, mono_time Now);
@@ -31,7 +31,7 @@
 
   void addOne(const char *Kind, const std::vector<std::uint64_t> &Hashes, mono_time Now);
 
-  mono_span Lag;
+  mono_duration Lag;
   double Loss;
   random_source Random;
   std::deque<entry> Entries;
--- a/src/fake_backend/engine_type.h
+++ b/src/fake_backend/engine_type.h
@@ -57,7 +57,7 @@
   std::int64_t Blocks{8192};
   std::int64_t BlockTokens{16};
   std::int64_t PrefixCacheBlocks{2048}; ///< Idle blocks kept at most.
-  mono_span ResumeWindow{std::chrono::seconds(30)};
+  mono_duration ResumeWindow{std::chrono::seconds(30)};
   bool Priorities{true};
   bool Resumes{true};
 };
--- a/src/fleet_model/entry_policy.cpp
+++ b/src/fleet_model/entry_policy.cpp
@@ -102,13 +102,13 @@
     std::vector<work_load> Loads;
     for (const auto &[Key, Count] : Counts)
       if (Count.Own > 0)
-        Loads.push_back({Key.Life, Count.Own, 0, 0, 0, 0, 0});
+        Loads.push_back({Key.Incarnation, Count.Own, 0, 0, 0, 0, 0});
     return Loads;
   }
   void takeOthersLoads(const std::vector<work_load> &Loads) {
     for (auto &[Key, Count] : Counts)
       for (const work_load &Load : Loads)
-        if (Load.Life == Key.Life)
+        if (Load.Incarnation == Key.Incarnation)
           Count.Others = Load.Requests;
   }
 
--- a/src/fleet_model/fleet_run.cpp
+++ b/src/fleet_model/fleet_run.cpp
@@ -16,13 +16,13 @@
 constexpr mono_time Start{std::chrono::hours(1)};
 
 double exponential(random_source &Random, double Mean) {
-  return -Mean * std::log(1.0 - Random.unit());
+  return -Mean * std::log(1.0 - Random.uniform());
 }
 
 /// Box and Muller's transformation; one of the two numbers is enough here.
 double normal(random_source &Random) {
-  const double Radius = std::sqrt(-2.0 * std::log(1.0 - Random.unit()));
-  return Radius * std::cos(2.0 * std::numbers::pi * Random.unit());
+  const double Radius = std::sqrt(-2.0 * std::log(1.0 - Random.uniform()));
+  return Radius * std::cos(2.0 * std::numbers::pi * Random.uniform());
 }
 
 double drawSize(random_source &Random, const size_spread &Size) {
@@ -31,8 +31,9 @@
   return std::clamp(Drawn, 1.0, Size.Most);
 }
 
-backend_listing listingOf(std::size_t Engine, std::uint64_t Life, const engine_figures &Figures) {
-  const instance_name Name("engine-" + std::to_string(Engine) + "-" + std::to_string(Life));
+backend_listing listingOf(std::size_t Engine, std::uint64_t Incarnation,
+                          const engine_figures &Figures) {
+  const instance_name Name("engine-" + std::to_string(Engine) + "-" + std::to_string(Incarnation));
   // Padded, so that the order of addresses is that of numbers.
   const std::string Port = std::to_string(10'000 + Engine);
   backend_listing Listing;
@@ -47,8 +48,8 @@
 
 fleet_run::fleet_run(const model_load &Played, const named_model_policy &Wanted,
                      std::uint64_t FirstSeed)
-    : Load(Played), Policy(Wanted), Seed(FirstSeed), Random(mixHash(FirstSeed, 1)),
-      ReportRandom(mixHash(FirstSeed, 0)) {
+    : Load(Played), Policy(Wanted), Seed(FirstSeed), Random(combineHashes(FirstSeed, 1)),
+      ReportRandom(combineHashes(FirstSeed, 0)) {
   Entries.resize(Load.Entries);
   for (std::size_t Number = 0; Number < Load.Entries; ++Number)
     addEntry(Number);
@@ -110,8 +111,8 @@
 
 mono_time fleet_run::now() const { return momentOf(Ms); }
 
-void fleet_run::push(double At, event_kind Kind, std::size_t Index, std::uint64_t Life) {
-  Events.push({At, NextOrder++, Kind, Index, Life});
+void fleet_run::push(double At, event_kind Kind, std::size_t Index, std::uint64_t Incarnation) {
+  Events.push({At, NextOrder++, Kind, Index, Incarnation});
 }
 
 std::vector<request_record> fleet_run::play() {
@@ -177,7 +178,7 @@
     return runEngine(Engine);
   }
   case event_kind::PassEnd:
-    if (Engines[Event.Index].Life == Event.Life)
+    if (Engines[Event.Index].Incarnation == Event.Incarnation)
       endPass(Event.Index);
     return;
   case event_kind::Event:
@@ -189,7 +190,7 @@
   case event_kind::TimeOut:
     return giveUp(Event.Index);
   case event_kind::Leave:
-    return leave(Event.Index, Event.Life != 0);
+    return leave(Event.Index, Event.Incarnation != 0);
   case event_kind::Lose:
     return lose(Event.Index);
   case event_kind::Regain:
--- a/src/fleet_model/fleet_run_base.h
+++ b/src/fleet_model/fleet_run_base.h
@@ -71,7 +71,7 @@
     std::uint64_t Order{0};
     event_kind Kind{event_kind::Arrive};
     std::size_t Index{0};
-    std::uint64_t Life{0}; ///< Of the engine of a pass, or of the request that is left.
+    std::uint64_t Incarnation{0}; ///< Of the engine of a pass, or of the request that is left.
 
     bool operator>(const event &Other) const {
       return Ms != Other.Ms ? Ms > Other.Ms : Order > Other.Order;
@@ -81,7 +81,7 @@
     engine_model Model;
     backend_listing Listing;
     bool Lost{false};
-    std::uint64_t Life{0};
+    std::uint64_t Incarnation{0};
   };
   struct entry_state {
     model_policy Policy;
@@ -121,7 +121,7 @@
     double Bytes{0};
   };
 
-  void push(double Ms, event_kind Kind, std::size_t Index, std::uint64_t Life = 0);
+  void push(double Ms, event_kind Kind, std::size_t Index, std::uint64_t Incarnation = 0);
   void drawRequests();
   [[nodiscard]] double rateFactor(const request_kind &Kind, double Seconds) const;
   void noteSpent();
--- a/src/fleet_model/fleet_run_callers.cpp
+++ b/src/fleet_model/fleet_run_callers.cpp
@@ -122,12 +122,12 @@
 void fleet_run::addEntry(std::size_t Number) {
   entry_state &Entry = Entries[Number];
   Entry = entry_state();
-  Entry.Policy = Policy.Make(Load, Number, mixHash(Seed, Number + 2));
+  Entry.Policy = Policy.Make(Load, Number, combineHashes(Seed, Number + 2));
   for (const engine_state &Engine : Engines)
     Entry.Policy.UpdateBackend(Engine.Listing);
   const host_name Host("entry-" + std::to_string(Number));
-  const incarnation Life(static_cast<std::uint64_t>(now().time_since_epoch().count()));
-  Entry.Board = std::make_unique<work_board>(process_key{Host, Life}, reportAddress(Number));
+  const incarnation Incarnation(static_cast<std::uint64_t>(now().time_since_epoch().count()));
+  Entry.Board = std::make_unique<work_board>(process_key{Host, Incarnation}, reportAddress(Number));
   EntryNumbers[reportAddress(Number)] = Number;
 }
 
--- a/src/fleet_model/fleet_run_engines.cpp
+++ b/src/fleet_model/fleet_run_engines.cpp
@@ -143,7 +143,7 @@
 void fleet_run::runEngine(std::size_t Number) {
   engine_state &Engine = Engines[Number];
   if (!Engine.Lost && Engine.Model.canStart())
-    push(Ms + Engine.Model.start(), event_kind::PassEnd, Number, Engine.Life);
+    push(Ms + Engine.Model.start(), event_kind::PassEnd, Number, Engine.Incarnation);
 }
 
 void fleet_run::endPass(std::size_t Number) {
@@ -177,7 +177,7 @@
     if (Engine.Lost)
       continue;
     Engine.Lost = true;
-    ++Engine.Life;
+    ++Engine.Incarnation;
     for (const std::size_t Attempt : Engine.Model.lose())
       push(Ms + BrokenAfterMs, event_kind::Broken, Attempt);
     for (std::size_t Attempt = 0; Attempt < Attempts.size(); ++Attempt) {
@@ -196,7 +196,8 @@
   const backend_listing Before = Engine.Listing;
   backend_listing Ended = Before;
   Ended.State = listing_state::Gone;
-  const instance_name Name("engine-" + std::to_string(Number) + "-" + std::to_string(Engine.Life));
+  const instance_name Name("engine-" + std::to_string(Number) + "-" +
+                           std::to_string(Engine.Incarnation));
   Engine.Listing.Instance = Name;
   Engine.Listing.Key = keyOf(Before.Key.Address, {Name, {}});
   EngineNumbers[Engine.Listing.Key] = Number;
--- a/src/gossip/gossip_service.cpp
+++ b/src/gossip/gossip_service.cpp
@@ -176,8 +176,8 @@
                             [this](auto &Event) { Outbox.add(std::move(Event)); }},
                  Action);
     Outbox.flush(Changes);
-    const mono_span Sleep = Fleet->nextWake() - boot_clock::now();
-    Timer.expires_after(std::max(Sleep, mono_span::zero()));
+    const mono_duration Sleep = Fleet->nextWake() - boot_clock::now();
+    Timer.expires_after(std::max(Sleep, mono_duration::zero()));
     Timer.async_wait([this](const boost::system::error_code &Error) {
       if (!Error)
         advance();
--- a/src/gossip/membership_codec_func.h
+++ b/src/gossip/membership_codec_func.h
@@ -53,7 +53,7 @@
 
 template <typename Archive> void packProcess(Archive &Into, process_key &Key) {
   packName(Into, Key.Host);
-  Into(Key.Life);
+  Into(Key.Incarnation);
 }
 
 template <typename Archive>
@@ -74,7 +74,7 @@
 
 template <typename Archive> void serialize(Archive &Into, backend_announcement &Value) {
   packName(Into, Value.Key.Address);
-  Into(Value.Key.Life);
+  Into(Value.Key.Incarnation);
   packName(Into, Value.Service);
   packName(Into, Value.Domain);
   packLabels(Into, Value.Labels);
@@ -124,7 +124,7 @@
 }
 
 template <typename Archive> void serialize(Archive &Into, subject_version &Value) {
-  Into(Value.Subject, Value.Life, Value.Version);
+  Into(Value.Subject, Value.Incarnation, Value.Version);
 }
 
 template <typename Archive> void serialize(Archive &Into, sync_versions &Value) {
--- a/src/load/load_run.cpp
+++ b/src/load/load_run.cpp
@@ -45,8 +45,8 @@
 public:
   arrivals(const load_settings &Given, std::int64_t ThreadNumber)
       : Settings(Given), Mix(mixOf(Given)), Report(namesOf(Mix)), Thread(ThreadNumber),
-        Random(mixHash(static_cast<std::uint64_t>(Given.Seed),
-                       static_cast<std::uint64_t>(ThreadNumber))),
+        Random(combineHashes(static_cast<std::uint64_t>(Given.Seed),
+                             static_cast<std::uint64_t>(ThreadNumber))),
         Io(1), Timer(Io) {
     Left = share(Settings.Count);
     for (const std::string &Target : Settings.Targets)
@@ -76,7 +76,7 @@
 
   void awaitArrival() {
     const double Mean = static_cast<double>(Settings.Threads) / Settings.Rate;
-    const std::chrono::duration<double> Gap(-Mean * std::log(1.0 - Random.unit()));
+    const std::chrono::duration<double> Gap(-Mean * std::log(1.0 - Random.uniform()));
     NextDue += std::chrono::duration_cast<clock::duration>(Gap);
     if (Left == 0 || NextDue >= StopAt)
       return;
@@ -106,7 +106,7 @@
     double Sum = 0;
     for (const length_class &Class : Mix)
       Sum += Class.Weight;
-    double Place = Random.unit() * Sum;
+    double Place = Random.uniform() * Sum;
     for (std::size_t Class = 0; Class + 1 < Mix.size(); ++Class) {
       Place -= Mix[Class].Weight;
       if (Place < 0)
--- a/src/load/load_settings.cpp
+++ b/src/load/load_settings.cpp
@@ -30,7 +30,7 @@
 }
 
 template <typename Number> bool readNumber(const std::string &Text, Number &Into) {
-  Into = numberFrom<Number>(Text).value_or(Number{});
+  Into = parseNumber<Number>(Text).value_or(Number{});
   return Into > 0;
 }
 
--- a/src/membership/backend_expiry.cpp
+++ b/src/membership/backend_expiry.cpp
@@ -16,31 +16,31 @@
 
 } // namespace
 
-mono_span backend_table::releaseInterval() const {
+mono_duration backend_table::releaseInterval() const {
   const std::chrono::duration<double> Round = Settings.GossipInterval;
   const double Datagram = Settings.LoadBytesPerSecond * Round.count() / Settings.Fanout;
   const double Digests = std::max(1.0, (Datagram - EnvelopeAllowance) / DigestWireBytes);
   const auto Rounds = static_cast<double>(Present) / Digests * Slack;
-  const auto Budgeted = std::chrono::duration_cast<mono_span>(Round * Rounds);
+  const auto Budgeted = std::chrono::duration_cast<mono_duration>(Round * Rounds);
   return std::max(Settings.AnnouncementInterval, Budgeted);
 }
 
-mono_span backend_table::quietExpiry() const {
+mono_duration backend_table::quietExpiry() const {
   return Settings.BackendExpiry + 2 * (releaseInterval() - Settings.AnnouncementInterval);
 }
 
-mono_span backend_table::patience(const backend_entry &Entry) const {
+mono_duration backend_table::patience(const backend_entry &Entry) const {
   // Whoever heard it regularly is the first to know. Reports that reach now this host, now that one
   // prove nothing by staying away from here, nor does the lag of the gossip.
   return Entry.DirectRun >= SteadyRun ? Settings.BackendExpiry
                                       : quietExpiry() + Settings.QueryGrace;
 }
 
-bool backend_table::givenUp(const backend_entry &Entry, mono_span Listened) const {
+bool backend_table::givenUp(const backend_entry &Entry, mono_duration Listened) const {
   return Listened - Entry.HeardListening >= patience(Entry);
 }
 
-std::vector<std::uint64_t> backend_table::takeDoubtful(mono_span Listened) {
+std::vector<std::uint64_t> backend_table::takeDoubtful(mono_duration Listened) {
   std::vector<std::uint64_t> Doubtful;
   for (auto &[Subject, Entry] : Entries) {
     if (Entry.Lost || Listened - Entry.HeardListening < patience(Entry) - Settings.QueryGrace ||
@@ -52,7 +52,7 @@
   return Doubtful;
 }
 
-std::vector<std::uint64_t> backend_table::expire(mono_span Listened) {
+std::vector<std::uint64_t> backend_table::expire(mono_duration Listened) {
   std::vector<std::uint64_t> Expired;
   for (auto &[Subject, Entry] : Entries) {
     if (Entry.Lost || !givenUp(Entry, Listened))
@@ -65,7 +65,7 @@
   return Expired;
 }
 
-std::vector<backend_key> backend_table::forget(mono_span Listened) {
+std::vector<backend_key> backend_table::forget(mono_duration Listened) {
   std::vector<backend_key> Gone;
   for (auto &[Subject, Entry] : Entries) {
     if (!Entry.Lost || Entry.Forgotten || Listened - Entry.HeardListening < Settings.ForgetAfter)
@@ -80,11 +80,12 @@
   return Gone;
 }
 
-bool backend_table::takeRelease(std::uint64_t Subject, mono_span Listened) {
+bool backend_table::takeRelease(std::uint64_t Subject, mono_duration Listened) {
   backend_entry &Entry = Entries.at(Subject);
-  const mono_span Interval = releaseInterval();
-  const auto Every = static_cast<std::uint64_t>(
-      (Interval + Settings.AnnouncementInterval - mono_span(1)) / Settings.AnnouncementInterval);
+  const mono_duration Interval = releaseInterval();
+  const auto Every =
+      static_cast<std::uint64_t>((Interval + Settings.AnnouncementInterval - mono_duration(1)) /
+                                 Settings.AnnouncementInterval);
   // Reports reach now this host, now that one. By time alone each host that the last release has
   // not reached yet would release its own; by the report's number all agree on which one it is.
   const bool Turn = Entry.Load.Sequence % Every == Subject % Every;
--- a/src/membership/backend_table.cpp
+++ b/src/membership/backend_table.cpp
@@ -25,11 +25,12 @@
   Change.Subject = subjectOf(Announcement.Key.Address);
   backend_entry *Entry = admit(Change.Subject);
   Change.Refused = Entry == nullptr;
-  Change.Older = Entry != nullptr && Announcement.Key.Life < Entry->Announcement.Key.Life;
+  Change.Older =
+      Entry != nullptr && Announcement.Key.Incarnation < Entry->Announcement.Key.Incarnation;
   if (Change.Refused || Change.Older)
     return Change;
-  if (isNew(*Entry) || Announcement.Key.Life > Entry->Announcement.Key.Life)
-    replaceLife(Change.Subject, *Entry, Announcement, Change);
+  if (isNew(*Entry) || Announcement.Key.Incarnation > Entry->Announcement.Key.Incarnation)
+    replaceIncarnation(Change.Subject, *Entry, Announcement, Change);
   if (Announcement.Leaving)
     markLeaving(Change.Subject, *Entry, Change);
   const bool First = Change.Record && Load.Sequence == Entry->Load.Sequence;
@@ -58,11 +59,12 @@
   Change.Subject = subjectOf(Record.Announcement.Key.Address);
   backend_entry *Entry = admit(Change.Subject);
   Change.Refused = Entry == nullptr;
-  Change.Older = Entry != nullptr && Record.Announcement.Key.Life < Entry->Announcement.Key.Life;
+  Change.Older =
+      Entry != nullptr && Record.Announcement.Key.Incarnation < Entry->Announcement.Key.Incarnation;
   if (Change.Refused || Change.Older)
     return Change;
-  if (isNew(*Entry) || Record.Announcement.Key.Life > Entry->Announcement.Key.Life)
-    replaceLife(Change.Subject, *Entry, Record.Announcement, Change);
+  if (isNew(*Entry) || Record.Announcement.Key.Incarnation > Entry->Announcement.Key.Incarnation)
+    replaceIncarnation(Change.Subject, *Entry, Record.Announcement, Change);
   if (Record.Announcement.Leaving)
     markLeaving(Change.Subject, *Entry, Change);
   mergeBody(Change.Subject, *Entry, Record, Change);
@@ -101,7 +103,7 @@
                               const load_digest &Digest, table_time Time, backend_change &Change) {
   const digest_state State = stateOf(Digest);
   const bool First = Change.Replaced.has_value() || Entry.HeardAt == mono_time{};
-  const mono_span Silence = Time.Listened - Entry.HeardListening;
+  const mono_duration Silence = Time.Listened - Entry.HeardListening;
   if (Load.Sequence > Entry.Load.Sequence || First) {
     Change.Standing = Change.Standing || Entry.Lost != State.Lost;
     Present += Entry.Lost ? 1 : 0;
@@ -126,10 +128,11 @@
   }
 }
 
-void backend_table::replaceLife(std::uint64_t Subject, backend_entry &Entry,
-                                const backend_announcement &Announcement, backend_change &Change) {
+void backend_table::replaceIncarnation(std::uint64_t Subject, backend_entry &Entry,
+                                       const backend_announcement &Announcement,
+                                       backend_change &Change) {
   if (!isNew(Entry)) {
-    requireInvariant(Announcement.Key.Life > Entry.Announcement.Key.Life,
+    requireInvariant(Announcement.Key.Incarnation > Entry.Announcement.Key.Incarnation,
                      "no older incarnation of a backend server replaces a newer one");
     if (!Entry.Forgotten)
       Change.Replaced = Entry.Announcement.Key;
--- a/src/membership/backend_table_base.h
+++ b/src/membership/backend_table_base.h
@@ -18,7 +18,7 @@
 /// The moment of an event on both clocks.
 struct table_time {
   mono_time Now;
-  mono_span Listened; ///< See listening_clock.
+  mono_duration Listened; ///< See listening_clock.
 };
 
 /// One backend server address as this host knows it; kept for good, so that no older life returns.
@@ -26,11 +26,11 @@
   backend_announcement Announcement; ///< The highest incarnation heard of.
   std::uint64_t Sequence{0};         ///< Report at which the announcement last changed.
   backend_load Load;
-  mono_time HeardAt;             ///< When the backend server made that report.
-  mono_span HeardListening{};    ///< The same on the listening clock; expiry counts from here.
-  mono_span QueriedListening{};  ///< When others were last asked for news of it.
-  mono_span ReleasedListening{}; ///< When a report of it last entered the gossip.
-  std::uint32_t DirectRun{0};    ///< Reports in a row that this host heard itself.
+  mono_time HeardAt;                 ///< When the backend server made that report.
+  mono_duration HeardListening{};    ///< The same on the listening clock; expiry counts from here.
+  mono_duration QueriedListening{};  ///< When others were last asked for news of it.
+  mono_duration ReleasedListening{}; ///< When a report of it last entered the gossip.
+  std::uint32_t DirectRun{0};        ///< Reports in a row that this host heard itself.
   bool Lost{false};
   bool Forgotten{false};
 };
@@ -69,16 +69,16 @@
   backend_change merge(const load_digest &Digest, table_time Time);
 
   /// @return Those silent for so long that others should be asked; marks them as asked.
-  std::vector<std::uint64_t> takeDoubtful(mono_span Listened);
+  std::vector<std::uint64_t> takeDoubtful(mono_duration Listened);
   /// Gives up those that stayed silent. @return Their subjects.
-  std::vector<std::uint64_t> expire(mono_span Listened);
+  std::vector<std::uint64_t> expire(mono_duration Listened);
   /// Drops the announcements of those lost for long. @return Their keys.
-  std::vector<backend_key> forget(mono_span Listened);
+  std::vector<backend_key> forget(mono_duration Listened);
 
   /// @return Whether a report heard directly is due to enter the gossip; notes that it did.
-  bool takeRelease(std::uint64_t Subject, mono_span Listened);
+  bool takeRelease(std::uint64_t Subject, mono_duration Listened);
   /// @return Time between two reports of one backend server in the gossip, from the byte budget.
-  [[nodiscard]] mono_span releaseInterval() const;
+  [[nodiscard]] mono_duration releaseInterval() const;
 
   [[nodiscard]] const backend_entry *find(std::uint64_t Subject) const;
   [[nodiscard]] const std::map<std::uint64_t, backend_entry> &entries() const { return Entries; }
@@ -95,8 +95,8 @@
 private:
   backend_entry *admit(std::uint64_t Subject);
   bool evictOne();
-  void replaceLife(std::uint64_t Subject, backend_entry &Entry,
-                   const backend_announcement &Announcement, backend_change &Change);
+  void replaceIncarnation(std::uint64_t Subject, backend_entry &Entry,
+                          const backend_announcement &Announcement, backend_change &Change);
   void rewrite(std::uint64_t Subject, backend_entry &Entry,
                const backend_announcement &Announcement, std::uint64_t Sequence);
   void markLeaving(std::uint64_t Subject, backend_entry &Entry, backend_change &Change);
@@ -106,9 +106,9 @@
                  table_time Time, backend_change &Change);
   void toggleBucket(std::uint64_t Subject, const backend_entry &Entry);
   void dropDigestId(std::uint64_t Subject, const backend_key &Key);
-  [[nodiscard]] bool givenUp(const backend_entry &Entry, mono_span Listened) const;
-  [[nodiscard]] mono_span quietExpiry() const;
-  [[nodiscard]] mono_span patience(const backend_entry &Entry) const;
+  [[nodiscard]] bool givenUp(const backend_entry &Entry, mono_duration Listened) const;
+  [[nodiscard]] mono_duration quietExpiry() const;
+  [[nodiscard]] mono_duration patience(const backend_entry &Entry) const;
 
   membership_settings Settings;
   std::map<std::uint64_t, backend_entry> Entries;
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -33,7 +33,7 @@
 }
 
 void failure_detector::begin(const process_key &Target, std::uint64_t Nonce, mono_time Now) {
-  const auto Patience = static_cast<mono_span::rep>(Health) + 1;
+  const auto Patience = static_cast<mono_duration::rep>(Health) + 1;
   Probe = active_probe{Target, Nonce, Now + Settings.ProbeTimeout * Patience,
                        Now + Settings.ProbeInterval * Patience, false};
   NextProbe = Now + Settings.ProbeInterval;
--- a/src/membership/host_table.cpp
+++ b/src/membership/host_table.cpp
@@ -15,8 +15,8 @@
 bool lives(const host_record &Record) { return Record.Standing <= host_standing::Suspect; }
 
 /// Lifeguard's rule: from the maximum down to the minimum with each independent suspicion.
-mono_span suspicionTime(const membership_settings &Settings, std::size_t Hosts,
-                        std::size_t Accusers) {
+mono_duration suspicionTime(const membership_settings &Settings, std::size_t Hosts,
+                            std::size_t Accusers) {
   const double Scale = std::max(1.0, std::log10(static_cast<double>(Hosts)));
   const double Least = static_cast<double>(Settings.SuspicionMinimum.count()) * Scale;
   const double Most = static_cast<double>(Settings.SuspicionMaximum.count()) * Scale;
@@ -25,7 +25,7 @@
   const auto Needed = static_cast<double>(std::min(ExpectedConfirmations, Possible));
   const double Seen = std::min(static_cast<double>(Accusers), Needed);
   const double Span = Most - (Most - Least) * std::log(Seen + 1.0) / std::log(Needed + 1.0);
-  return mono_span(static_cast<mono_span::rep>(Span));
+  return mono_duration(static_cast<mono_duration::rep>(Span));
 }
 
 } // namespace
@@ -42,7 +42,7 @@
   if (Known) {
     Bucket ^= hashOf(versionOf(Entry.Record));
     Living -= counts(Entry.Record);
-    requireInvariant(Record.Key.Life >= Entry.Record.Key.Life,
+    requireInvariant(Record.Key.Incarnation >= Entry.Record.Key.Incarnation,
                      "no older incarnation of a host replaces a newer one");
   }
   Entry.Record = Record;
@@ -54,7 +54,7 @@
   store(Entries[subjectOf(Record.Key.Host)], Record);
 }
 
-merge_outcome host_table::merge(const host_record &Claim, mono_span Listened) {
+merge_outcome host_table::merge(const host_record &Claim, mono_duration Listened) {
   const std::uint64_t Subject = subjectOf(Claim.Key.Host);
   auto Found = Entries.find(Subject);
   if (Found == Entries.end()) {
@@ -81,7 +81,7 @@
 }
 
 std::vector<host_record> host_table::overdue(const membership_settings &Settings,
-                                             mono_span Listened) const {
+                                             mono_duration Listened) const {
   std::vector<host_record> Overdue;
   for (const auto &[Subject, Entry] : Entries) {
     if (Entry.Record.Standing != host_standing::Suspect)
--- a/src/membership/host_table_base.h
+++ b/src/membership/host_table_base.h
@@ -25,7 +25,7 @@
 struct host_entry {
   host_record Record;
   std::set<host_name> Accusers; ///< Who suspects it, for this refutation number.
-  mono_span SuspectSince{};     ///< On the listening clock.
+  mono_duration SuspectSince{}; ///< On the listening clock.
 };
 
 /**
@@ -41,14 +41,14 @@
    * Merges a claim.
    * @param Listened The listening clock, from which a suspicion's time runs.
    */
-  merge_outcome merge(const host_record &Claim, mono_span Listened);
+  merge_outcome merge(const host_record &Claim, mono_duration Listened);
 
   /// Replaces this process's own record.
   void putSelf(const host_record &Record);
 
   /// @return Hosts whose suspicion has run out, given how many hosts there are.
   [[nodiscard]] std::vector<host_record> overdue(const membership_settings &Settings,
-                                                 mono_span Listened) const;
+                                                 mono_duration Listened) const;
 
   /// @return The entry of a host, or null.
   [[nodiscard]] const host_entry *find(const host_name &Host) const;
--- a/src/membership/listening_clock_type.h
+++ b/src/membership/listening_clock_type.h
@@ -20,7 +20,7 @@
    * @param Pause A longer gap between two calls counts as a pause.
    * @param Hearing Time after the last message during which silence still counts.
    */
-  listening_clock(mono_time Now, mono_span Pause, mono_span Hearing)
+  listening_clock(mono_time Now, mono_duration Pause, mono_duration Hearing)
       : Last(Now), LastHeard(Now), PauseLimit(Pause), HearingLimit(Hearing) {}
 
   /**
@@ -29,7 +29,7 @@
    * @return Whether the process was paused since the call before.
    */
   bool observe(mono_time Now, bool NobodyToHear) {
-    const mono_span Gap = std::max(Now - Last, mono_span::zero());
+    const mono_duration Gap = std::max(Now - Last, mono_duration::zero());
     Last = std::max(Last, Now);
     const bool Paused = Gap > PauseLimit;
     // After a pause nothing was heard for that long without anybody's fault: hearing starts anew.
@@ -44,16 +44,16 @@
   void heard() { LastHeard = Last; }
 
   /// @return Time listened since the start.
-  [[nodiscard]] mono_span listened() const { return Listened; }
+  [[nodiscard]] mono_duration listened() const { return Listened; }
   /// @return The time last observed.
   [[nodiscard]] mono_time now() const { return Last; }
 
 private:
   mono_time Last;
   mono_time LastHeard;
-  mono_span PauseLimit;
-  mono_span HearingLimit;
-  mono_span Listened{};
+  mono_duration PauseLimit;
+  mono_duration HearingLimit;
+  mono_duration Listened{};
 };
 
 } // namespace pollenstall
--- a/src/membership/load_digest.cpp
+++ b/src/membership/load_digest.cpp
@@ -15,7 +15,7 @@
 constexpr std::uint16_t LeavingBit = 0x8000;
 constexpr std::uint16_t LostBit = 0x4000;
 constexpr std::uint16_t AgeMask = 0x3FFF;
-constexpr mono_span AgeStep = std::chrono::milliseconds(50);
+constexpr mono_duration AgeStep = std::chrono::milliseconds(50);
 
 std::uint16_t saturate(std::uint32_t Value) {
   return static_cast<std::uint16_t>(
@@ -52,7 +52,8 @@
 }
 
 std::uint32_t digestId(const backend_key &Key) {
-  return static_cast<std::uint32_t>(mixHash(stableHash(Key.Address.str()), Key.Life.value()));
+  return static_cast<std::uint32_t>(
+      combineHashes(stableHash(Key.Address.str()), Key.Incarnation.value()));
 }
 
 load_digest packLoad(const backend_key &Key, const backend_load &Load, const digest_state &State) {
--- a/src/membership/load_digest_func.h
+++ b/src/membership/load_digest_func.h
@@ -10,7 +10,7 @@
 
 /// Standing and age that travel with a load report.
 struct digest_state {
-  mono_span Age{}; ///< Since the backend server was heard; saturates at 819 s.
+  mono_duration Age{}; ///< Since the backend server was heard; saturates at 819 s.
   bool Leaving{false};
   bool Lost{false};
 };
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -37,8 +37,8 @@
                                mono_time Now) {
   observe(Now);
   if (Message.Sender.Host == Identity.Self.Host) {
-    if (Message.Sender.Life > Identity.Self.Life)
-      Actions.emplace_back(superseded{Message.Sender.Life});
+    if (Message.Sender.Incarnation > Identity.Self.Incarnation)
+      Actions.emplace_back(superseded{Message.Sender.Incarnation});
     return;
   }
   Clock.heard();
@@ -110,7 +110,7 @@
   if (Body.Target.Host != Identity.Self.Host)
     return;
   membership_message Answer = envelope(news{});
-  if (Body.Target.Life == Identity.Self.Life)
+  if (Body.Target.Incarnation == Identity.Self.Incarnation)
     Answer.Body = ping_ack{Body.Nonce, Identity.Self};
   else
     Answer.Hosts.push_back(Hosts.self()); // this process replaced the one that is asked for
@@ -167,11 +167,12 @@
 
 void fleet_membership::refute(const host_record &Claim) {
   host_record Own = Hosts.self();
-  if (Claim.Key.Life > Own.Key.Life) {
-    Actions.emplace_back(superseded{Claim.Key.Life});
+  if (Claim.Key.Incarnation > Own.Key.Incarnation) {
+    Actions.emplace_back(superseded{Claim.Key.Incarnation});
     return;
   }
-  const bool Current = Claim.Key.Life == Own.Key.Life && Claim.Refutation >= Own.Refutation;
+  const bool Current =
+      Claim.Key.Incarnation == Own.Key.Incarnation && Claim.Refutation >= Own.Refutation;
   if (!Current || Claim.Standing == host_standing::Alive || Own.Standing == host_standing::Left)
     return;
   // Somebody got no answer from here, so others may get none either while this host accuses them.
--- a/src/membership/membership_dump.cpp
+++ b/src/membership/membership_dump.cpp
@@ -24,7 +24,7 @@
   return Out.str();
 }
 
-long long milliseconds(mono_span Span) {
+long long milliseconds(mono_duration Span) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(Span).count();
 }
 
@@ -55,14 +55,15 @@
 }
 
 void writeHost(std::ostream &Out, const host_record &Record) {
-  Out << "{\"host\":" << quoted(Record.Key.Host.str()) << ",\"incarnation\":" << Record.Key.Life
+  Out << "{\"host\":" << quoted(Record.Key.Host.str())
+      << ",\"incarnation\":" << Record.Key.Incarnation
       << ",\"domain\":" << quoted(Record.Domain.str()) << ",\"standing\":\""
       << name(Record.Standing) << "\",\"refutation\":" << Record.Refutation << "}";
 }
 
 void writeBackend(std::ostream &Out, const backend_view &View, mono_time Now) {
   Out << "{\"address\":" << quoted(View.Announcement.Key.Address.str())
-      << ",\"incarnation\":" << View.Announcement.Key.Life
+      << ",\"incarnation\":" << View.Announcement.Key.Incarnation
       << ",\"service\":" << quoted(View.Announcement.Service.str())
       << ",\"domain\":" << quoted(View.Announcement.Domain.str()) << ",\"standing\":\""
       << name(View.Standing) << "\",\"report\":" << View.Load.Sequence
@@ -75,7 +76,7 @@
 std::string fleet_membership::dump() const {
   std::ostringstream Out;
   Out << "{\"self\":" << quoted(Identity.Self.Host.str())
-      << ",\"incarnation\":" << Identity.Self.Life
+      << ",\"incarnation\":" << Identity.Self.Incarnation
       << ",\"fresh_ms\":" << milliseconds(FreshUntil - Clock.now())
       << ",\"resyncing\":" << (Resyncing ? "true" : "false")
       << ",\"local_health\":" << Detector.localHealth() << ",\"news\":" << News.size()
--- a/src/membership/membership_gossip.cpp
+++ b/src/membership/membership_gossip.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr mono_span UrgentSpacing = std::chrono::milliseconds(40);
+constexpr mono_duration UrgentSpacing = std::chrono::milliseconds(40);
 constexpr std::size_t NewsBacklog = 64; // beyond it anti-entropy is cheaper than gossip
 
 } // namespace
--- a/src/membership/membership_message_type.h
+++ b/src/membership/membership_message_type.h
@@ -89,7 +89,7 @@
 /// Version of one record, comparable with the version another host holds.
 struct subject_version {
   std::uint64_t Subject{0}; ///< Hash of the host's name or the backend server's address.
-  std::uint64_t Life{0};
+  std::uint64_t Incarnation{0};
   std::uint64_t Version{0};
 
   bool operator==(const subject_version &) const = default;
--- a/src/membership/membership_probe.cpp
+++ b/src/membership/membership_probe.cpp
@@ -5,7 +5,8 @@
 
 namespace {
 
-constexpr mono_span ProofLife = std::chrono::seconds(5); // an answer later than this proves nothing
+constexpr mono_duration ProofLifetime =
+    std::chrono::seconds(5); // an answer later than this proves nothing
 
 } // namespace
 
@@ -68,7 +69,8 @@
 
 void fleet_membership::keepContact() {
   const mono_time Now = Clock.now();
-  std::erase_if(ProofNonces, [Now](const auto &Proof) { return Now - Proof.second > ProofLife; });
+  std::erase_if(ProofNonces,
+                [Now](const auto &Proof) { return Now - Proof.second > ProofLifetime; });
   if (!alone()) {
     askForProof();
     return;
--- a/src/membership/membership_settings_type.h
+++ b/src/membership/membership_settings_type.h
@@ -14,21 +14,24 @@
 struct membership_settings {
   using ms = std::chrono::milliseconds;
 
-  mono_span ProbeInterval{ms(1000)};    ///< One host is probed in each.
-  mono_span ProbeTimeout{ms(300)};      ///< Without an answer by then, others are asked to try.
-  mono_span SuspicionMinimum{ms(2000)}; ///< To refute, where several hosts suspect independently.
-  mono_span SuspicionMaximum{ms(6000)}; ///< To refute, where one host alone suspects.
-  mono_span GossipInterval{ms(250)};    ///< Between rounds of news; also the longest sleep.
-  mono_span SyncInterval{ms(5000)};     ///< Between anti-entropy exchanges.
-  mono_span ResyncInterval{ms(200)};    ///< Between exchanges while the views are not fresh.
-  mono_span AnnouncementInterval{ms(1000)}; ///< Backend servers' own.
-  mono_span BackendExpiry{ms(5000)}; ///< Silence after which the host that heard it gives it up.
-  mono_span QueryGrace{ms(2000)};    ///< Time for others to contradict before it is given up.
-  mono_span ForgetAfter{std::chrono::minutes(10)}; ///< A lost one's announcement is dropped then.
-  mono_span PauseLimit{ms(750)};          ///< A longer gap between calls means: was not running.
-  mono_span HearingLimit{ms(3000)};       ///< Without any message for this long: cannot hear.
-  mono_span FreshSpan{ms(2000)};          ///< How long one proof of contact keeps the views fresh.
-  mono_span StartGrace{ms(3000)};         ///< Without any answer for this long: alone.
+  mono_duration ProbeInterval{ms(1000)}; ///< One host is probed in each.
+  mono_duration ProbeTimeout{ms(300)};   ///< Without an answer by then, others are asked to try.
+  mono_duration SuspicionMinimum{
+      ms(2000)}; ///< To refute, where several hosts suspect independently.
+  mono_duration SuspicionMaximum{ms(6000)}; ///< To refute, where one host alone suspects.
+  mono_duration GossipInterval{ms(250)};    ///< Between rounds of news; also the longest sleep.
+  mono_duration SyncInterval{ms(5000)};     ///< Between anti-entropy exchanges.
+  mono_duration ResyncInterval{ms(200)};    ///< Between exchanges while the views are not fresh.
+  mono_duration AnnouncementInterval{ms(1000)}; ///< Backend servers' own.
+  mono_duration BackendExpiry{
+      ms(5000)};                      ///< Silence after which the host that heard it gives it up.
+  mono_duration QueryGrace{ms(2000)}; ///< Time for others to contradict before it is given up.
+  mono_duration ForgetAfter{
+      std::chrono::minutes(10)};          ///< A lost one's announcement is dropped then.
+  mono_duration PauseLimit{ms(750)};      ///< A longer gap between calls means: was not running.
+  mono_duration HearingLimit{ms(3000)};   ///< Without any message for this long: cannot hear.
+  mono_duration FreshSpan{ms(2000)};      ///< How long one proof of contact keeps the views fresh.
+  mono_duration StartGrace{ms(3000)};     ///< Without any answer for this long: alone.
   std::uint32_t LoadBytesPerSecond{6500}; ///< For load digests, packet headers included.
   std::uint32_t Fanout{3};                ///< Hosts that one round of news goes to.
   std::uint32_t IndirectProbes{3};        ///< Hosts asked to try.
--- a/src/membership/membership_sync.cpp
+++ b/src/membership/membership_sync.cpp
@@ -11,15 +11,15 @@
 constexpr std::size_t VersionsPerAnswer = 40; // fits a datagram
 constexpr std::size_t AnswersPerRequest = 4;
 constexpr std::uint64_t StrangerChance = 4; // one sync in four also goes to a host thought dead
-constexpr mono_span DifferingInterval = std::chrono::seconds(1);
-constexpr mono_span LonelyInterval = std::chrono::seconds(1);
+constexpr mono_duration DifferingInterval = std::chrono::seconds(1);
+constexpr mono_duration LonelyInterval = std::chrono::seconds(1);
 
 constexpr std::uint64_t bit(std::size_t Bucket) { return 1ULL << Bucket; }
 
 } // namespace
 
 void fleet_membership::sync() {
-  mono_span Interval = Settings.SyncInterval * (75 + Random.below(50)) / 100;
+  mono_duration Interval = Settings.SyncInterval * (75 + Random.below(50)) / 100;
   if (Differed)
     Interval = DifferingInterval;
   if (alone())
--- a/src/membership/record.cpp
+++ b/src/membership/record.cpp
@@ -65,11 +65,11 @@
 } // namespace
 
 std::uint64_t subjectOf(const host_name &Host) {
-  return mixHash(stableHash(Host.str()), 0) | HostKind;
+  return combineHashes(stableHash(Host.str()), 0) | HostKind;
 }
 
 std::uint64_t subjectOf(const backend_address &Address) {
-  return mixHash(stableHash(Address.str()), 0) & ~HostKind;
+  return combineHashes(stableHash(Address.str()), 0) & ~HostKind;
 }
 
 bool isHost(std::uint64_t Subject) { return (Subject & HostKind) != 0; }
@@ -82,21 +82,21 @@
   const std::uint64_t Refuted = static_cast<std::uint64_t>(Record.Refutation) << StandingBits;
   const bool Left = Record.Standing == host_standing::Left;
   const std::uint64_t Version = Refuted + static_cast<std::uint64_t>(Record.Standing);
-  return {subjectOf(Record.Key.Host), Record.Key.Life.value(),
+  return {subjectOf(Record.Key.Host), Record.Key.Incarnation.value(),
           Left ? LeavingVersion | Version : Version};
 }
 
 subject_version versionOf(const backend_announcement &Announcement, std::uint64_t Sequence) {
-  return {subjectOf(Announcement.Key.Address), Announcement.Key.Life.value(),
+  return {subjectOf(Announcement.Key.Address), Announcement.Key.Incarnation.value(),
           Announcement.Leaving ? LeavingVersion | Sequence : Sequence};
 }
 
 bool newerThan(const subject_version &A, const subject_version &B) {
-  return std::tie(A.Life, A.Version) > std::tie(B.Life, B.Version);
+  return std::tie(A.Incarnation, A.Version) > std::tie(B.Incarnation, B.Version);
 }
 
 std::uint64_t hashOf(const subject_version &Version) {
-  return mixHash(Version.Subject, mixHash(Version.Life, Version.Version));
+  return combineHashes(Version.Subject, combineHashes(Version.Incarnation, Version.Version));
 }
 
 std::size_t wireBytes(const host_record &Record) {
--- a/src/order/leader_order_gate_base.h
+++ b/src/order/leader_order_gate_base.h
@@ -14,13 +14,13 @@
 struct order_gate_times {
   /// From the check to the order's effect: connect, write, and what TCP_USER_TIMEOUT lets a
   /// kernel hold back.
-  mono_span LongestUnderWay{std::chrono::milliseconds(400)};
+  mono_duration LongestUnderWay{std::chrono::milliseconds(400)};
   /// What the lease must outlast an order by; at least LongestUnderWay.
-  mono_span LeaseMargin{std::chrono::milliseconds(400)};
+  mono_duration LeaseMargin{std::chrono::milliseconds(400)};
   /// How long a new leader sends nothing; at least LongestUnderWay.
-  mono_span SuccessorWait{std::chrono::milliseconds(400)};
+  mono_duration SuccessorWait{std::chrono::milliseconds(400)};
   /// A larger step between two looks at the clock is a jump.
-  mono_span MaxClockStep{std::chrono::milliseconds(500)};
+  mono_duration MaxClockStep{std::chrono::milliseconds(500)};
 };
 
 /**
--- a/src/order/load_budget.cpp
+++ b/src/order/load_budget.cpp
@@ -13,7 +13,8 @@
 
 double load_budget::tokensAt(mono_time Now) const {
   using minutes = std::chrono::duration<double, std::ratio<60>>;
-  const double Refilled = minutes(std::max(Now - Counted, mono_span{})).count() * Limits.PerMinute;
+  const double Refilled =
+      minutes(std::max(Now - Counted, mono_duration{})).count() * Limits.PerMinute;
   return std::min(Tokens + Refilled, static_cast<double>(Limits.AtOnce));
 }
 
--- a/src/order/order_planner.cpp
+++ b/src/order/order_planner.cpp
@@ -23,7 +23,7 @@
 
 /// Rendezvous hashing: an engine that comes or goes moves only its own copies.
 std::uint64_t rank(const engine_state &Engine, const model_copy &Copy) {
-  return mixHash(stableHash(Engine.Key.Address.str()), stableHash(Copy.Model.str()));
+  return combineHashes(stableHash(Engine.Key.Address.str()), stableHash(Copy.Model.str()));
 }
 
 bool isNarrower(const placement &A, const placement &B) {
@@ -33,7 +33,7 @@
 
 } // namespace
 
-void order_planner::takeOffice(fencing_number First, mono_time Now) {
+void order_planner::takeOffice(fencing_token First, mono_time Now) {
   OfficeFence = First;
   Engines.clear();
   Counts = {};
@@ -51,14 +51,14 @@
   if (New)
     Known.Since = Now;
   const std::set<model_copy> Loaded = std::move(Known.State.Loaded);
-  const fencing_number Fence = Known.State.Fence;
+  const fencing_token Fence = Known.State.Fence;
   Known.State = Engine;
   Known.State.Loaded = Loaded;
   Known.State.Fence = Fence;
 }
 
 void order_planner::observed(const backend_key &Engine, std::set<model_copy> Loaded,
-                             fencing_number Fence, mono_time Asked) {
+                             fencing_token Fence, mono_time Asked) {
   const auto Found = Engines.find(Engine);
   if (Found == Engines.end() || Found->second.Busy)
     return; // An answer that crossed an order shows neither the state before nor that after it.
--- a/src/order/order_planner_base.h
+++ b/src/order/order_planner_base.h
@@ -15,11 +15,12 @@
 /// Bounds of the planner.
 struct order_planner_limits {
   load_budget_limits Loads;
-  mono_span LoadTimeout{std::chrono::minutes(10)}; ///< A load not seen done by then is repeated.
-  mono_span RetryAfter{std::chrono::seconds(5)};   ///< After a refusal or a lost answer.
-  mono_span MaxStateAge{std::chrono::seconds(10)}; ///< An older state proves no copy ready.
+  mono_duration LoadTimeout{
+      std::chrono::minutes(10)};                     ///< A load not seen done by then is repeated.
+  mono_duration RetryAfter{std::chrono::seconds(5)}; ///< After a refusal or a lost answer.
+  mono_duration MaxStateAge{std::chrono::seconds(10)}; ///< An older state proves no copy ready.
   /// An engine whose state cannot be read holds up its group's placement for so long.
-  mono_span ReadPatience{std::chrono::seconds(10)};
+  mono_duration ReadPatience{std::chrono::seconds(10)};
 };
 
 /// For status pages.
@@ -45,7 +46,7 @@
 
   /// A new office: everything has to be observed anew.
   /// @param First A number taken in this office, above all of earlier leaders' orders.
-  void takeOffice(fencing_number First, mono_time Now);
+  void takeOffice(fencing_token First, mono_time Now);
 
   void declare(std::vector<placement> Placements);
 
@@ -54,7 +55,7 @@
   void announced(const engine_state &Engine, mono_time Now);
 
   /// An engine's real state was read, and the gate counts it. @param Asked When it was asked for.
-  void observed(const backend_key &Engine, std::set<model_copy> Loaded, fencing_number Fence,
+  void observed(const backend_key &Engine, std::set<model_copy> Loaded, fencing_token Fence,
                 mono_time Asked);
 
   void forget(const backend_key &Engine);
@@ -102,7 +103,7 @@
   load_budget Budget;
   std::vector<placement> Placements;
   std::map<backend_key, known_engine> Engines;
-  fencing_number OfficeFence;
+  fencing_token OfficeFence;
   order_counts Counts;
 };
 
--- a/src/order/order_type.h
+++ b/src/order/order_type.h
@@ -51,7 +51,7 @@
   order_check Orders{order_check::None};
   bool Leaving{false};
   std::set<model_copy> Loaded;
-  fencing_number Fence; ///< Highest it has seen; 0 where it does not check.
+  fencing_token Fence; ///< Highest it has seen; 0 where it does not check.
 };
 
 enum class order_kind : std::uint8_t {
--- a/src/order_link/engine_call.cpp
+++ b/src/order_link/engine_call.cpp
@@ -115,10 +115,10 @@
   if (Models == nullptr || !Models->is_array())
     return engine_call_error::Malformed;
   const auto Fence = numberIn(*Object, "fence");
-  const auto Life = numberIn(*Object, "incarnation");
-  if (!Fence || !Life)
+  const auto Incarnation = numberIn(*Object, "incarnation");
+  if (!Fence || !Incarnation)
     return engine_call_error::Malformed;
-  engine_report Report{{}, fencing_number(*Fence), incarnation(*Life)};
+  engine_report Report{{}, fencing_token(*Fence), incarnation(*Incarnation)};
   for (const json::value &Model : Models->get_array()) {
     if (!Model.is_string())
       return engine_call_error::Malformed;
@@ -138,7 +138,7 @@
   return engineReportFrom(Connection.answer().body());
 }
 
-std::string orderBody(const planned_order &Order, fencing_number Fence) {
+std::string orderBody(const planned_order &Order, fencing_token Fence) {
   const bool Unloads = Order.Kind == order_kind::Unload;
   return json::serialize(json::object{{"fence", Fence.value()},
                                       {"order", Unloads ? "unload" : "load"},
@@ -146,7 +146,7 @@
                                       {"version", Order.Copy.Version.str()}});
 }
 
-order_outcome sendOrder(const planned_order &Order, fencing_number Fence,
+order_outcome sendOrder(const planned_order &Order, fencing_token Fence,
                         const engine_call_times &Times, const std::function<bool()> &MayWrite) {
   const backend_address &Engine = Order.Engine.Address;
   engine_connection Connection(Times);
--- a/src/order_link/engine_call_func.h
+++ b/src/order_link/engine_call_func.h
@@ -17,13 +17,13 @@
 result<engine_report, engine_call_error> engineReportFrom(std::string_view Body);
 
 /// @return The body of POST /v1/orders.
-std::string orderBody(const planned_order &Order, fencing_number Fence);
+std::string orderBody(const planned_order &Order, fencing_token Fence);
 
 /**
  * Sends one order; waits.
  * @param MayWrite Asked once connected, right before the write; false sends nothing.
  */
-order_outcome sendOrder(const planned_order &Order, fencing_number Fence,
+order_outcome sendOrder(const planned_order &Order, fencing_token Fence,
                         const engine_call_times &Times, const std::function<bool()> &MayWrite);
 
 } // namespace pollenstall
--- a/src/order_link/order_duty.cpp
+++ b/src/order_link/order_duty.cpp
@@ -140,7 +140,7 @@
   if (!look() || Lease.Term != Office || !succeeded(Report))
     return;
   engine_report &Seen = valueOf(Report);
-  if (Seen.Life == Engine.Life && Gate.stateRead(Engine, Asked))
+  if (Seen.Incarnation == Engine.Incarnation && Gate.stateRead(Engine, Asked))
     Planner.observed(Engine, std::move(Seen.Loaded), Seen.Fence, Asked);
 }
 
--- a/src/order_link/order_link_type.h
+++ b/src/order_link/order_link_type.h
@@ -24,8 +24,8 @@
 /// What GET /v1/state says.
 struct engine_report {
   std::set<model_copy> Loaded;
-  fencing_number Fence;
-  incarnation Life;
+  fencing_token Fence;
+  incarnation Incarnation;
 };
 
 /// Why an engine's state is not known.
@@ -62,7 +62,7 @@
 struct order_duty_hooks {
   std::function<leader_lease()> Lease; ///< As of this moment.
   /// Takes a number through the log; waits. Nothing where this host does not lead.
-  std::function<std::optional<fencing_number>()> TakeFence;
+  std::function<std::optional<fencing_token>()> TakeFence;
   /// The declared placements; nothing where the declaration cannot be read.
   std::function<std::optional<std::vector<placement>>()> Placements;
   std::shared_ptr<order_board> Board;
--- a/src/orphan/orphan_patrol.cpp
+++ b/src/orphan/orphan_patrol.cpp
@@ -7,10 +7,10 @@
 
 void orphan_patrol::noteHost(const host_view &View, mono_time Now) {
   const auto Found = Hosts.find(View.Key.Host);
-  const bool Same = Found != Hosts.end() && Found->second.Life == View.Key.Life &&
+  const bool Same = Found != Hosts.end() && Found->second.Incarnation == View.Key.Incarnation &&
                     Found->second.Standing == View.Standing;
   if (!Same)
-    Hosts.insert_or_assign(View.Key.Host, known_host{View.Key.Life, View.Standing, Now});
+    Hosts.insert_or_assign(View.Key.Host, known_host{View.Key.Incarnation, View.Standing, Now});
 }
 
 void orphan_patrol::noteBackend(const backend_announcement &Announcement) {
@@ -50,9 +50,11 @@
   return Next;
 }
 
-bool orphan_patrol::ownerIsOver(const known_host &Host, incarnation Life, mono_time Now) const {
-  if (Life != Host.Life)
-    return Life < Host.Life; // A newer life answers under the name: the old one is gone.
+bool orphan_patrol::ownerIsOver(const known_host &Host, incarnation Incarnation,
+                                mono_time Now) const {
+  if (Incarnation != Host.Incarnation)
+    return Incarnation <
+           Host.Incarnation; // A newer life answers under the name: the old one is gone.
   if (Host.Standing == host_standing::Left)
     return true;
   return Host.Standing == host_standing::Dead && Now - Host.Since >= Settings.DeadGrace;
@@ -68,12 +70,12 @@
 bool orphan_patrol::isOrphan(const attempt_id &Attempt, mono_time Now) {
   const process_key &Owner = Attempt.Owner;
   if (Owner.Host == Self.Host)
-    return Owner.Life < Self.Life;
+    return Owner.Incarnation < Self.Incarnation;
   const auto Host = Hosts.find(Owner.Host);
   if (Host == Hosts.end())
     return unknownForLong(Owner, Now);
   Unknown.erase(Owner);
-  return ownerIsOver(Host->second, Owner.Life, Now);
+  return ownerIsOver(Host->second, Owner.Incarnation, Now);
 }
 
 } // namespace pollenstall
--- a/src/orphan/orphan_patrol_base.h
+++ b/src/orphan/orphan_patrol_base.h
@@ -14,14 +14,14 @@
 
 /// How patient the patrol is.
 struct orphan_settings {
-  mono_span Interval{std::chrono::seconds(5)}; ///< Between two looks at an engine.
+  mono_duration Interval{std::chrono::seconds(5)}; ///< Between two looks at an engine.
   /**
    * A host must have counted as dead for so long. It may only be cut off from the other hosts and
    * still be serving; cutting its streams would be right ("unknown") but needless.
    */
-  mono_span DeadGrace{std::chrono::seconds(60)};
+  mono_duration DeadGrace{std::chrono::seconds(60)};
   /// A host that nobody has told of for so long since its attempt was first seen.
-  mono_span UnknownGrace{std::chrono::minutes(5)};
+  mono_duration UnknownGrace{std::chrono::minutes(5)};
   std::size_t MaxUnknown{1024}; ///< Unknown owners remembered.
 };
 
@@ -52,13 +52,14 @@
 
 private:
   struct known_host {
-    incarnation Life;
+    incarnation Incarnation;
     host_standing Standing{host_standing::Alive};
     mono_time Since; ///< Of the standing.
   };
 
   [[nodiscard]] bool isMine(const backend_key &Backend) const;
-  [[nodiscard]] bool ownerIsOver(const known_host &Host, incarnation Life, mono_time Now) const;
+  [[nodiscard]] bool ownerIsOver(const known_host &Host, incarnation Incarnation,
+                                 mono_time Now) const;
   bool unknownForLong(const process_key &Owner, mono_time Now);
 
   process_key Self;
--- a/src/packed_text/packed_text.cpp
+++ b/src/packed_text/packed_text.cpp
@@ -10,26 +10,26 @@
 packed_text pack(std::string_view Text) {
   packed_text Packed{static_cast<std::uint32_t>(Text.size()), std::string()};
   uLongf Length = compressBound(static_cast<uLong>(Text.size()));
-  Packed.Bytes.resize(Length);
-  const int Result = compress2(reinterpret_cast<Bytef *>(Packed.Bytes.data()), &Length,
+  Packed.Compressed.resize(Length);
+  const int Result = compress2(reinterpret_cast<Bytef *>(Packed.Compressed.data()), &Length,
                                reinterpret_cast<const Bytef *>(Text.data()),
                                static_cast<uLong>(Text.size()), Z_BEST_SPEED);
   requireInvariant(Result == Z_OK, "a text always fits into compressBound() bytes");
-  Packed.Bytes.resize(Length);
+  Packed.Compressed.resize(Length);
   return Packed;
 }
 
 std::optional<std::string> unpack(const packed_text &Packed, std::size_t MostBytes) {
-  if (Packed.Size > MostBytes)
+  if (Packed.UncompressedSize > MostBytes)
     return std::nullopt;
-  std::string Text(Packed.Size, '\0');
-  uLongf Length = Packed.Size;
+  std::string Text(Packed.UncompressedSize, '\0');
+  uLongf Length = Packed.UncompressedSize;
   // zlib takes no null pointer, also where there is nothing to write.
   Bytef Nothing = 0;
   const int Result = uncompress(Text.empty() ? &Nothing : reinterpret_cast<Bytef *>(Text.data()),
-                                &Length, reinterpret_cast<const Bytef *>(Packed.Bytes.data()),
-                                static_cast<uLong>(Packed.Bytes.size()));
-  if (Result != Z_OK || Length != Packed.Size)
+                                &Length, reinterpret_cast<const Bytef *>(Packed.Compressed.data()),
+                                static_cast<uLong>(Packed.Compressed.size()));
+  if (Result != Z_OK || Length != Packed.UncompressedSize)
     return std::nullopt;
   return Text;
 }
--- a/src/packed_text/packed_text_type.h
+++ b/src/packed_text/packed_text_type.h
@@ -9,8 +9,8 @@
 
 /// Text in the zlib format (RFC 1950). Declarations repeat their words in every route.
 struct packed_text {
-  std::uint32_t Size{0}; ///< Bytes of the text.
-  std::string Bytes;
+  std::uint32_t UncompressedSize{0}; ///< Bytes of the text.
+  std::string Compressed;
 
   bool operator==(const packed_text &) const = default;
 };
--- a/src/placement/engine_state.cpp
+++ b/src/placement/engine_state.cpp
@@ -11,12 +11,12 @@
 }
 
 bool engine_state::readBefore(std::uint32_t Precedence, double MoreThanMs, mono_time Now,
-                              mono_span Silence) const {
+                              mono_duration Silence) const {
   return Others.FirstReader != 0 && Others.FirstReader < Precedence &&
          othersWork(Now, Silence).ReadMs > MoreThanMs;
 }
 
-engine_view engine_state::othersWork(mono_time Now, mono_span Silence) const {
+engine_view engine_state::othersWork(mono_time Now, mono_duration Silence) const {
   engine_view View;
   if (OthersHeard == mono_time::min() || Now - OthersHeard > Silence)
     return View;
@@ -34,7 +34,7 @@
   if (Now < PausedUntil)
     return;
   constexpr std::uint32_t MostDoublings = 6;
-  const mono_span Pause = Tuning.FailurePause * (1U << std::min(Failures, MostDoublings));
+  const mono_duration Pause = Tuning.FailurePause * (1U << std::min(Failures, MostDoublings));
   PausedUntil = Now + std::min(Pause, Tuning.LongestPause);
   ++Failures;
 }
--- a/src/placement/engine_state_base.h
+++ b/src/placement/engine_state_base.h
@@ -36,12 +36,12 @@
 
   /// @return The work of other entries, unless nothing was heard of it lately. Reading that was
   /// told of has gone on.
-  [[nodiscard]] engine_view othersWork(mono_time Now, mono_span Silence) const;
+  [[nodiscard]] engine_view othersWork(mono_time Now, mono_duration Silence) const;
 
   /// @return Whether an entry that goes before the one with this precedence has more than this to
   /// read here.
   [[nodiscard]] bool readBefore(std::uint32_t Precedence, double MoreThanMs, mono_time Now,
-                                mono_span Silence) const;
+                                mono_duration Silence) const;
 
   /// An attempt failed for a reason that is the server's.
   void noteFailure(const placement_tuning &Tuning, mono_time Now);
--- a/src/placement/millis_func.h
+++ b/src/placement/millis_func.h
@@ -13,8 +13,9 @@
   return std::chrono::duration<double, std::milli>(Then - Now).count();
 }
 
-inline mono_span spanOf(double Millis) {
-  return std::chrono::duration_cast<mono_span>(std::chrono::duration<double, std::milli>(Millis));
+inline mono_duration spanOf(double Millis) {
+  return std::chrono::duration_cast<mono_duration>(
+      std::chrono::duration<double, std::milli>(Millis));
 }
 
 } // namespace pollenstall
--- a/src/placement/placement_type.h
+++ b/src/placement/placement_type.h
@@ -14,7 +14,7 @@
 
 /// What entries have under way at one backend server: one of them, or several together.
 struct work_load {
-  incarnation Life;          ///< Of the backend server.
+  incarnation Incarnation;   ///< Of the backend server.
   std::uint32_t Requests{0}; ///< Started and not ended.
   std::uint32_t Writers{0};  ///< Of these, those that have answered.
   std::uint32_t ReadMs{0};   ///< Reading that is still to be done there, parts of others' included.
@@ -39,17 +39,17 @@
 work_load operator+(work_load A, const work_load &B);
 
 /// @return What is left of it after so long: what is read goes on, the rest stays.
-work_load after(work_load Load, mono_span Passed);
+work_load after(work_load Load, mono_duration Passed);
 
 /// How entries tell each other of their work, as far as placement depends on it.
 struct exchange_facts {
   std::size_t Entries{1}; ///< That place work, this one included.
-  mono_span Age{0};       ///< From a choice until the others know of it, on the average.
+  mono_duration Age{0};   ///< From a choice until the others know of it, on the average.
   /// So long an entry holds its choice for a long prompt back after it has told it: two entries
   /// that see an engine become free in the same moment would both read there, and the part that
   /// came first would be done last, seconds late. The way to the farthest entry at least; the
   /// longer it is, the more claims meet and give way again.
-  mono_span ClaimSpan{std::chrono::milliseconds(6)};
+  mono_duration ClaimSpan{std::chrono::milliseconds(6)};
 };
 
 /// Milliseconds unless said otherwise.
@@ -92,16 +92,16 @@
   /// 195 entries 46 in 100 short prompts began within 20 ms of another one at the same engine.
   double ChoicesPerUnknown{2.0};
   /// Over which the rate of requests is averaged.
-  mono_span RateSpan{std::chrono::seconds(2)};
-  std::uint32_t MostReaders{17};                         ///< Of one prompt, the first one included.
-  mono_span PollInterval{std::chrono::milliseconds(10)}; ///< While work waits.
-  mono_span PeerSilence{std::chrono::seconds(1)};        ///< A peer's loads count no longer.
-  mono_span FailurePause{std::chrono::milliseconds(500)}; ///< After a failure; doubles.
-  mono_span LongestPause{std::chrono::seconds(8)};
+  mono_duration RateSpan{std::chrono::seconds(2)};
+  std::uint32_t MostReaders{17}; ///< Of one prompt, the first one included.
+  mono_duration PollInterval{std::chrono::milliseconds(10)};  ///< While work waits.
+  mono_duration PeerSilence{std::chrono::seconds(1)};         ///< A peer's loads count no longer.
+  mono_duration FailurePause{std::chrono::milliseconds(500)}; ///< After a failure; doubles.
+  mono_duration LongestPause{std::chrono::seconds(8)};
   /// After a pause one request tries a server, and no other for so long unless it answers. A server
   /// that is dark seems free of work: all that came in the time until the next failure was seen
   /// (0.3 s to connect, 1.2 s without an answer) was lost to it, again after each pause.
-  mono_span TrialSpan{std::chrono::milliseconds(1500)};
+  mono_duration TrialSpan{std::chrono::milliseconds(1500)};
   /// Part of the time limit after which work that waits is refused, so that its caller can come
   /// back.
   double WaitPart{0.3};
--- a/src/placement/placer.cpp
+++ b/src/placement/placer.cpp
@@ -19,8 +19,8 @@
 } // namespace
 
 placer::placer(const host_name &Host, std::uint64_t Seed, const placement_tuning &Values)
-    : Precedence(precedenceOf(Host)), Random(mixHash(Seed, stableHash(Host.str()))), Tuning(Values),
-      Rate(Values.RateSpan) {}
+    : Precedence(precedenceOf(Host)), Random(combineHashes(Seed, stableHash(Host.str()))),
+      Tuning(Values), Rate(Values.RateSpan) {}
 
 void placer::applyDeclaration(const fleet_declaration &Declaration) {
   Services.clear();
@@ -32,23 +32,23 @@
   const auto [Known, Fresh] = Engines.try_emplace(Listing.Key, Listing);
   if (!Fresh)
     Known->second.update(Listing);
-  EnginesByLife[Listing.Key.Life] = &Known->second;
+  EnginesByIncarnation[Listing.Key.Incarnation] = &Known->second;
 }
 
 void placer::removeBackend(const backend_key &Backend) {
   const auto Known = Engines.find(Backend);
   if (Known == Engines.end())
     return;
-  const auto ByLife = EnginesByLife.find(Backend.Life);
-  if (ByLife != EnginesByLife.end() && ByLife->second == &Known->second)
-    EnginesByLife.erase(ByLife);
+  const auto ByIncarnation = EnginesByIncarnation.find(Backend.Incarnation);
+  if (ByIncarnation != EnginesByIncarnation.end() && ByIncarnation->second == &Known->second)
+    EnginesByIncarnation.erase(ByIncarnation);
   Engines.erase(Known);
 }
 
 void placer::takeOthersLoads(const std::vector<work_load> &Loads, mono_time Now) {
   for (const work_load &Load : Loads) {
-    const auto Found = EnginesByLife.find(Load.Life);
-    if (Found == EnginesByLife.end())
+    const auto Found = EnginesByIncarnation.find(Load.Incarnation);
+    if (Found == EnginesByIncarnation.end())
       continue;
     // What ended meanwhile hides as many that began: the rate is a little low under load.
     const std::uint32_t Before = Found->second->othersWork(Now, Tuning.PeerSilence).Requests;
--- a/src/placement/placer_base.h
+++ b/src/placement/placer_base.h
@@ -164,7 +164,7 @@
   placement_tuning Tuning;
   std::map<service_name, service_declaration> Services;
   std::map<backend_key, engine_state> Engines;
-  std::unordered_map<incarnation, engine_state *> EnginesByLife; ///< Into Engines.
+  std::unordered_map<incarnation, engine_state *> EnginesByIncarnation; ///< Into Engines.
   std::map<request_number, waiting_work> Waiting;
   std::map<request_number, claimed_work> Claimed;
   std::uint64_t ClaimsMade{0};
--- a/src/placement/placer_work.cpp
+++ b/src/placement/placer_work.cpp
@@ -13,7 +13,7 @@
 constexpr double OverduePart = 0.25;
 /// A connection that is refused fails within that, and shows that the server's host was reached;
 /// one that meets silence fails at the connect timeout.
-constexpr mono_span RefusedWithin = std::chrono::milliseconds(100);
+constexpr mono_duration RefusedWithin = std::chrono::milliseconds(100);
 
 } // namespace
 
@@ -61,7 +61,7 @@
   std::vector<work_load> Loads;
   for (const auto &[Backend, View] : ownWork(Now)) {
     work_load Load;
-    Load.Life = Backend.Life;
+    Load.Incarnation = Backend.Incarnation;
     Load.Requests = View.Requests;
     Load.Writers = View.Writers;
     Load.ReadMs = static_cast<std::uint32_t>(View.ReadMs);
--- a/src/placement/reach_watch_base.h
+++ b/src/placement/reach_watch_base.h
@@ -33,10 +33,10 @@
 private:
   /// Failures that are further apart have nothing to do with each other. Where two fifths of all
   /// servers lose their links four in a row are met twice in a hundred times.
-  static constexpr mono_span Spell = std::chrono::seconds(3);
+  static constexpr mono_duration Spell = std::chrono::seconds(3);
   static constexpr std::size_t LeastServers = 4;
   static constexpr std::size_t LeastDomains = 2;
-  static constexpr mono_span TryInterval = std::chrono::milliseconds(300);
+  static constexpr mono_duration TryInterval = std::chrono::milliseconds(300);
 
   struct failure {
     backend_key Backend;
--- a/src/placement/work_load.cpp
+++ b/src/placement/work_load.cpp
@@ -31,7 +31,7 @@
   return A;
 }
 
-work_load after(work_load Load, mono_span Passed) {
+work_load after(work_load Load, mono_duration Passed) {
   const double Left = Load.ReadMs - millisUntil(mono_time(Passed), mono_time());
   Load.ReadMs = static_cast<std::uint32_t>(std::max(0.0, Left));
   return Load;
--- a/src/relay/attempt_list.cpp
+++ b/src/relay/attempt_list.cpp
@@ -20,7 +20,7 @@
   const json::value *State = Object ? Object->if_contains("state") : nullptr;
   if (!Name || !Name->is_string() || (State && State->is_string() && *State == "finished"))
     return std::nullopt;
-  return attemptFromText({Name->get_string().data(), Name->get_string().size()});
+  return parseAttemptId({Name->get_string().data(), Name->get_string().size()});
 }
 
 } // namespace
--- a/src/relay/backend_exchange_stream.cpp
+++ b/src/relay/backend_exchange_stream.cpp
@@ -21,8 +21,9 @@
   const std::chrono::milliseconds Gap = Call->Facts.LongestGap;
   if (!Order.MayRetry || !Call->Facts.Resumable || Gap.count() == 0)
     return;
-  Link->expireAt(std::min(boot_clock::now() + std::max<mono_span>(LeastSilence, Gap * SilentGaps),
-                          Call->Facts.Deadline + DeadlineGrace));
+  Link->expireAt(
+      std::min(boot_clock::now() + std::max<mono_duration>(LeastSilence, Gap * SilentGaps),
+               Call->Facts.Deadline + DeadlineGrace));
 }
 
 asio::awaitable<bool> backend_exchange::passEvents(std::string_view Ready, std::uint64_t Events) {
--- a/src/relay/call_plan.cpp
+++ b/src/relay/call_plan.cpp
@@ -79,19 +79,19 @@
 }
 
 std::optional<std::int64_t> positiveNumber(std::string_view Text) {
-  const auto Value = numberFrom<std::int64_t>(Text);
+  const auto Value = parseNumber<std::int64_t>(Text);
   return Value && *Value >= 1 ? Value : std::nullopt;
 }
 
-result<mono_span, call_error> timeoutOf(const request_head &Head,
-                                        const service_declaration &Service) {
+result<mono_duration, call_error> timeoutOf(const request_head &Head,
+                                            const service_declaration &Service) {
   const std::string_view Text = Head.header(TimeoutHeader);
   if (Text.empty())
-    return mono_span(std::min(Service.DefaultTimeout, Service.MaxTimeout));
+    return mono_duration(std::min(Service.DefaultTimeout, Service.MaxTimeout));
   const auto Asked = positiveNumber(Text);
   if (!Asked)
     return invalidField(std::string(TimeoutHeader), "must be milliseconds, a whole number from 1");
-  return mono_span(std::chrono::milliseconds(std::min(*Asked, Service.MaxTimeout.count())));
+  return mono_duration(std::chrono::milliseconds(std::min(*Asked, Service.MaxTimeout.count())));
 }
 
 /// The caller may forbid a second run, but not allow one that the declaration forbids.
--- a/src/relay/caller_session.cpp
+++ b/src/relay/caller_session.cpp
@@ -196,8 +196,9 @@
   Context.LastRequest = Context.LastRequest.next();
   Planned.Facts.Id = Context.LastRequest;
   auto Call = std::make_shared<relayed_call>(Context.Io, std::move(Planned), Caller);
-  Call->RequestId = Context.Self.Host.str() + "-" + std::to_string(Context.Self.Life.value()) +
-                    "-" + std::to_string(Context.LastRequest.value());
+  Call->RequestId = Context.Self.Host.str() + "-" +
+                    std::to_string(Context.Self.Incarnation.value()) + "-" +
+                    std::to_string(Context.LastRequest.value());
   Call->Request.Method = Head.Method;
   Call->Request.Target = Head.Target;
   Call->Request.Host = Head.header("Host");
--- a/src/relay/event_gaps_base.h
+++ b/src/relay/event_gaps_base.h
@@ -15,16 +15,16 @@
   /// Events are passed on; those that are passed on together count as one.
   void note(mono_time Now) {
     if (Last)
-      Longest = std::max(Longest.value_or(mono_span::zero()), Now - *Last);
+      Longest = std::max(Longest.value_or(mono_duration::zero()), Now - *Last);
     Last = Now;
   }
 
   /// @return Nothing where events were passed on only once.
-  [[nodiscard]] std::optional<mono_span> longest() const { return Longest; }
+  [[nodiscard]] std::optional<mono_duration> longest() const { return Longest; }
 
 private:
   std::optional<mono_time> Last;
-  std::optional<mono_span> Longest;
+  std::optional<mono_duration> Longest;
 };
 
 } // namespace pollenstall
--- a/src/relay/event_text.cpp
+++ b/src/relay/event_text.cpp
@@ -59,7 +59,7 @@
 }
 
 std::optional<std::uint64_t> eventIdFrom(std::string_view Text) {
-  return numberFrom<std::uint64_t>(Text);
+  return parseNumber<std::uint64_t>(Text);
 }
 
 } // namespace pollenstall
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -35,7 +35,7 @@
   state(asio::io_context &Io, const process_key &Self, const relay_limits &Limits,
         std::shared_ptr<prometheus::Registry> Source, bounded_ring<dispatch_event> &Events)
       : Registry(std::move(Source)), Metrics(*Registry),
-        Context(Io, Self, Limits, Metrics, Events, Self.Life.value()), Acceptor(Io),
+        Context(Io, Self, Limits, Metrics, Events, Self.Incarnation.value()), Acceptor(Io),
         Housekeeping(Io) {}
 
   result<std::string, relay_error> listen(std::string_view Address) {
--- a/src/relay/request_mark.cpp
+++ b/src/relay/request_mark.cpp
@@ -23,7 +23,7 @@
 }
 
 std::uint64_t shapeOf(const std::string &Head, std::size_t BodyBytes) {
-  return mixHash(stableHash(Head), BodyBytes);
+  return combineHashes(stableHash(Head), BodyBytes);
 }
 
 std::size_t bodyBytes(const relayed_call &Call) {
--- a/src/scheduling/cost_model.cpp
+++ b/src/scheduling/cost_model.cpp
@@ -19,7 +19,7 @@
 constexpr double LeastSeconds = 1e-6;
 const double LargestMove = std::log(2.0);
 
-double secondsOf(mono_span Span) { return std::chrono::duration<double>(Span).count(); }
+double secondsOf(mono_duration Span) { return std::chrono::duration<double>(Span).count(); }
 
 } // namespace
 
@@ -51,12 +51,12 @@
 cost_model::cost_model()
     : Rate(PriorRate, LeastRate, GreatestRate), Step(PriorStep, LeastStep, GreatestStep) {}
 
-void cost_model::observePrefill(double Tokens, mono_span Took) {
+void cost_model::observePrefill(double Tokens, mono_duration Took) {
   const double Seconds = std::max(secondsOf(Took) - secondsPerStep(), LeastSeconds);
   Rate.observe(Tokens / Seconds, Tokens / FullWeightTokens);
 }
 
-void cost_model::observeSteps(std::uint64_t Events, mono_span Took) {
+void cost_model::observeSteps(std::uint64_t Events, mono_duration Took) {
   if (Events == 0)
     return;
   const auto Count = static_cast<double>(Events);
--- a/src/scheduling/cost_model_base.h
+++ b/src/scheduling/cost_model_base.h
@@ -51,9 +51,9 @@
    * those believed to be ahead of it.
    * @param Took From placement to the first token.
    */
-  void observePrefill(double Tokens, mono_span Took);
+  void observePrefill(double Tokens, mono_duration Took);
   /// Further token events of one attempt came. @param Took Since the last such report.
-  void observeSteps(std::uint64_t Events, mono_span Took);
+  void observeSteps(std::uint64_t Events, mono_duration Took);
   /// Takes the median rate of its peers as prior while it has no samples of its own.
   void adoptPeerRate(double TokensPerSecond) { Rate.adoptPrior(TokensPerSecond); }
   /// Forgets what was learnt; used when a server that was set aside comes back.
--- a/src/scheduling/ejection.cpp
+++ b/src/scheduling/ejection.cpp
@@ -15,7 +15,7 @@
 constexpr double SlowFactor = 3.0; ///< Slower than the median of its peers by this.
 constexpr double SlowSamples = 3.0;
 constexpr std::size_t LeastPeers = 3; ///< A median of fewer says nothing.
-constexpr mono_span FirstEjection = 5s;
+constexpr mono_duration FirstEjection = 5s;
 constexpr std::uint32_t MostDoublings = 4;
 
 double medianRate(const std::vector<peer_speed> &Group) {
--- a/src/scheduling/long_placement.cpp
+++ b/src/scheduling/long_placement.cpp
@@ -14,7 +14,7 @@
 constexpr double DemandHeadroom = 1.25;
 
 std::uint64_t rankOf(const backend_key &Backend) {
-  return mixHash(stableHash(Backend.Address.str()), Backend.Life.value());
+  return combineHashes(stableHash(Backend.Address.str()), Backend.Incarnation.value());
 }
 
 } // namespace
--- a/src/scheduling/prefill_ledger.cpp
+++ b/src/scheduling/prefill_ledger.cpp
@@ -10,7 +10,7 @@
 using namespace std::chrono_literals;
 
 /// Own work placed within this time before a report arrived is taken as not counted in it.
-constexpr mono_span ReportLag = 200ms;
+constexpr mono_duration ReportLag = 200ms;
 /// A report of this age has lost about two thirds of its weight.
 constexpr double ReportFadeSeconds = 3.0;
 /// Part of an unanswered prompt that is assumed to be left however long it has run.
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr mono_span ReviewInterval = 250ms;
+constexpr mono_duration ReviewInterval = 250ms;
 /// Waiting requests looked at for one class in one round: enough to get past work that one full
 /// group holds up, little enough that a round's time does not grow with the queue.
 constexpr std::size_t TriedPerAccount = 4;
@@ -23,7 +23,8 @@
 } // namespace
 
 scheduler::scheduler(scheduler_settings Given)
-    : Settings(std::move(Given)), Random(mixHash(Settings.Seed, stableHash(Settings.Host.str()))),
+    : Settings(std::move(Given)),
+      Random(combineHashes(Settings.Seed, stableHash(Settings.Host.str()))),
       Affinity(Settings.Tuning.AffinityBound) {}
 
 void scheduler::applyDeclaration(const fleet_declaration &Declaration) {
@@ -163,7 +164,7 @@
     const ticket_number Number = openTicket(*Taken, *Choice, Now);
     Unstarted[Taken->Item.Request] = Number;
     Placed.add(Class, Taken->Cost, Now);
-    const mono_span Expected = Tickets.at(Number).Expected;
+    const mono_duration Expected = Tickets.at(Number).Expected;
     Outcome.Placements.push_back({Taken->Item.Request, Choice->Record->key(), Priority, Expected});
     return true;
   }
--- a/src/scheduling/scheduler_attempt.cpp
+++ b/src/scheduling/scheduler_attempt.cpp
@@ -11,9 +11,9 @@
 constexpr double AnswerShareGain = 0.02;
 /// An attempt is stalled after this many times its expected time to the first token, and more.
 constexpr int StallFactor = 4;
-constexpr mono_span StallMargin = 3s;
+constexpr mono_duration StallMargin = 3s;
 /// Own attempts begun within this time before a report arrived are taken as not counted in it.
-constexpr mono_span ReportLag = 200ms;
+constexpr mono_duration ReportLag = 200ms;
 
 bool blamesServer(attempt_failure Failure) {
   // A server that declines is full, not broken; it says so itself and its memory ledger shows it.
@@ -42,7 +42,7 @@
   Ticket.CachedShare = Choice.Estimate.CachedShare;
   Ticket.Ahead = Choice.Estimate.Ahead;
   Ticket.Cost = Work.Cost;
-  Ticket.Expected = std::chrono::duration_cast<mono_span>(
+  Ticket.Expected = std::chrono::duration_cast<mono_duration>(
       std::chrono::duration<double>(Choice.Estimate.FirstToken));
   Ticket.Placed = Now;
   Ticket.LastProgress = Now;
@@ -141,7 +141,7 @@
   if (Record == nullptr)
     return;
   if (Ticket.Answered && Events > 0) {
-    const mono_span Took = Now - Ticket.LastProgress;
+    const mono_duration Took = Now - Ticket.LastProgress;
     Record->Costs.observeSteps(Events, Took);
     // Beside a long prompt the pace is a chunk a token whatever else runs there.
     if (Record->Prefill.longs(Now, Record->Costs.prefillRate()) == 0)
--- a/src/scheduling/scheduler_base.h
+++ b/src/scheduling/scheduler_base.h
@@ -26,7 +26,7 @@
   /// all other work.
   double UsageOverShare{2.0};
   /// The fleet counts as full for this long after the limit of requests at once held work back.
-  mono_span FullFor{std::chrono::seconds(10)};
+  mono_duration FullFor{std::chrono::seconds(10)};
   /// Weight of a slower answer against a later first token, second for second.
   double AnswerWeight{0.05};
   /// Part of its time limit that a request's answer may take.
@@ -39,8 +39,8 @@
   double NearEqual{0.1};         ///< Costs within this part of the least are drawn from at random.
   double NearEqualSeconds{0.01}; ///< And those within this time of it.
   double ChunkTokens{2'048.0};   ///< Prefill that runs on before a higher priority is looked at.
-  mono_span PollInterval{std::chrono::milliseconds(20)}; ///< While work waits.
-  std::size_t AffinityBound{65'536};                     ///< Prefix hashes remembered.
+  mono_duration PollInterval{std::chrono::milliseconds(20)}; ///< While work waits.
+  std::size_t AffinityBound{65'536};                         ///< Prefix hashes remembered.
 };
 
 /// What a scheduler is built from.
@@ -103,11 +103,11 @@
     length_class Class{length_class::Short};
     tokens Prompt;
     tokens AnswerLimit;
-    double Uncached{0};    ///< Prompt tokens believed not to be in the engine's cache.
-    double CachedShare{0}; ///< Part of the prompt expected in the cache.
-    double Ahead{0};       ///< Tokens believed to run first.
-    double Cost{0};        ///< As charged to the account.
-    mono_span Expected{};  ///< From placement to the first token.
+    double Uncached{0};       ///< Prompt tokens believed not to be in the engine's cache.
+    double CachedShare{0};    ///< Part of the prompt expected in the cache.
+    double Ahead{0};          ///< Tokens believed to run first.
+    double Cost{0};           ///< As charged to the account.
+    mono_duration Expected{}; ///< From placement to the first token.
     mono_time Placed;
     mono_time Deadline;
     mono_time LastProgress;
--- a/src/scheduling/scheduler_choice.cpp
+++ b/src/scheduling/scheduler_choice.cpp
@@ -176,7 +176,7 @@
   // would cost the second the whole prefill of the first.
   const std::uint64_t Host = stableHash(Settings.Host.str());
   const auto Rank = [Host](const choice *Option) {
-    return mixHash(Host, stableHash(Option->Record->key().Address.str()));
+    return combineHashes(Host, stableHash(Option->Record->key().Address.str()));
   };
   return **std::min_element(Near.begin(), Near.end(), [&Rank](const choice *A, const choice *B) {
     return Rank(A) < Rank(B);
@@ -212,7 +212,7 @@
   const std::uint32_t Base = BasePriority[indexOf(Work.Class)];
   if (yields(Work, Now))
     return Base + YieldPriority;
-  const mono_span Allowed = Work.Item.Deadline - Work.Item.Arrived;
+  const mono_duration Allowed = Work.Item.Deadline - Work.Item.Arrived;
   const bool Aged = (Now - Work.Item.Arrived) * 2 >= Allowed;
   return Aged ? std::min(Base, AgedPriority) : Base;
 }
--- a/src/scheduling/scheduler_intake.cpp
+++ b/src/scheduling/scheduler_intake.cpp
@@ -22,8 +22,8 @@
   return std::chrono::duration<double>(Then - Now).count();
 }
 
-mono_span spanOf(double Seconds) {
-  return std::chrono::duration_cast<mono_span>(std::chrono::duration<double>(Seconds));
+mono_duration spanOf(double Seconds) {
+  return std::chrono::duration_cast<mono_duration>(std::chrono::duration<double>(Seconds));
 }
 
 } // namespace
--- a/src/scheduling/scheduling_type.h
+++ b/src/scheduling/scheduling_type.h
@@ -53,7 +53,7 @@
   request_number Request;
   backend_key Backend;
   std::uint32_t Priority{0};
-  mono_span ExpectedFirstToken{};     ///< From now.
+  mono_duration ExpectedFirstToken{}; ///< From now.
   std::vector<memory_hold> Holds{};   ///< At some of the helpers.
   std::vector<backend_key> Helpers{}; ///< That read parts of the prompt.
 };
--- a/src/settings/setting_checks.cpp
+++ b/src/settings/setting_checks.cpp
@@ -25,7 +25,7 @@
 }
 
 bool isPort(const std::string &Text) {
-  const auto Port = numberFrom<int>(Text);
+  const auto Port = parseNumber<int>(Text);
   return Port && *Port >= 0 && *Port <= MaxPort;
 }
 
--- a/src/storage/log_segment.cpp
+++ b/src/storage/log_segment.cpp
@@ -67,7 +67,7 @@
 std::optional<log_index> log_segment::firstFromName(const std::string &Name) {
   if (Name.compare(0, NamePrefix.size(), NamePrefix) != 0)
     return std::nullopt;
-  const auto First = numberFrom<std::uint64_t>(std::string_view(Name).substr(NamePrefix.size()));
+  const auto First = parseNumber<std::uint64_t>(std::string_view(Name).substr(NamePrefix.size()));
   return First ? std::optional(log_index(*First)) : std::nullopt;
 }
 
--- a/src/storage/snapshot_files.cpp
+++ b/src/storage/snapshot_files.cpp
@@ -70,7 +70,7 @@
 std::optional<log_index> snapshot_files::indexFromName(const std::string &Name) {
   if (Name.compare(0, NamePrefix.size(), NamePrefix) != 0)
     return std::nullopt;
-  const auto Index = numberFrom<std::uint64_t>(std::string_view(Name).substr(NamePrefix.size()));
+  const auto Index = parseNumber<std::uint64_t>(std::string_view(Name).substr(NamePrefix.size()));
   return Index ? std::optional(log_index(*Index)) : std::nullopt;
 }
 
--- a/src/suspect/suspect_table.cpp
+++ b/src/suspect/suspect_table.cpp
@@ -18,14 +18,14 @@
   return Record.Crashes >= ToldFrom || Record.BlockedUntil > Now;
 }
 
-void suspect_table::noteCrash(const std::vector<request_mark> &Marks, incarnation Life,
+void suspect_table::noteCrash(const std::vector<request_mark> &Marks, incarnation Incarnation,
                               milliseconds Now) {
   forgetOld(Now);
   for (const request_mark &Mark : Marks)
-    noteOne(Mark, Life, Now);
+    noteOne(Mark, Incarnation, Now);
 }
 
-void suspect_table::noteOne(const request_mark &Mark, incarnation Life, milliseconds Now) {
+void suspect_table::noteOne(const request_mark &Mark, incarnation Incarnation, milliseconds Now) {
   auto Found = Records.find(Mark);
   if (Found == Records.end()) {
     if (!makeRoom(Mark.Account, Now))
@@ -33,15 +33,15 @@
     Found = Records.emplace(Mark, suspect_record{Mark, 0, 0, {}, {}, {}}).first;
   }
   suspect_record &Record = Found->second;
-  const bool Known =
-      std::find(Record.Lives.begin(), Record.Lives.end(), Life) != Record.Lives.end();
+  const bool Known = std::find(Record.Incarnations.begin(), Record.Incarnations.end(),
+                               Incarnation) != Record.Incarnations.end();
   const bool TooClose = Record.Crashes > 0 && Now - Record.LastCrash < Tuning.Apart;
   // What still ran when it was blocked says nothing new.
   if (Known || TooClose || Record.BlockedUntil > Now)
     return;
-  Record.Lives.push_back(Life);
-  if (Record.Lives.size() > Tuning.MostLives)
-    Record.Lives.erase(Record.Lives.begin());
+  Record.Incarnations.push_back(Incarnation);
+  if (Record.Incarnations.size() > Tuning.MaxIncarnations)
+    Record.Incarnations.erase(Record.Incarnations.begin());
   ++Record.Crashes;
   Record.LastCrash = Now;
   if (Record.Crashes >= Tuning.MostCrashes)
@@ -127,7 +127,8 @@
     return false;
   record_map Taken;
   for (const suspect_record &Record : Kept)
-    if (!Taken.emplace(Record.Mark, Record).second || Record.Lives.size() > Tuning.MostLives)
+    if (!Taken.emplace(Record.Mark, Record).second ||
+        Record.Incarnations.size() > Tuning.MaxIncarnations)
       return false;
   Records = std::move(Taken);
   Version = KeptVersion;
--- a/src/suspect/suspect_table_base.h
+++ b/src/suspect/suspect_table_base.h
@@ -23,7 +23,7 @@
 
   /// These requests were running on a backend server when it crashed.
   /// @param Now Never less than before.
-  void noteCrash(const std::vector<request_mark> &Marks, incarnation Life,
+  void noteCrash(const std::vector<request_mark> &Marks, incarnation Incarnation,
                  std::chrono::milliseconds Now);
   /// A run of the request ended well, or an operator says that it may run.
   /// @param High Of its mark.
@@ -42,7 +42,7 @@
 private:
   using record_map = std::map<request_mark, suspect_record>;
 
-  void noteOne(const request_mark &Mark, incarnation Life, std::chrono::milliseconds Now);
+  void noteOne(const request_mark &Mark, incarnation Incarnation, std::chrono::milliseconds Now);
   void block(suspect_record &Record, std::chrono::milliseconds Now);
   void forgetOld(std::chrono::milliseconds Now);
   bool makeRoom(std::uint64_t Account, std::chrono::milliseconds Now);
--- a/src/suspect/suspect_type.h
+++ b/src/suspect/suspect_type.h
@@ -51,7 +51,7 @@
   std::uint32_t Blocks{0}; ///< How often it was blocked.
   std::chrono::milliseconds LastCrash{0};
   std::chrono::milliseconds BlockedUntil{0};
-  std::vector<incarnation> Lives; ///< Of backend servers whose crashes were counted last.
+  std::vector<incarnation> Incarnations; ///< Of backend servers whose crashes were counted last.
 
   bool operator==(const suspect_record &) const = default;
 };
@@ -78,7 +78,7 @@
   std::chrono::milliseconds LongestBlock{std::chrono::hours(1)};
   std::size_t MostRecords{4096};
   std::size_t MostOfAccount{32};
-  std::size_t MostLives{4}; ///< Remembered of one request.
+  std::size_t MaxIncarnations{4}; ///< Remembered of one request.
 };
 
 } // namespace pollenstall
--- a/src/text_difference/text_difference.cpp
+++ b/src/text_difference/text_difference.cpp
@@ -34,10 +34,11 @@
 class step_list {
 public:
   void copy(std::size_t From, std::size_t Bytes) {
-    const bool Follows = !Steps.empty() && Steps.back().Own.empty() && Steps.back().Bytes > 0 &&
-                         Steps.back().From + Steps.back().Bytes == From;
+    const bool Follows = !Steps.empty() && Steps.back().Inserted.empty() &&
+                         Steps.back().CopyBytes > 0 &&
+                         Steps.back().CopyOffset + Steps.back().CopyBytes == From;
     if (Follows)
-      Steps.back().Bytes += static_cast<std::uint32_t>(Bytes);
+      Steps.back().CopyBytes += static_cast<std::uint32_t>(Bytes);
     else
       Steps.push_back(
           {static_cast<std::uint32_t>(From), static_cast<std::uint32_t>(Bytes), std::string()});
@@ -45,7 +46,7 @@
   void add(std::string_view Own) {
     if (Steps.empty())
       Steps.emplace_back();
-    Steps.back().Own.append(Own);
+    Steps.back().Inserted.append(Own);
   }
   [[nodiscard]] std::vector<difference_step> take() { return std::move(Steps); }
 
@@ -55,7 +56,7 @@
 
 } // namespace
 
-text_difference differenceOf(std::string_view Old, std::string_view New) {
+text_difference computeDifference(std::string_view Old, std::string_view New) {
   const auto Places = placesOfPieces(Old);
   step_list Steps;
   // Where a piece stands several times, the one that goes on behind the last copy is meant.
@@ -82,21 +83,22 @@
     return std::nullopt;
   std::string New;
   for (const difference_step &Step : Difference.Steps) {
-    const bool Within = Step.From <= Old.size() && Step.Bytes <= Old.size() - Step.From;
-    if (!Within || New.size() + Step.Bytes + Step.Own.size() > MostBytes)
+    const bool Within =
+        Step.CopyOffset <= Old.size() && Step.CopyBytes <= Old.size() - Step.CopyOffset;
+    if (!Within || New.size() + Step.CopyBytes + Step.Inserted.size() > MostBytes)
       return std::nullopt;
-    New.append(Old.substr(Step.From, Step.Bytes)).append(Step.Own);
+    New.append(Old.substr(Step.CopyOffset, Step.CopyBytes)).append(Step.Inserted);
   }
   if (stableHash(New) != Difference.NewHash)
     return std::nullopt;
   return New;
 }
 
-std::size_t sizeOf(const text_difference &Difference) {
+std::size_t estimateEncodedBytes(const text_difference &Difference) {
   constexpr std::size_t StepBytes = 2 * sizeof(std::uint32_t) + sizeof(std::uint64_t);
   std::size_t Bytes = 2 * sizeof(std::uint64_t);
   for (const difference_step &Step : Difference.Steps)
-    Bytes += StepBytes + Step.Own.size();
+    Bytes += StepBytes + Step.Inserted.size();
   return Bytes;
 }
 
--- a/src/text_difference/text_difference_func.h
+++ b/src/text_difference/text_difference_func.h
@@ -12,7 +12,7 @@
 namespace pollenstall {
 
 /// @return What makes New out of Old. Time and memory grow with the length of both.
-text_difference differenceOf(std::string_view Old, std::string_view New);
+text_difference computeDifference(std::string_view Old, std::string_view New);
 
 /// @return The new text, or nothing where Old is not the text that was meant, a step reaches beyond
 /// it, the result is longer than MostBytes or is not what was meant.
@@ -20,7 +20,7 @@
                                            std::size_t MostBytes);
 
 /// @return About how many bytes a difference takes on its way.
-std::size_t sizeOf(const text_difference &Difference);
+std::size_t estimateEncodedBytes(const text_difference &Difference);
 
 } // namespace pollenstall
 
--- a/src/text_difference/text_difference_type.h
+++ b/src/text_difference/text_difference_type.h
@@ -10,9 +10,9 @@
 
 /// Appends part of the old text, then text of its own.
 struct difference_step {
-  std::uint32_t From{0};  ///< Byte of the old text.
-  std::uint32_t Bytes{0}; ///< Copied from there; 0 copies nothing.
-  std::string Own;
+  std::uint32_t CopyOffset{0}; ///< Byte of the old text.
+  std::uint32_t CopyBytes{0};  ///< Copied from there; 0 copies nothing.
+  std::string Inserted;
 
   bool operator==(const difference_step &) const = default;
 };
--- a/src/toml_text/toml_parse.cpp
+++ b/src/toml_text/toml_parse.cpp
@@ -56,7 +56,7 @@
 
 const toml_node *itemOf(const toml_node &Node, std::string_view Digits) {
   const auto *List = std::get_if<toml_list>(&Node.Value);
-  const auto Index = numberFrom<std::size_t>(Digits);
+  const auto Index = parseNumber<std::size_t>(Digits);
   return List && Index && *Index < List->size() ? &(*List)[*Index] : nullptr;
 }
 
--- a/src/wire/core_codec_func.h
+++ b/src/wire/core_codec_func.h
@@ -39,10 +39,10 @@
 }
 
 template <typename Archive> void serialize(Archive &Into, backend_key &Key) {
-  Into(Key.Address, Key.Life);
+  Into(Key.Address, Key.Incarnation);
 }
 template <typename Archive> void serialize(Archive &Into, process_key &Key) {
-  Into(Key.Host, Key.Life);
+  Into(Key.Host, Key.Incarnation);
 }
 template <typename Archive> void serialize(Archive &Into, attempt_id &Attempt) {
   Into(Attempt.Owner, Attempt.Request, Attempt.Ordinal);
--- a/src/work_exchange/work_board.cpp
+++ b/src/work_exchange/work_board.cpp
@@ -46,7 +46,7 @@
 /// either.
 void work_board::forgetAll(mono_time Now) {
   Ledger.clear();
-  OwnLives.clear();
+  OwnIncarnations.clear();
   Members.clear();
   Suspects.clear();
   GroupFeed = RelayFeed = PlacementFeed = work_feed(Tuning);
@@ -71,18 +71,18 @@
 
 void work_board::setOwn(const std::vector<work_load> &Loads, bool Urgent, mono_time Now) {
   noteTime(Now);
-  std::vector<incarnation> Lives;
+  std::vector<incarnation> Incarnations;
   for (const work_load &Load : Loads) {
     Pending = Ledger.put(OwnSource, Load, Now) || Pending;
-    Lives.push_back(Load.Life);
+    Incarnations.push_back(Load.Incarnation);
   }
-  for (const incarnation Life : OwnLives)
-    if (std::find(Lives.begin(), Lives.end(), Life) == Lives.end()) {
+  for (const incarnation Incarnation : OwnIncarnations)
+    if (std::find(Incarnations.begin(), Incarnations.end(), Incarnation) == Incarnations.end()) {
       work_load Nothing;
-      Nothing.Life = Life;
+      Nothing.Incarnation = Incarnation;
       Pending = Ledger.put(OwnSource, Nothing, Now) || Pending;
     }
-  OwnLives = std::move(Lives);
+  OwnIncarnations = std::move(Incarnations);
   if (Urgent)
     noteUrgent(report_scope::Own);
 }
@@ -103,14 +103,14 @@
     return nullptr;
   const auto [Known, Fresh] = Senders.try_emplace(Report.Sender.Host);
   sender &Sender = Known->second;
-  const auto Last = std::pair(Sender.Life, Sender.Sequence);
-  if (!Fresh && std::pair(Report.Sender.Life, Report.Sequence) <= Last)
+  const auto Last = std::pair(Sender.Incarnation, Sender.Sequence);
+  if (!Fresh && std::pair(Report.Sender.Incarnation, Report.Sequence) <= Last)
     return nullptr; // Overtaken on the way.
   if (Fresh)
     Sender.Source = newSource();
   Sender.Address = From;
   Sender.Scope = Report.Scope;
-  Sender.Life = Report.Sender.Life;
+  Sender.Incarnation = Report.Sender.Incarnation;
   Sender.Sequence = Report.Sequence;
   Sender.Heard = Now;
   Scopes[Sender.Source] = Report.Scope;
@@ -219,8 +219,8 @@
   }
   const bool Direct = Largest <= 1;
   const auto Receivers = static_cast<std::int64_t>(OtherGroups.size() + Largest - 1);
-  const mono_span Round =
-      std::max<mono_span>(Tuning.Interval, Tuning.IntervalPerReceiver * Receivers);
+  const mono_duration Round =
+      std::max<mono_duration>(Tuning.Interval, Tuning.IntervalPerReceiver * Receivers);
   constexpr int RelayedWays = 3; // To the relay, to another relay, to its member.
   exchange_facts Facts;
   Facts.Entries = Entries;
@@ -263,8 +263,8 @@
     tellMembers(Now, Round, Out);
   }
   if (Regular)
-    RoundGap = std::max<mono_span>(Tuning.Interval, Tuning.IntervalPerReceiver *
-                                                        static_cast<std::int64_t>(Out.size()));
+    RoundGap = std::max<mono_duration>(Tuning.Interval, Tuning.IntervalPerReceiver *
+                                                            static_cast<std::int64_t>(Out.size()));
   return Out;
 }
 
--- a/src/work_exchange/work_board_base.h
+++ b/src/work_exchange/work_board_base.h
@@ -55,7 +55,7 @@
     work_source Source{0};
     std::string Address;
     report_scope Scope{report_scope::Own}; ///< Of its last report.
-    incarnation Life;
+    incarnation Incarnation;
     std::uint64_t Sequence{0};
     mono_time Heard;
   };
@@ -96,7 +96,7 @@
   /// where they have heard nothing for longer than SignsEach.
   template <typename Filter>
   std::vector<work_report> reports(work_feed &Feed, report_scope Scope, round_kind Round,
-                                   mono_span SignsEach, mono_time &ToldAt, mono_time Now,
+                                   mono_duration SignsEach, mono_time &ToldAt, mono_time Now,
                                    const Filter &Counts) {
     std::vector<work_report> Reports;
     const bool Regular = Round == round_kind::Regular;
@@ -129,7 +129,7 @@
   std::set<std::string> Suspects;         ///< Relays that were given up.
   mono_time KnowsSince{mono_time::min()}; ///< Reports have been taken since then.
   work_ledger Ledger;
-  std::vector<incarnation> OwnLives; ///< Backend servers at which this entry has work.
+  std::vector<incarnation> OwnIncarnations; ///< Backend servers at which this entry has work.
   std::map<host_name, sender> Senders;
   std::vector<report_scope> Scopes; ///< By source.
   std::vector<work_source> FreeSources;
@@ -140,7 +140,7 @@
   std::uint64_t Sequence{0};
   mono_time LastSeen{mono_time::min()};
   mono_time LastRound{mono_time::min()};
-  mono_span RoundGap{0};     ///< Least time from the last round to the next one.
+  mono_duration RoundGap{0}; ///< Least time from the last round to the next one.
   bool Pending{false};       ///< Something changed that others are to be told of.
   bool UrgentOwn{false};     ///< To be told at once to a relay, or to the relays.
   bool UrgentMembers{false}; ///< To be told at once to members.
--- a/src/work_exchange/work_exchange_type.h
+++ b/src/work_exchange/work_exchange_type.h
@@ -52,26 +52,26 @@
 /// counts no longer.
 struct work_share_tuning {
   /// What was told counts no longer after this; that of placement.
-  mono_span Silence{placement_tuning().PeerSilence};
+  mono_duration Silence{placement_tuning().PeerSilence};
   /// Up to so many entries each tells all others itself: a report is then as old as its way.
   std::size_t MostDirect{16};
   /// Least time between two reports of an entry to those that it tells; longer by as much for each
   /// one of them, so that one entry sends no more than a thousand datagrams a second.
-  mono_span Interval{std::chrono::milliseconds(10)};
-  mono_span IntervalPerReceiver{std::chrono::microseconds(1'500)};
+  mono_duration Interval{std::chrono::milliseconds(10)};
+  mono_duration IntervalPerReceiver{std::chrono::microseconds(1'500)};
   /// From one entry to the next one, with the turn in which it is taken.
-  mono_span Way{std::chrono::milliseconds(3)};
+  mono_duration Way{std::chrono::milliseconds(3)};
   /// What did not change is told again after this, for receivers that missed a datagram.
-  mono_span Refresh{std::chrono::milliseconds(400)};
+  mono_duration Refresh{std::chrono::milliseconds(400)};
   /// A relay speaks at least this often to those that it relays for.
-  mono_span RelaySigns{std::chrono::milliseconds(100)};
+  mono_duration RelaySigns{std::chrono::milliseconds(100)};
   /// A relay that is silent for longer is given up for the next one.
-  mono_span RelaySilence{std::chrono::milliseconds(300)};
+  mono_duration RelaySilence{std::chrono::milliseconds(300)};
   /// An entry that tells another relay lets the old one know after this: before, the new one may
   /// not have passed on what it was told, and the work would count nowhere.
-  mono_span WithdrawAfter{std::chrono::milliseconds(150)};
+  mono_duration WithdrawAfter{std::chrono::milliseconds(150)};
   /// A process that did nothing for so long was suspended: what it knows is of another time.
-  mono_span Suspended{std::chrono::milliseconds(700)};
+  mono_duration Suspended{std::chrono::milliseconds(700)};
   /// Reading that is this much off what the receiver thinks is told anew, where it is also off by
   /// the part below.
   std::uint32_t ReadStepMs{20};
--- a/src/work_exchange/work_feed.cpp
+++ b/src/work_exchange/work_feed.cpp
@@ -10,8 +10,8 @@
 
 } // namespace
 
-bool work_feed::isDue(incarnation Life, mono_time Now) const {
-  const auto Known = Told.find(Life);
+bool work_feed::isDue(incarnation Incarnation, mono_time Now) const {
+  const auto Known = Told.find(Incarnation);
   return Known != Told.end() && Now - Known->second.At >= Tuning.Refresh;
 }
 
@@ -23,12 +23,12 @@
 }
 
 bool work_feed::note(const work_load &Load, bool Due, mono_time Now) {
-  const auto Known = Told.find(Load.Life);
+  const auto Known = Told.find(Load.Incarnation);
   const bool Nothing = isEmpty(Load);
   if (Known == Told.end()) {
     if (Nothing)
       return false;
-    Told[Load.Life] = {Load, Now, 0};
+    Told[Load.Incarnation] = {Load, Now, 0};
     return true;
   }
   if (!Due && !differs(Known->second.Load, Known->second.At, Load, Now, Tuning))
--- a/src/work_exchange/work_feed_base.h
+++ b/src/work_exchange/work_feed_base.h
@@ -27,24 +27,25 @@
                               bool Again, std::size_t Most) {
     std::vector<work_load> Loads;
     forgetEnded(Ledger);
-    const auto Tell = [&](incarnation Life, const work_ledger::engine_work &Engine, bool Due) {
+    const auto Tell = [&](incarnation Incarnation, const work_ledger::engine_work &Engine,
+                          bool Due) {
       if (Loads.size() >= Most)
         return false;
-      const work_load Load = Ledger.sum(Life, Engine, Now, Counts);
+      const work_load Load = Ledger.sum(Incarnation, Engine, Now, Counts);
       if (note(Load, Due, Now))
         Loads.push_back(Load);
       return true;
     };
     bool Fits = true;
-    for (const auto &[Life, Engine] : Ledger.engines())
+    for (const auto &[Incarnation, Engine] : Ledger.engines())
       if (Engine.Changed >= LookedAt)
-        Fits = Tell(Life, Engine, false) && Fits;
+        Fits = Tell(Incarnation, Engine, false) && Fits;
     if (Fits)
       LookedAt = Now;
     if (Again)
-      for (const auto &[Life, Engine] : Ledger.engines())
-        if (isDue(Life, Now))
-          Tell(Life, Engine, true);
+      for (const auto &[Incarnation, Engine] : Ledger.engines())
+        if (isDue(Incarnation, Now))
+          Tell(Incarnation, Engine, true);
     return Loads;
   }
 
@@ -58,7 +59,7 @@
     std::uint32_t Nothing{0}; ///< Times in a row that it was told that there is no work.
   };
 
-  [[nodiscard]] bool isDue(incarnation Life, mono_time Now) const;
+  [[nodiscard]] bool isDue(incarnation Incarnation, mono_time Now) const;
   void forgetEnded(const work_ledger &Ledger);
   /// @return Whether the receiver is to be told, which is noted.
   bool note(const work_load &Load, bool Due, mono_time Now);
--- a/src/work_exchange/work_groups.cpp
+++ b/src/work_exchange/work_groups.cpp
@@ -25,7 +25,7 @@
   std::size_t Best = Groups.size();
   std::uint64_t BestRank = 0;
   for (std::size_t Group = 0; Group < Groups.size(); ++Group) {
-    const std::uint64_t Rank = mixHash(stableHash(Address), Group + 1);
+    const std::uint64_t Rank = combineHashes(stableHash(Address), Group + 1);
     if (Groups[Group].size() < Room && (Best == Groups.size() || Rank > BestRank)) {
       Best = Group;
       BestRank = Rank;
@@ -49,7 +49,7 @@
 std::vector<work_group> planGroups(std::vector<work_entry> Entries, std::size_t MostDirect) {
   // An order by hash: neighbours by address are often replaced together.
   const auto Rank = [](const work_entry &Entry) {
-    return std::pair(mixHash(stableHash(Entry.Address), 0), Entry.Address);
+    return std::pair(combineHashes(stableHash(Entry.Address), 0), Entry.Address);
   };
   std::sort(Entries.begin(), Entries.end(),
             [&Rank](const work_entry &A, const work_entry &B) { return Rank(A) < Rank(B); });
--- a/src/work_exchange/work_ledger.cpp
+++ b/src/work_exchange/work_ledger.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// So long an engine without any work stays listed, so that all receivers are told of its end.
-constexpr mono_span EmptyFor = std::chrono::milliseconds(1'500);
+constexpr mono_duration EmptyFor = std::chrono::milliseconds(1'500);
 
 } // namespace
 
@@ -25,9 +25,9 @@
 
 bool work_ledger::put(work_source Source, const work_load &Load, mono_time Now) {
   const bool Empty = isEmpty(Load);
-  if (Empty && !Engines.contains(Load.Life))
+  if (Empty && !Engines.contains(Load.Incarnation))
     return false;
-  engine_work &Engine = Engines[Load.Life];
+  engine_work &Engine = Engines[Load.Incarnation];
   const auto Known =
       std::find_if(Engine.Parts.begin(), Engine.Parts.end(),
                    [Source](const engine_work::told &Part) { return Part.Source == Source; });
@@ -49,7 +49,7 @@
 
 bool work_ledger::drop(work_source Source, mono_time Now) {
   bool Changed = false;
-  for (auto &[Life, Engine] : Engines)
+  for (auto &[Incarnation, Engine] : Engines)
     if (std::erase_if(Engine.Parts, [Source](const engine_work::told &Part) {
           return Part.Source == Source;
         }) > 0) {
@@ -60,7 +60,7 @@
 }
 
 void work_ledger::expire(mono_time Now) {
-  for (auto &[Life, Engine] : Engines)
+  for (auto &[Incarnation, Engine] : Engines)
     if (std::erase_if(Engine.Parts, [&](const engine_work::told &Part) {
           return Now - Part.Heard > Tuning.Silence;
         }) > 0)
--- a/src/work_exchange/work_ledger_base.h
+++ b/src/work_exchange/work_ledger_base.h
@@ -46,13 +46,13 @@
 
   /// @return The sum over the sources that Counts() takes, as of now.
   template <typename Filter>
-  [[nodiscard]] work_load sum(incarnation Life, const engine_work &Engine, mono_time Now,
+  [[nodiscard]] work_load sum(incarnation Incarnation, const engine_work &Engine, mono_time Now,
                               const Filter &Counts) const {
     work_load Sum;
     for (const engine_work::told &Part : Engine.Parts)
       if (Now - Part.Heard <= Tuning.Silence && Counts(Part.Source))
         Sum = Sum + after(Part.Load, Now - Part.Heard);
-    Sum.Life = Life;
+    Sum.Incarnation = Incarnation;
     return Sum;
   }
 
--- a/src/work_share/work_report_codec.cpp
+++ b/src/work_share/work_report_codec.cpp
@@ -17,7 +17,7 @@
 
 /// A work_load as it travels.
 struct packed_load {
-  incarnation Life;
+  incarnation Incarnation;
   std::uint8_t Requests{0};
   std::uint8_t Writers{0};
   std::uint16_t ReadMs{0};
@@ -26,7 +26,7 @@
   std::uint32_t FirstReader{0};
 
   template <typename Archive> void serialize(Archive &Into) {
-    Into(Life, Requests, Writers, ReadMs, MemoryUnits, GapMs, FirstReader);
+    Into(Incarnation, Requests, Writers, ReadMs, MemoryUnits, GapMs, FirstReader);
   }
 };
 
@@ -44,7 +44,7 @@
 
 packed_load pack(const work_load &Load) {
   packed_load Packed;
-  Packed.Life = Load.Life;
+  Packed.Incarnation = Load.Incarnation;
   Packed.Requests = cut<std::uint8_t>(Load.Requests);
   Packed.Writers = cut<std::uint8_t>(Load.Writers);
   Packed.ReadMs = cut<std::uint16_t>(Load.ReadMs);
@@ -57,7 +57,7 @@
 
 work_load unpack(const packed_load &Packed) {
   work_load Load;
-  Load.Life = Packed.Life;
+  Load.Incarnation = Packed.Incarnation;
   Load.Requests = Packed.Requests;
   Load.Writers = Packed.Writers;
   Load.ReadMs = Packed.ReadMs;
--- a/src/work_share/work_share.cpp
+++ b/src/work_share/work_share.cpp
@@ -26,7 +26,7 @@
 
 constexpr std::size_t RingCapacity = 1024;
 /// Between two looks at what placement is to be told, which goes through all backend servers.
-constexpr mono_span TellInterval = std::chrono::milliseconds(5);
+constexpr mono_duration TellInterval = std::chrono::milliseconds(5);
 
 } // namespace
 
