--- a/tests/consensus/fake_cluster.cpp
+++ b/tests/consensus/fake_cluster.cpp
@@ -6,7 +6,7 @@
 namespace pollenstall {
 
 namespace {
-constexpr mono_span TickInterval = 50ms;
+constexpr mono_duration TickInterval = 50ms;
 constexpr std::uint64_t MaxSteps = 1000000; ///< Ten times what the longest schedule needs.
 } // namespace
 
@@ -17,7 +17,7 @@
     fake_host &Host = Hosts[Place];
     Host.Id = member_id(++LastId);
     Host.Disk = std::make_unique<fake_disk>(disk_identity(Random() | 1U));
-    Host.ClockRate = 1 - Skew + 2 * Skew * Random.unit();
+    Host.ClockRate = 1 - Skew + 2 * Skew * Random.uniform();
     Host.ClockOffset += upTo(10s);
   }
   for (fake_host &Host : Hosts)
@@ -26,27 +26,28 @@
 
 mono_time fake_cluster::clockOf(const fake_host &Host) const {
   const auto Local = static_cast<std::int64_t>(static_cast<double>(Time.count()) * Host.ClockRate);
-  return mono_time(Host.ClockOffset + mono_span(Local));
+  return mono_time(Host.ClockOffset + mono_duration(Local));
 }
 
 replica_status fake_cluster::statusOf(const fake_host &Host) const {
   return Host.Process ? Host.Process->status(clockOf(Host)) : replica_status{};
 }
 
-void fake_cluster::later(mono_span Delay, fake_host &Host, std::function<void(fake_host &)> Run) {
+void fake_cluster::later(mono_duration Delay, fake_host &Host,
+                         std::function<void(fake_host &)> Run) {
   const auto Place = static_cast<std::size_t>(&Host - Hosts.data());
-  Events.push({Time + Delay, Order++, Place, Host.Life, std::move(Run)});
+  Events.push({Time + Delay, Order++, Place, Host.Incarnation, std::move(Run)});
 }
 
-void fake_cluster::run(mono_span Span) {
-  const mono_span End = Time + Span;
+void fake_cluster::run(mono_duration Span) {
+  const mono_duration End = Time + Span;
   while (!Events.empty() && Events.top().At <= End)
     step();
   Time = End;
 }
 
-bool fake_cluster::runUntil(const std::function<bool()> &Holds, mono_span Limit) {
-  const mono_span End = Time + Limit;
+bool fake_cluster::runUntil(const std::function<bool()> &Holds, mono_duration Limit) {
+  const mono_duration End = Time + Limit;
   while (!Holds()) {
     if (Time >= End)
       return false;
@@ -60,7 +61,7 @@
   Events.pop();
   Time = Event.At;
   fake_host &Host = Hosts[Event.Host];
-  if (!Host.Process || Host.Life != Event.Life)
+  if (!Host.Process || Host.Incarnation != Event.Incarnation)
     return;
   if (Host.FrozenUntil > Time) {
     Event.At = Host.FrozenUntil;
@@ -153,7 +154,7 @@
 }
 
 void fake_cluster::start(fake_host &Host) {
-  ++Host.Life;
+  ++Host.Incarnation;
   Host.Applied = {};
   Host.Syncing = false;
   std::vector<member_id> Peers;
@@ -179,7 +180,7 @@
   Host.Disk = std::make_unique<fake_disk>(disk_identity(Random() | 1U));
 }
 
-void fake_cluster::jumpClock(fake_host &Host, mono_span By) {
+void fake_cluster::jumpClock(fake_host &Host, mono_duration By) {
   if (!Host.Process || Host.FrozenUntil > Time)
     return;
   Host.ClockOffset += By;
@@ -318,7 +319,7 @@
 }
 
 void fake_cluster::doAction(fake_host &Host, take_snapshot &Action) {
-  const mono_span Work = upTo(20ms);
+  const mono_duration Work = upTo(20ms);
   later(Work, Host, [this, Index = Action.Index](fake_host &Taken) {
     Taken.Process->snapshotTaken(Index, std::to_string(Index.value()), clockOf(Taken));
   });
--- a/tests/consensus/fake_cluster_base.h
+++ b/tests/consensus/fake_cluster_base.h
@@ -20,10 +20,10 @@
 struct fault_rates {
   double Drop{0};
   double Duplicate{0};
-  mono_span MaxDelay{2ms};
+  mono_duration MaxDelay{2ms};
   double LongDelay{0}; ///< Share of messages that take up to LongDelayMax.
-  mono_span LongDelayMax{800ms};
-  mono_span MaxSync{3ms};
+  mono_duration LongDelayMax{800ms};
+  mono_duration MaxSync{3ms};
 };
 
 /// A host: a disk, a clock of its own, and a process that may be down or stopped.
@@ -31,10 +31,10 @@
   member_id Id;
   std::unique_ptr<fake_disk> Disk;
   std::unique_ptr<replica> Process; ///< Null while it is down.
-  std::uint64_t Life{0};            ///< Events of an earlier life are void.
+  std::uint64_t Incarnation{0};     ///< Events of an earlier life are void.
   double ClockRate{1};
-  mono_span ClockOffset{1h};
-  mono_span FrozenUntil{0};
+  mono_duration ClockOffset{1h};
+  mono_duration FrozenUntil{0};
   bool Syncing{false};
   log_index Applied;
   std::set<proposal_place> Proposed; ///< Not answered yet.
@@ -47,9 +47,9 @@
   fake_cluster(std::size_t Size, std::uint64_t Seed, const replica_options &Bounds);
 
   /// Handles events until this much more time has passed.
-  void run(mono_span Span);
+  void run(mono_duration Span);
   /// Handles events until Holds is true. @return False where Limit passed before.
-  bool runUntil(const std::function<bool()> &Holds, mono_span Limit = 60s);
+  bool runUntil(const std::function<bool()> &Holds, mono_duration Limit = 60s);
 
   void crash(fake_host &Host);
   void start(fake_host &Host);
@@ -57,13 +57,13 @@
   /// The host comes back with an empty disk as another member, as a host whose id is drawn does.
   void replace(fake_host &Host);
   /// Stops a process as SIGSTOP does: messages wait, the clock goes on.
-  void freeze(fake_host &Host, mono_span Span) { Host.FrozenUntil = Time + Span; }
+  void freeze(fake_host &Host, mono_duration Span) { Host.FrozenUntil = Time + Span; }
   /**
    * Sets a running host's clock. It sees that at its next tick, which comes before anything else
    * happens: a clock that loses time while its process is stopped looks like a shorter stop, which
    * the replica cannot tell (docs/design/consensus.md, Limits) and CLOCK_BOOTTIME does not do.
    */
-  void jumpClock(fake_host &Host, mono_span By);
+  void jumpClock(fake_host &Host, mono_duration By);
   void cut(std::size_t From, std::size_t To) { Cuts.insert({hosts()[From].Id, hosts()[To].Id}); }
   void cutOff(std::size_t Place);
   void heal();
@@ -95,17 +95,17 @@
 
 private:
   struct event {
-    mono_span At;
+    mono_duration At;
     std::uint64_t Order;
     std::size_t Host;
-    std::uint64_t Life;
+    std::uint64_t Incarnation;
     std::function<void(fake_host &)> Run;
     bool operator<(const event &Other) const {
       return At != Other.At ? At > Other.At : Order > Other.Order;
     }
   };
 
-  void later(mono_span Delay, fake_host &Host, std::function<void(fake_host &)> Run);
+  void later(mono_duration Delay, fake_host &Host, std::function<void(fake_host &)> Run);
   void step();
   void tickLater(fake_host &Host);
   void replaceLost(fake_host &Host);
@@ -114,7 +114,7 @@
   void deliverLater(const consensus_message &Message);
   void syncLater(fake_host &Host);
   void checkLeases() const;
-  mono_span upTo(mono_span Max) { return mono_span(1 + Random.below(Max.count())); }
+  mono_duration upTo(mono_duration Max) { return mono_duration(1 + Random.below(Max.count())); }
 
   void doAction(fake_host &Host, send_to_member &Action);
   void doAction(fake_host &Host, persist_log &Action);
@@ -134,7 +134,7 @@
   std::priority_queue<event> Events;
   std::set<std::pair<member_id, member_id>> Cuts;
   history_checker Checker;
-  mono_span Time{0};
+  mono_duration Time{0};
   std::uint64_t Order{0};
   std::uint64_t Steps{0};
   std::uint64_t NextPayload{0};
--- a/tests/consensus/leader_test.cpp
+++ b/tests/consensus/leader_test.cpp
@@ -108,7 +108,7 @@
 TEST_F(a_leader, HoldsALeaseShorterThanThePromiseByTwiceTheSkew) {
   start(foundedLog());
   leadAndCommit();
-  const mono_time SentAt{mono_span(lastSent<append_request>(MemberB).SentAt)};
+  const mono_time SentAt{mono_duration(lastSent<append_request>(MemberB).SentAt)};
   EXPECT_EQ(Replica->leaseEnd(), SentAt + 960ms);
   EXPECT_TRUE(Replica->leaseValid(Now));
 }
--- a/tests/consensus/member_repair_test.cpp
+++ b/tests/consensus/member_repair_test.cpp
@@ -4,7 +4,7 @@
 namespace pollenstall {
 namespace {
 
-member_progress heard(std::uint64_t Id, member_standing Standing, mono_span Since) {
+member_progress heard(std::uint64_t Id, member_standing Standing, mono_duration Since) {
   return {{{member_id(Id), disk_identity(Id)}, Standing}, log_index(100), Since};
 }
 
@@ -29,7 +29,7 @@
     return memberRepair(Status, Emptied, Options);
   }
   void silence(std::size_t Place) { Status.Progress[Place].SinceHeard = 3s; }
-  void standBy(mono_span Since = 50ms) {
+  void standBy(mono_duration Since = 50ms) {
     Status.Progress.push_back(heard(9, member_standing::Learner, Since));
   }
 };
--- a/tests/consensus/random_run_test.cpp
+++ b/tests/consensus/random_run_test.cpp
@@ -40,10 +40,10 @@
 
 fault_rates drawRates(random_source &Random) {
   fault_rates Rates;
-  Rates.Drop = Random.chance(0.5) ? Random.unit() * 0.3 : 0;
-  Rates.Duplicate = Random.chance(0.5) ? Random.unit() * 0.3 : 0;
+  Rates.Drop = Random.chance(0.5) ? Random.uniform() * 0.3 : 0;
+  Rates.Duplicate = Random.chance(0.5) ? Random.uniform() * 0.3 : 0;
   Rates.MaxDelay = Random.chance(0.5) ? 2ms : 100ms;
-  Rates.LongDelay = Random.chance(0.5) ? Random.unit() * 0.1 : 0;
+  Rates.LongDelay = Random.chance(0.5) ? Random.uniform() * 0.1 : 0;
   Rates.LongDelayMax = Random.chance(0.3) ? 5s : 800ms;
   Rates.MaxSync = Random.chance(0.3) ? 400ms : 3ms;
   return Rates;
@@ -56,7 +56,7 @@
       : Faults(Seed ^ 0x5EED), Cluster(Size, Seed, drawOptions(Faults)) {}
 
   void run() {
-    Cluster.run(mono_span(Faults.below((5s / 1ns))));
+    Cluster.run(mono_duration(Faults.below((5s / 1ns))));
     const std::uint64_t Rounds = 20 + Faults.below(60);
     for (std::uint64_t Round = 0; Round < Rounds; ++Round) {
       doFault();
@@ -64,7 +64,7 @@
       const std::uint64_t Calls = Faults.below(12);
       for (std::uint64_t Call = 0; Call < Calls; ++Call)
         doCall();
-      Cluster.run(mono_span(Faults.below(800ms / 1ns)));
+      Cluster.run(mono_duration(Faults.below(800ms / 1ns)));
     }
     Cluster.heal();
     ASSERT_TRUE(Cluster.runUntil([this] { return Cluster.isWhole(); }, 120s)) << Cluster.dumps();
@@ -89,7 +89,7 @@
       Cluster.propose(Host);
     else
       Cluster.read(Host);
-    Cluster.run(mono_span(Faults.below(20ms / 1ns)));
+    Cluster.run(mono_duration(Faults.below(20ms / 1ns)));
   }
 
   void doFault() {
@@ -109,7 +109,7 @@
       Cluster.cutOff(Faults.below(Size));
       return;
     case 5:
-      Cluster.freeze(anyHost(), mono_span(Faults.below(4s / 1ns)));
+      Cluster.freeze(anyHost(), mono_duration(Faults.below(4s / 1ns)));
       return;
     case 6:
     case 7:
@@ -137,7 +137,7 @@
       if (Host.Process)
         Cluster.crash(Host);
     for (fake_host &Host : Cluster.hosts()) {
-      Cluster.run(mono_span(Faults.below(100ms / 1ns)));
+      Cluster.run(mono_duration(Faults.below(100ms / 1ns)));
       if (!Host.Process)
         Cluster.start(Host);
     }
--- a/tests/consensus/replica_driver_base.h
+++ b/tests/consensus/replica_driver_base.h
@@ -79,7 +79,7 @@
     collect();
   }
 
-  void pass(mono_span Span) {
+  void pass(mono_duration Span) {
     const mono_time End = Now + Span;
     while (Now < End) {
       Now = std::min(End, Now + 50ms);
--- a/tests/consensus/self_managed_run_test.cpp
+++ b/tests/consensus/self_managed_run_test.cpp
@@ -47,7 +47,7 @@
         call();
       if (Faults.chance(0.4))
         loseDisks();
-      Cluster.run(mono_span(Faults.below(3s / 1ns)));
+      Cluster.run(mono_duration(Faults.below(3s / 1ns)));
       if (Faults.chance(0.5)) {
         Cluster.heal();
         ASSERT_TRUE(settles()) << Cluster.dumps();
@@ -75,13 +75,13 @@
       Cluster.propose(Host);
     else
       Cluster.read(Host);
-    Cluster.run(mono_span(Faults.below(30ms / 1ns)));
+    Cluster.run(mono_duration(Faults.below(30ms / 1ns)));
   }
 
   void disturb() {
     switch (Faults.below(6)) {
     case 0:
-      return Cluster.freeze(anyHost(), mono_span(Faults.below(4s / 1ns)));
+      return Cluster.freeze(anyHost(), mono_duration(Faults.below(4s / 1ns)));
     case 1:
       return Cluster.cutOff(Faults.below(Cluster.hosts().size()));
     case 2: {
@@ -89,7 +89,7 @@
       for (fake_host &Host : Cluster.hosts())
         if (Host.Process)
           Cluster.crash(Host);
-      Cluster.run(mono_span(Faults.below(1s / 1ns)));
+      Cluster.run(mono_duration(Faults.below(1s / 1ns)));
       for (fake_host &Host : Cluster.hosts())
         Cluster.start(Host);
       return;
@@ -155,7 +155,7 @@
 TEST(SelfManagedRun, LosesNothingWhileHostsAreReplacedAtOtherAddresses) { runAll(false); }
 
 /// Hosts that start one after the other, each a moment after the one before.
-void expectOneLog(const std::vector<std::size_t> &Order, mono_span Apart) {
+void expectOneLog(const std::vector<std::size_t> &Order, mono_duration Apart) {
   random_source Options(1);
   fake_cluster Cluster(Target, 1 + Order[0], selfManaged(Options));
   Cluster.SelfManaged = true;
--- a/tests/consensus/total_loss_test.cpp
+++ b/tests/consensus/total_loss_test.cpp
@@ -37,13 +37,13 @@
   }
 
   /// Starts all but one within 60 ms. @return From the last start until a leader has committed.
-  mono_span timeToLeader(std::optional<member_id> Missing) {
+  mono_duration timeToLeader(std::optional<member_id> Missing) {
     for (fake_host &Host : Cluster.hosts()) {
-      Cluster.run(mono_span(Cluster.random().below(15ms / 1ns)));
+      Cluster.run(mono_duration(Cluster.random().below(15ms / 1ns)));
       if (Host.Id != Missing)
         Cluster.start(Host);
     }
-    mono_span Took{0};
+    mono_duration Took{0};
     while (Cluster.leader() == nullptr && Took < 5s) {
       Cluster.run(1ms);
       Took += 1ms;
@@ -55,7 +55,7 @@
   member_id Former;
 };
 
-mono_span percentile(std::vector<mono_span> Times, std::size_t Percent) {
+mono_duration percentile(std::vector<mono_duration> Times, std::size_t Percent) {
   std::sort(Times.begin(), Times.end());
   return Times[Times.size() * Percent / 100];
 }
@@ -64,7 +64,7 @@
 // leader has told the declaration in force. The former leader answers, so no lease is left that
 // voters would have to let pass: what remains is a vote's way and its syncs.
 TEST(AfterALossOfAllProcesses, ALeaderIsElectedWithoutAnElectionTimeout) {
-  std::vector<mono_span> Times;
+  std::vector<mono_duration> Times;
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed)
     Times.push_back(a_log_without_processes(Seed).timeToLeader(std::nullopt));
   EXPECT_LT(percentile(Times, 50), 100ms);
@@ -82,7 +82,7 @@
 TEST(AfterALossOfAllProcesses, TheLeaseOfALeaderThatIsNotHeardIsWaitedFor) {
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
     a_log_without_processes Log(Seed);
-    const mono_span Took = Log.timeToLeader(Log.Former);
+    const mono_duration Took = Log.timeToLeader(Log.Former);
     EXPECT_GE(Took, 225ms) << "seed " << Seed << ": 300 ms from the start of three of them";
     EXPECT_LT(Took, 2s) << "seed " << Seed;
   }
--- a/tests/control/control_cluster.cpp
+++ b/tests/control/control_cluster.cpp
@@ -185,12 +185,13 @@
 }
 
 test_entry::test_entry(const std::vector<std::string> &Controls, const std::string &Host,
-                       std::uint64_t Life)
-    : Link(control_link_builder(Controls, Fleet)
-               .process({host_name(Host), incarnation(Life)}, failure_domain_name("domain-1"))
-               .renewEvery(std::chrono::milliseconds(100))
-               .answerWithin(std::chrono::milliseconds(500))
-               .start()) {}
+                       std::uint64_t Incarnation)
+    : Link(
+          control_link_builder(Controls, Fleet)
+              .process({host_name(Host), incarnation(Incarnation)}, failure_domain_name("domain-1"))
+              .renewEvery(std::chrono::milliseconds(100))
+              .answerWithin(std::chrono::milliseconds(500))
+              .start()) {}
 
 bool test_entry::pumpUntil(const std::function<bool()> &Condition,
                            std::chrono::milliseconds Limit) {
--- a/tests/control/control_cluster.h
+++ b/tests/control/control_cluster.h
@@ -94,7 +94,7 @@
 class test_entry {
 public:
   test_entry(const std::vector<std::string> &Controls, const std::string &Host,
-             std::uint64_t Life = 1);
+             std::uint64_t Incarnation = 1);
 
   /// Handles events until the condition holds. @return False after Limit.
   bool pumpUntil(const std::function<bool()> &Condition,
--- a/tests/control/control_codec_test.cpp
+++ b/tests/control/control_codec_test.cpp
@@ -20,7 +20,7 @@
   State.execute(take_fence{});
   backend_listing Listing;
   Listing.Instance = instance_name("i-1");
-  Listing.Started = life_start(3);
+  Listing.Started = incarnation_start(3);
   Listing.Key = keyOf(backend_address("127.0.0.1:9"), {Listing.Instance, Listing.Started});
   State.execute(note_backends{{Listing}});
   return State;
@@ -78,8 +78,9 @@
 
 TEST(ControlCodec, BringsSuspectedRequestsBack) {
   control_state State{control_limits{}};
-  for (std::uint64_t Life = 1; Life <= 3; ++Life) {
-    const note_crash Crash{{{1, 2, 3, 4}}, incarnation(Life), unix_millis(Life * 1'000)};
+  for (std::uint64_t Incarnation = 1; Incarnation <= 3; ++Incarnation) {
+    const note_crash Crash{
+        {{1, 2, 3, 4}}, incarnation(Incarnation), unix_millis(Incarnation * 1'000)};
     const auto Command = decodeCommand(encodeCommand(Crash));
     ASSERT_TRUE(succeeded(Command));
     State.execute(valueOf(Command));
--- a/tests/control/entry_desk_test.cpp
+++ b/tests/control/entry_desk_test.cpp
@@ -209,7 +209,7 @@
   EXPECT_EQ(Changes[0].Base, revision(2));
   EXPECT_EQ(Changes[0].Revision, revision(3));
   EXPECT_EQ(applyPackedDifference(longText(2), Changes[0].Change), longText(3));
-  EXPECT_LT(Changes[0].Change.Bytes.size(), longText(3).size() / 10);
+  EXPECT_LT(Changes[0].Change.Compressed.size(), longText(3).size() / 10);
 }
 
 TEST_F(EntryDeskTest, SendsTheWholeToAnEntryThatHoldsNothingItKnows) {
@@ -380,8 +380,9 @@
   subscribe();
   take<link_suspects>();
   HoldsLease = false;
-  for (std::uint64_t Life = 1; Life <= 3; ++Life)
-    State.execute(note_crash{{{1, 2, 3, 4}}, incarnation(Life), unix_millis(Life * 1'000)});
+  for (std::uint64_t Incarnation = 1; Incarnation <= 3; ++Incarnation)
+    State.execute(
+        note_crash{{{1, 2, 3, 4}}, incarnation(Incarnation), unix_millis(Incarnation * 1'000)});
   Desk.suspectsChanged(Now);
   EXPECT_TRUE(take<link_suspects>().empty());
   HoldsLease = true;
--- a/tests/control/link_model.cpp
+++ b/tests/control/link_model.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-mono_span timeFor(std::size_t Bytes, double BytesPerSecond) {
-  return std::chrono::duration_cast<mono_span>(
+mono_duration timeFor(std::size_t Bytes, double BytesPerSecond) {
+  return std::chrono::duration_cast<mono_duration>(
       std::chrono::duration<double>(static_cast<double>(Bytes) / BytesPerSecond));
 }
 
--- a/tests/control/link_model.h
+++ b/tests/control/link_model.h
@@ -15,7 +15,7 @@
 class agenda {
 public:
   void at(mono_time When, std::function<void()> What) { Waiting.emplace(When, std::move(What)); }
-  void after(mono_span Span, std::function<void()> What) { at(Time + Span, std::move(What)); }
+  void after(mono_duration Span, std::function<void()> What) { at(Time + Span, std::move(What)); }
   /// Carries out all that is due until then.
   void runUntil(mono_time End);
   [[nodiscard]] mono_time now() const { return Time; }
@@ -29,7 +29,7 @@
 struct link_rates {
   double Sender{0};
   double Receiver{0}; ///< Where none is said for a connection.
-  mono_span Delay{0};
+  mono_duration Delay{0};
   /// Of one connection: no more is on its way, so that many connections share the link in turns.
   std::size_t Window{64U << 10U};
 };
--- a/tests/control/modelled_fleet.cpp
+++ b/tests/control/modelled_fleet.cpp
@@ -78,7 +78,7 @@
   return Hooks;
 }
 
-void modelled_fleet::runFor(mono_span Span) { Agenda.runUntil(Agenda.now() + Span); }
+void modelled_fleet::runFor(mono_duration Span) { Agenda.runUntil(Agenda.now() + Span); }
 
 // ---- The leader and its followers. ----
 
@@ -209,7 +209,7 @@
   entry &One = Entries[Number];
   One.Holds = Revision;
   renew(Number);
-  const auto Reading = std::chrono::duration_cast<mono_span>(std::chrono::duration<double>(
+  const auto Reading = std::chrono::duration_cast<mono_duration>(std::chrono::duration<double>(
       static_cast<double>(State.declared().Text.size()) / Plan.ReadBytesPerSecond));
   One.ReadingUntil = std::max(Agenda.now(), One.ReadingUntil) + Reading;
   Agenda.at(One.ReadingUntil, [this, Number, Revision] {
@@ -224,7 +224,7 @@
   });
 }
 
-std::optional<mono_span> modelled_fleet::tookEverywhere(revision Change) const {
+std::optional<mono_duration> modelled_fleet::tookEverywhere(revision Change) const {
   const change_course &Course = Courses.at(Change);
   if (!Course.Accepted || Course.InUse.size() < Entries.size())
     return std::nullopt;
--- a/tests/control/modelled_fleet.h
+++ b/tests/control/modelled_fleet.h
@@ -21,13 +21,13 @@
   std::size_t Followers{4};
   link_rates ToEntries{170e6 / 8, 20e6 / 8, std::chrono::microseconds(500)};
   in_force_options Leases;
-  mono_span RenewEvery{std::chrono::milliseconds(300)};
-  mono_span AnswerWithin{std::chrono::milliseconds(900)};
-  mono_span Reconnect{std::chrono::milliseconds(50)};
+  mono_duration RenewEvery{std::chrono::milliseconds(300)};
+  mono_duration AnswerWithin{std::chrono::milliseconds(900)};
+  mono_duration Reconnect{std::chrono::milliseconds(50)};
   /// An entry reads and checks this much text in a second: a text of 0.88 MB in 5.7 ms of a core
   /// of which it has 0.12.
   double ReadBytesPerSecond{0.88e6 / 0.0057 * 0.12};
-  mono_span Heartbeat{std::chrono::milliseconds(50)};
+  mono_duration Heartbeat{std::chrono::milliseconds(50)};
 };
 
 /// What became of one change.
@@ -47,16 +47,16 @@
 
   /// The operator's change goes into the log now. @return Its revision.
   revision change(const std::string &Text);
-  void runFor(mono_span Span);
+  void runFor(mono_duration Span);
   /// Nothing from or to this entry passes from now on, and it does not know it.
   void cutOff(std::size_t Entry) { Entries[Entry].CutOff = true; }
 
   [[nodiscard]] const change_course &course(revision Change) const { return Courses.at(Change); }
   /// @return From the acceptance until the last entry acts on the change; nothing where one never
   /// did.
-  [[nodiscard]] std::optional<mono_span> tookEverywhere(revision Change) const;
+  [[nodiscard]] std::optional<mono_duration> tookEverywhere(revision Change) const;
   /// @return Between two heartbeats at a follower, at most.
-  [[nodiscard]] mono_span longestHeartbeatGap() const { return LongestGap; }
+  [[nodiscard]] mono_duration longestHeartbeatGap() const { return LongestGap; }
   /// @return Connections that entries gave up.
   [[nodiscard]] std::size_t lostControl() const { return Lost; }
   /// @return Spans of an entry without a lease, looked at every 10 ms.
@@ -103,7 +103,7 @@
   revision LastChange;
   std::map<revision, change_course> Courses;
   std::vector<mono_time> Beats; ///< The last that each follower got.
-  mono_span LongestGap{0};
+  mono_duration LongestGap{0};
   std::size_t Lost{0};
   std::size_t UnreadyLooks{0};
   std::size_t BrokenPromises{0};
--- a/tests/control/order_duty_test.cpp
+++ b/tests/control/order_duty_test.cpp
@@ -27,7 +27,7 @@
 
   void announce(const backend_process &Engine, order_check Orders) {
     heard_announcement Heard;
-    Heard.Announcement.Key = {backend_address(Engine.address()), lifeOf(Engine)};
+    Heard.Announcement.Key = {backend_address(Engine.address()), incarnationOf(Engine)};
     Heard.Announcement.Service = service_name("llm");
     Heard.Announcement.Domain = failure_domain_name("domain-1");
     Heard.Announcement.Capabilities.Orders = Orders;
@@ -37,7 +37,7 @@
   }
 
 private:
-  static incarnation lifeOf(const backend_process &Engine) {
+  static incarnation incarnationOf(const backend_process &Engine) {
     const auto State = objectIn(Engine.client().get("/v1/state"));
     return incarnation(State.at("incarnation").to_number<std::uint64_t>());
   }
--- a/tests/control/suspect_link_test.cpp
+++ b/tests/control/suspect_link_test.cpp
@@ -17,7 +17,7 @@
   bool reportUntilBlocked(test_entry &Entry) {
     return Entry.pumpUntil([&] {
       Entry.link().request(
-          crash_seen{{backend_address("127.0.0.1:1"), incarnation(++LastLife)}, {Cause}});
+          crash_seen{{backend_address("127.0.0.1:1"), incarnation(++LastIncarnation)}, {Cause}});
       return isBlocked(Entry);
     });
   }
@@ -28,7 +28,7 @@
 
   control_cluster Cluster{Hosts};
   const request_mark Cause{1, 2, 3, 4};
-  std::uint64_t LastLife{0};
+  std::uint64_t LastIncarnation{0};
 };
 
 // Guards against an entry that did not see the crashes, or starts later, and runs the request.
--- a/tests/control_state/apply_bound_test.cpp
+++ b/tests/control_state/apply_bound_test.cpp
@@ -107,7 +107,7 @@
   const mono_time Accepted = Now;
   Tracker.accepted(revision(5), Now);
   renew(One, 4);
-  const mono_span LongestLease = Times.Lease + Times.Lease * 2 * Times.ClockSkewPermille / 1000;
+  const mono_duration LongestLease = Times.Lease + Times.Lease * 2 * Times.ClockSkewPermille / 1000;
   EXPECT_LE(acknowledged(5), Accepted + LongestLease - Times.ApplyWithin + Step);
 }
 
--- a/tests/control_state/control_link_test.cpp
+++ b/tests/control_state/control_link_test.cpp
@@ -24,7 +24,7 @@
           link_settle_answer{4},
           link_drains{2, {backend_address("127.0.0.1:9")}},
           link_declaration_change{revision(3), revision(4),
-                                  packDifference(differenceOf("{a}{b}", "{b}{c}"))}};
+                                  packDifference(computeDifference("{a}{b}", "{b}{c}"))}};
 }
 
 TEST(LinkMessages, ComeBackAsTheyWereSent) {
--- a/tests/control_state/control_state_test.cpp
+++ b/tests/control_state/control_state_test.cpp
@@ -132,9 +132,9 @@
 }
 
 TEST_F(ChangesTest, NeverLowerAFencingNumber) {
-  EXPECT_EQ(State.execute(take_fence{}), control_answer(fence_granted{fencing_number(1)}));
+  EXPECT_EQ(State.execute(take_fence{}), control_answer(fence_granted{fencing_token(1)}));
   control_state Other = reloaded(State);
-  EXPECT_EQ(Other.execute(take_fence{}), control_answer(fence_granted{fencing_number(2)}));
+  EXPECT_EQ(Other.execute(take_fence{}), control_answer(fence_granted{fencing_token(2)}));
 }
 
 TEST_F(ChangesTest, CarryClaimsAcrossASnapshot) {
@@ -161,7 +161,7 @@
 backend_listing listed(const std::string &Name, std::uint64_t Started, listing_state State) {
   backend_listing Listing;
   Listing.Instance = instance_name(Name);
-  Listing.Started = life_start(Started);
+  Listing.Started = incarnation_start(Started);
   Listing.Key = keyOf(backend_address("127.0.0.1:9"), {Listing.Instance, Listing.Started});
   Listing.State = State;
   return Listing;
@@ -231,8 +231,8 @@
 
 class CrashesTest : public ChangesTest {
 protected:
-  static note_crash crash(std::uint64_t Life, std::int64_t Time) {
-    return {{{1, 2, 3, 4}}, incarnation(Life), unix_millis(Time)};
+  static note_crash crash(std::uint64_t Incarnation, std::int64_t Time) {
+    return {{{1, 2, 3, 4}}, incarnation(Incarnation), unix_millis(Time)};
   }
   [[nodiscard]] std::size_t told(const control_state &Of) const {
     return Of.suspects().told(unix_millis(100'000)).size();
--- a/tests/control_state/held_text_test.cpp
+++ b/tests/control_state/held_text_test.cpp
@@ -100,7 +100,7 @@
 
 link_declaration_change change(std::uint64_t Base, const std::string &Old, std::uint64_t Number,
                                const std::string &New) {
-  return {revision(Base), revision(Number), packDifference(differenceOf(Old, New))};
+  return {revision(Base), revision(Number), packDifference(computeDifference(Old, New))};
 }
 
 TEST(AHeldText, IsBuiltOnByTheNextDifferences) {
--- a/tests/control_state/in_force_test.cpp
+++ b/tests/control_state/in_force_test.cpp
@@ -17,7 +17,8 @@
     Now += Times.Lease * 2; // past the leases of a predecessor
   }
 
-  std::optional<mono_span> renew(const process_key &Entry, std::optional<std::uint64_t> Confirmed) {
+  std::optional<mono_duration> renew(const process_key &Entry,
+                                     std::optional<std::uint64_t> Confirmed) {
     std::optional<revision> Number;
     if (Confirmed)
       Number = revision(*Confirmed);
--- a/tests/core/core_test.cpp
+++ b/tests/core/core_test.cpp
@@ -12,12 +12,12 @@
 
 TEST(AttemptText, ReadsBackWhatItWrote) {
   EXPECT_EQ(toText(Sample), "accra-a-1/17/42/2");
-  EXPECT_EQ(attemptFromText(toText(Sample)), Sample);
+  EXPECT_EQ(parseAttemptId(toText(Sample)), Sample);
 }
 
 TEST(AttemptText, RefusesOtherForms) {
   for (const char *Text : {"", "a/1/2", "a/1/2/x", "/1/2/3", "a/1/2/3/4", "a/-1/2/3", "a/1/2/"})
-    EXPECT_EQ(attemptFromText(Text), std::nullopt) << Text;
+    EXPECT_EQ(parseAttemptId(Text), std::nullopt) << Text;
 }
 
 TEST(BoundedRing, RefusesBeyondItsCapacityAndKeepsOrder) {
--- a/tests/core/number_test.cpp
+++ b/tests/core/number_test.cpp
@@ -7,14 +7,14 @@
 namespace {
 
 TEST(ANumber, IsReadWhole) {
-  EXPECT_EQ(numberFrom<std::uint64_t>("18446744073709551615"), 18'446'744'073'709'551'615ULL);
-  EXPECT_EQ(numberFrom<int>("-3"), -3);
-  EXPECT_EQ(numberFrom<double>("0.5"), 0.5);
+  EXPECT_EQ(parseNumber<std::uint64_t>("18446744073709551615"), 18'446'744'073'709'551'615ULL);
+  EXPECT_EQ(parseNumber<int>("-3"), -3);
+  EXPECT_EQ(parseNumber<double>("0.5"), 0.5);
 }
 
 TEST(ANumber, ThatIsNoneIsRefused) {
   for (const char *Text : {"", " 1", "1 ", "+1", "1x", "x", "0x10", "-1", "65536"})
-    EXPECT_FALSE(numberFrom<std::uint16_t>(Text)) << Text;
+    EXPECT_FALSE(parseNumber<std::uint16_t>(Text)) << Text;
 }
 
 } // namespace
--- a/tests/directory/directory_test.cpp
+++ b/tests/directory/directory_test.cpp
@@ -24,7 +24,7 @@
 /// The same, of an engine that says when its life began.
 backend_notice noticeOf(std::uint64_t Started, std::uint64_t Sequence, bool Leaving = false) {
   backend_notice Notice = notice("a", Sequence, Leaving);
-  Notice.Started = life_start(Started);
+  Notice.Started = incarnation_start(Started);
   return Notice;
 }
 
@@ -35,7 +35,7 @@
   std::vector<backend_listing> hear(const backend_notice &Notice) {
     return Directory.hear(Notice, Now);
   }
-  void pass(mono_span Span) { Now += Span; }
+  void pass(mono_duration Span) { Now += Span; }
   [[nodiscard]] std::vector<std::string> active() const {
     std::vector<std::string> Names;
     for (const backend_listing &Listing : Directory.all())
@@ -191,7 +191,7 @@
   const auto Changes = hear(noticeOf(2'000, 1));
   ASSERT_EQ(Changes.size(), 2U);
   EXPECT_EQ(Changes[0].State, listing_state::Gone);
-  EXPECT_EQ(Changes[0].Started, life_start(1'000));
+  EXPECT_EQ(Changes[0].Started, incarnation_start(1'000));
   EXPECT_EQ(Changes[1].State, listing_state::Active);
   EXPECT_NE(Changes[0].Key, Changes[1].Key);
   EXPECT_EQ(activeStarts(), std::vector<std::uint64_t>{2'000});
@@ -213,12 +213,12 @@
 TEST_F(an_engine_that_keeps_its_name, IsUsedAgainAfterTheLifeBeforeHasLeft) {
   hear(noticeOf(1'000, 1));
   hear(noticeOf(1'000, 2, true));
-  Directory.withdraw({instance_name("a"), life_start(1'000)}, Now);
+  Directory.withdraw({instance_name("a"), incarnation_start(1'000)}, Now);
   EXPECT_TRUE(hear(noticeOf(1'000, 3)).empty());
   EXPECT_EQ(hear(noticeOf(2'000, 1)).size(), 2U);
-  EXPECT_TRUE(Directory.withdraw({instance_name("a"), life_start(1'000)}, Now).empty());
+  EXPECT_TRUE(Directory.withdraw({instance_name("a"), incarnation_start(1'000)}, Now).empty());
   EXPECT_EQ(activeStarts(), std::vector<std::uint64_t>{2'000});
-  EXPECT_EQ(Directory.withdraw({instance_name("a"), life_start(2'000)}, Now).size(), 1U);
+  EXPECT_EQ(Directory.withdraw({instance_name("a"), incarnation_start(2'000)}, Now).size(), 1U);
   EXPECT_TRUE(activeStarts().empty());
 }
 
@@ -228,7 +228,7 @@
   hear(noticeOf(2'000, 1));
   pass(10s);
   backend_notice Earlier = notice("earlier", 7);
-  Earlier.Started = life_start(1'000);
+  Earlier.Started = incarnation_start(1'000);
   EXPECT_TRUE(hear(Earlier).empty());
   EXPECT_EQ(activeStarts(), std::vector<std::uint64_t>{2'000});
 }
@@ -249,7 +249,7 @@
       const bool Leaving = Random.below(10) == 0;
       const bool Withdraws = Random.below(12) == 0;
       if (Withdraws)
-        Fresh.withdraw({instance_name("a"), life_start(Started)}, Now);
+        Fresh.withdraw({instance_name("a"), incarnation_start(Started)}, Now);
       else
         Fresh.hear(noticeOf(Started, Sequence, Leaving), Now);
       if (Started > Newest) {
@@ -272,11 +272,11 @@
 }
 
 struct an_entry : testing::Test {
-  directory_follower Follower{mono_span(3s)};
+  directory_follower Follower{mono_duration(3s)};
   mono_time Now{1h};
 
   static backend_listing listing(const std::string &Name, listing_state State,
-                                 life_start Started = {}) {
+                                 incarnation_start Started = {}) {
     backend_listing Listing;
     Listing.Key = keyOf(backend_address("127.0.0.1:9"), {instance_name(Name), Started});
     Listing.Instance = instance_name(Name);
@@ -306,8 +306,8 @@
 // The leader that listed the former life is gone; its successor knows the new one alone. Work and
 // failures of the former life must not count for the new one.
 TEST_F(an_entry, DropsTheFormerLifeWhereALeaderListsTheNextOne) {
-  const auto Old = listing("a", listing_state::Active, life_start(1'000));
-  const auto New = listing("a", listing_state::Active, life_start(2'000));
+  const auto Old = listing("a", listing_state::Active, incarnation_start(1'000));
+  const auto New = listing("a", listing_state::Active, incarnation_start(2'000));
   Follower.takeAll({Old}, Now);
   const auto Changes = Follower.takeAll({New}, Now);
   ASSERT_EQ(Changes.size(), 2U);
--- a/tests/dispatch/dispatch_story.h
+++ b/tests/dispatch/dispatch_story.h
@@ -77,7 +77,7 @@
     Dispatch.place({request_number(Number), Backend, 0, {}}, Now);
     collect();
   }
-  void pass(mono_span Time) {
+  void pass(mono_duration Time) {
     Now += Time;
     Dispatch.advance(Now);
     collect();
--- a/tests/dispatch/random_relay.cpp
+++ b/tests/dispatch/random_relay.cpp
@@ -19,10 +19,10 @@
 }
 
 void random_world::act(std::size_t Entry, const start_attempt &Action) {
-  entry_life &Life = Entries.at(Entry);
-  Life.Connections[Action.Attempt] = {Action.Backend, true, 0, 0};
+  entry_incarnation &Incarnation = Entries.at(Entry);
+  Incarnation.Connections[Action.Attempt] = {Action.Backend, true, 0, 0};
   const attempt_id Id = Action.Attempt;
-  if (Life.Relaying.count(Id.Request) != 0)
+  if (Incarnation.Relaying.count(Id.Request) != 0)
     return failConnection(Entry, Id, attempt_failure::BrokenUnsent);
   afterAt(Entry, delay(), [this, Entry, Id, Backend = Action.Backend] {
     if (!Entries.at(Entry).Connections[Id].Open)
@@ -100,22 +100,22 @@
 
 void random_world::relayPart(std::size_t Entry, const attempt_id &From, const attempt_id &On,
                              std::uint32_t Generation, std::uint32_t Part) {
-  entry_life &Life = Entries.at(Entry);
-  relay_connection &Connection = Life.Connections[On];
+  entry_incarnation &Incarnation = Entries.at(Entry);
+  relay_connection &Connection = Incarnation.Connections[On];
   if (!Connection.Open)
     return;
   if (From != On)
     return failConnection(Entry, On, attempt_failure::BadAnswer);
   if (Generation != Connection.Generation)
     return;
-  const auto Relaying = Life.Relaying.find(On.Request);
-  const bool First = Relaying == Life.Relaying.end();
+  const auto Relaying = Incarnation.Relaying.find(On.Request);
+  const bool First = Relaying == Incarnation.Relaying.end();
   if (Part != Connection.NextPart)
     return failConnection(Entry, On, attempt_failure::BadAnswer);
   if (chance(0.08))
     return failConnection(Entry, On,
                           First ? attempt_failure::BrokenSent : attempt_failure::BrokenMidway);
-  Life.Relaying[On.Request] = On;
+  Incarnation.Relaying[On.Request] = On;
   ++Connection.NextPart;
   const send_index Send = SendOf.at({On.Owner, On.Request});
   Works[Send.first].Sends[Send.second].Got.push_back({From, Part});
@@ -167,7 +167,7 @@
   fake_engine &Engine = Engines.at(Index);
   const backend_key Dead = Engine.Key;
   Engine = {};
-  Engine.Key = {Dead.Address, Dead.Life.next()};
+  Engine.Key = {Dead.Address, Dead.Incarnation.next()};
   for (std::size_t Entry = 0; Entry < Entries.size(); ++Entry) {
     afterAt(Entry, delay() * 10, [this, Entry, Dead] {
       Entries.at(Entry).Dispatch->backendGone(Dead, Now);
--- a/tests/dispatch/random_world.cpp
+++ b/tests/dispatch/random_world.cpp
@@ -34,7 +34,7 @@
     });
 }
 
-mono_span random_world::delay() {
+mono_duration random_world::delay() {
   const std::uint64_t Most = chance(0.05) ? 4'000 : 60;
   return milliseconds(1 + Random.below(Most));
 }
@@ -44,7 +44,7 @@
     std::optional<mono_time> Next;
     if (!Agenda.empty())
       Next = Agenda.begin()->first;
-    for (const entry_life &Entry : Entries)
+    for (const entry_incarnation &Entry : Entries)
       if (const auto Wake = Entry.Dispatch->nextWake())
         Next = Next ? std::min(*Next, *Wake) : *Wake;
     if (!Next || *Next >= End)
@@ -73,20 +73,20 @@
 }
 
 void random_world::birth(std::size_t Entry) {
-  entry_life Life;
-  Life.Self = {host_name("entry-" + std::to_string(Entry)), incarnation(++Lives)};
+  entry_incarnation Incarnation;
+  Incarnation.Self = {host_name("entry-" + std::to_string(Entry)), incarnation(++Incarnations)};
   limits_declaration Limits;
   Limits.RetryPercent = 100;
   auto Built = dispatcher_builder()
-                   .process(Life.Self)
+                   .process(Incarnation.Self)
                    .limits(Limits)
                    .seed(Random())
                    .seam(seam(Entry))
                    .build();
-  Life.Dispatch.emplace(valueOf(std::move(Built)));
-  Life.Dispatch->setReady(true);
-  Life.RingFree = Now;
-  Entries.at(Entry) = std::move(Life);
+  Incarnation.Dispatch.emplace(valueOf(std::move(Built)));
+  Incarnation.Dispatch->setReady(true);
+  Incarnation.RingFree = Now;
+  Entries.at(Entry) = std::move(Incarnation);
 }
 
 void random_world::death(std::size_t Entry) {
@@ -122,7 +122,7 @@
   return Seam;
 }
 
-void random_world::afterAt(std::size_t Entry, mono_span Delay, action Do) {
+void random_world::afterAt(std::size_t Entry, mono_duration Delay, action Do) {
   after(Delay, [this, Entry, Self = Entries.at(Entry).Self, Do = std::move(Do)] {
     if (Entries.at(Entry).Self == Self)
       Do();
@@ -130,18 +130,18 @@
 }
 
 void random_world::tell(std::size_t Entry, const dispatch_event &Event) {
-  entry_life &Life = Entries.at(Entry);
-  Life.RingFree = std::max(Life.RingFree, Now + delay() / 4);
-  afterAt(Entry, Life.RingFree - Now, [this, Entry, Event] {
+  entry_incarnation &Incarnation = Entries.at(Entry);
+  Incarnation.RingFree = std::max(Incarnation.RingFree, Now + delay() / 4);
+  afterAt(Entry, Incarnation.RingFree - Now, [this, Entry, Event] {
     Entries.at(Entry).Dispatch->handle(Event, Now);
     pump(Entry);
   });
   // The relay's ring itself doubles nothing; what comes from outside may be seen twice.
   if (!std::holds_alternative<request_arrived>(Event))
-    Life.Past.push_back(Event);
-  if (!Life.Past.empty() && chance(0.05))
+    Incarnation.Past.push_back(Event);
+  if (!Incarnation.Past.empty() && chance(0.05))
     afterAt(Entry, delay() * 3, [this, Entry] {
-      entry_life &Still = Entries.at(Entry);
+      entry_incarnation &Still = Entries.at(Entry);
       Still.Dispatch->handle(Still.Past[Random.below(Still.Past.size())], Now);
       pump(Entry);
     });
@@ -153,14 +153,14 @@
 }
 
 void random_world::schedule(std::size_t Entry, request_number Request) {
-  entry_life &Life = Entries.at(Entry);
-  const auto Found = Life.Queue.find(Request);
-  if (Found == Life.Queue.end())
+  entry_incarnation &Incarnation = Entries.at(Entry);
+  const auto Found = Incarnation.Queue.find(Request);
+  if (Found == Incarnation.Queue.end())
     return;
   const work_item Item = Found->second;
-  Life.Queue.erase(Found);
+  Incarnation.Queue.erase(Found);
   if (chance(0.03)) {
-    Life.Dispatch->expire({Request, {failure_reason::DeadlineUnmeetable, seconds(1)}}, Now);
+    Incarnation.Dispatch->expire({Request, {failure_reason::DeadlineUnmeetable, seconds(1)}}, Now);
     return pump(Entry);
   }
   std::vector<backend_key> Choice;
@@ -169,21 +169,21 @@
       Choice.push_back(Engine.Key);
   if (Choice.empty())
     Choice.push_back(Engines[0].Key);
-  Life.Dispatch->place({Request, Choice[Random.below(Choice.size())], 0, seconds(1)}, Now);
+  Incarnation.Dispatch->place({Request, Choice[Random.below(Choice.size())], 0, seconds(1)}, Now);
   pump(Entry);
 }
 
 void random_world::callerSends(std::size_t Work) {
   const std::size_t Entry = Random.below(Entries.size());
-  entry_life &Life = Entries.at(Entry);
+  entry_incarnation &Incarnation = Entries.at(Entry);
   request_facts Facts;
-  Facts.Id = request_number(Life.NextRequest++);
+  Facts.Id = request_number(Incarnation.NextRequest++);
   Facts.Account = client_account_name("acme-1");
   Facts.Idempotent = Works[Work].Idempotent;
   Facts.IdempotencyKey = Works[Work].Key;
   Facts.Arrived = Now;
   Facts.Deadline = Now + milliseconds(200 + Random.below(20'000));
-  SendOf[{Life.Self, Facts.Id}] = {Work, Works[Work].Sends.size()};
+  SendOf[{Incarnation.Self, Facts.Id}] = {Work, Works[Work].Sends.size()};
   Works[Work].Sends.emplace_back();
   tell(Entry, request_arrived{Facts});
   if (chance(0.1))
@@ -251,8 +251,8 @@
 }
 
 void random_world::act(std::size_t Entry, const finish_request &Action) {
-  entry_life &Life = Entries.at(Entry);
-  afterAt(Entry, milliseconds(1), [this, Self = Life.Self, Action] {
+  entry_incarnation &Incarnation = Entries.at(Entry);
+  afterAt(Entry, milliseconds(1), [this, Self = Incarnation.Self, Action] {
     callerHears(SendOf.at({Self, Action.Request}), Action);
   });
 }
@@ -264,7 +264,7 @@
     checkEntry(Entry);
   for (const fake_engine &Engine : Engines)
     for (const auto &[Attempt, Parts] : Engine.Running)
-      for (const entry_life &Entry : Entries)
+      for (const entry_incarnation &Entry : Entries)
         if (Attempt.Owner == Entry.Self)
           violate("an engine kept the memory of " + toText(Attempt));
 }
@@ -286,8 +286,8 @@
 }
 
 void random_world::checkEntry(std::size_t Entry) {
-  const entry_life &Life = Entries.at(Entry);
-  const dispatch_dump Dump = Life.Dispatch->dump(Now);
+  const entry_incarnation &Incarnation = Entries.at(Entry);
+  const dispatch_dump Dump = Incarnation.Dispatch->dump(Now);
   Totals.Complete += Dump.Counters.Complete;
   Totals.NotRun += Dump.Counters.NotRun;
   Totals.Unknown += Dump.Counters.Unknown;
@@ -298,10 +298,10 @@
     violate("a request has no final answer");
   if (!Dump.Abandoned.empty())
     violate("the ledger is not empty: " + toText(Dump.Abandoned[0].Attempt));
-  if (Life.Started != Life.Ended)
+  if (Incarnation.Started != Incarnation.Ended)
     violate("an attempt's memory was never given back");
   for (const auto &[Request, Send] : SendOf)
-    if (Request.first == Life.Self && Works[Send.first].Sends[Send.second].Ends != 1)
+    if (Request.first == Incarnation.Self && Works[Send.first].Sends[Send.second].Ends != 1)
       violate("a caller got no final answer");
 }
 
--- a/tests/dispatch/random_world.h
+++ b/tests/dispatch/random_world.h
@@ -51,7 +51,7 @@
 };
 
 /// One life of an entry: its dispatcher, its scheduler's queue and its relay.
-struct entry_life {
+struct entry_incarnation {
   process_key Self;
   std::optional<dispatcher> Dispatch;
   std::map<request_number, work_item> Queue;
@@ -91,8 +91,8 @@
   using action = std::function<void()>;
   using send_index = std::pair<std::size_t, std::size_t>; ///< Work and send.
 
-  void after(mono_span Delay, action Do) { Agenda.emplace(Now + Delay, std::move(Do)); }
-  mono_span delay();
+  void after(mono_duration Delay, action Do) { Agenda.emplace(Now + Delay, std::move(Do)); }
+  mono_duration delay();
   bool chance(double Probability) { return Chaos && Random.chance(Probability); }
   void violate(const std::string &What) { Violations.push_back(What); }
   void runUntilQuiet(mono_time End);
@@ -101,7 +101,7 @@
   void death(std::size_t Entry);
   dispatch_seam seam(std::size_t Entry);
   /// Does something later at an entry, only in the same life of it.
-  void afterAt(std::size_t Entry, mono_span Delay, action Do);
+  void afterAt(std::size_t Entry, mono_duration Delay, action Do);
   void tell(std::size_t Entry, const dispatch_event &Event);
   void pump(std::size_t Entry);
   void schedule(std::size_t Entry, request_number Request);
@@ -138,9 +138,9 @@
   mono_time Now{std::chrono::hours(1)};
   std::multimap<mono_time, action> Agenda;
   std::uint64_t Steps{0};
-  std::uint64_t Lives{0};
+  std::uint64_t Incarnations{0};
   claim_table Claims{1000};
-  std::array<entry_life, 2> Entries;
+  std::array<entry_incarnation, 2> Entries;
   std::array<fake_engine, 3> Engines;
   std::vector<caller_work> Works;
   std::map<std::pair<process_key, request_number>, send_index> SendOf;
--- a/tests/fake_backend/engine_test.cpp
+++ b/tests/fake_backend/engine_test.cpp
@@ -25,7 +25,7 @@
   Job->Answer.PromptTokens = Tokens;
   Job->Answer.AnswerTokens = Answer;
   for (std::int64_t Block = 0; Block < Tokens / 4; ++Block)
-    Job->BlockHashes.push_back(mixHash(Prefix, static_cast<std::uint64_t>(Block)));
+    Job->BlockHashes.push_back(combineHashes(Prefix, static_cast<std::uint64_t>(Block)));
   return Job;
 }
 
--- a/tests/membership/backend_table_test.cpp
+++ b/tests/membership/backend_table_test.cpp
@@ -15,11 +15,11 @@
 const backend_address Address("10.1.0.1:8000");
 constexpr table_time Start{mono_time(1h), 1h};
 
-table_time after(mono_span Span) { return {Start.Now + Span, Start.Listened + Span}; }
+table_time after(mono_duration Span) { return {Start.Now + Span, Start.Listened + Span}; }
 
-backend_record recordOf(std::uint64_t Life, std::uint64_t Sequence, bool Leaving) {
+backend_record recordOf(std::uint64_t Incarnation, std::uint64_t Sequence, bool Leaving) {
   backend_record Record;
-  Record.Announcement.Key = {Address, incarnation(Life)};
+  Record.Announcement.Key = {Address, incarnation(Incarnation)};
   Record.Announcement.Labels["said-at"] = std::to_string(Sequence);
   Record.Announcement.Leaving = Leaving;
   Record.Sequence = Sequence;
@@ -87,10 +87,10 @@
   const auto Count = *rc::gen::inRange<std::size_t>(1, 12);
   std::vector<backend_record> Records;
   for (std::size_t Index = 0; Index < Count; ++Index) {
-    const auto Life = *rc::gen::inRange<std::uint64_t>(1, 4);
+    const auto Incarnation = *rc::gen::inRange<std::uint64_t>(1, 4);
     const auto Sequence = *rc::gen::inRange<std::uint64_t>(1, 6);
     Records.push_back(
-        recordOf(Life, Sequence, *rc::gen::weightedElement<bool>({{4, false}, {1, true}})));
+        recordOf(Incarnation, Sequence, *rc::gen::weightedElement<bool>({{4, false}, {1, true}})));
   }
   backend_table InOrder{membership_settings{}};
   backend_table Shuffled{membership_settings{}};
--- a/tests/membership/failure_detector_test.cpp
+++ b/tests/membership/failure_detector_test.cpp
@@ -14,7 +14,7 @@
 class DetectorTest : public testing::Test {
 protected:
   /// @return How long after its start the probe accuses the target.
-  mono_span timeToAccuse(std::uint64_t Nonce) {
+  mono_duration timeToAccuse(std::uint64_t Nonce) {
     Detector.begin(Target, Nonce, Now);
     const mono_time Began = Now;
     while (!Detector.takeFailure(Now))
--- a/tests/membership/fake_network.h
+++ b/tests/membership/fake_network.h
@@ -22,8 +22,8 @@
 struct network_faults {
   double Drop{0};
   double Duplicate{0};
-  mono_span MinDelay{500us};
-  mono_span MaxDelay{2ms};
+  mono_duration MinDelay{500us};
+  mono_duration MaxDelay{2ms};
 };
 
 /// One process of the system on one host.
@@ -77,7 +77,7 @@
   /// Starts a host's process, or replaces it by a new incarnation.
   void start(std::size_t Index) {
     fake_host &Host = Hosts[Index];
-    Host.Key = {host_name("host-" + std::to_string(Index)), incarnation(++LastLife)};
+    Host.Key = {host_name("host-" + std::to_string(Index)), incarnation(++LastIncarnation)};
     fleet_membership_builder Builder;
     Builder.self(Host.Key, failure_domain_name(domainOf(Index)))
         .address(addressOf(Index))
@@ -120,7 +120,7 @@
     const std::size_t Index = Backends.size();
     fake_backend Backend;
     Backend.Announcement.Key = {backend_address("10.1.0." + std::to_string(Index) + ":8000"),
-                                incarnation(++LastLife)};
+                                incarnation(++LastIncarnation)};
     Backend.Announcement.Service = service_name("tactic-llm");
     Backend.Announcement.Domain = failure_domain_name(domainOf(Index));
     Backend.Announcement.Models = {model_name("base-model-7b"), model_name("adapter-a")};
@@ -129,13 +129,14 @@
     Backend.Sticky = Sticky;
     Backend.Host = Random.below(Hosts.size());
     Backends.push_back(Backend);
-    schedule(Now + mono_span(Random.below(mono_span(1s).count())), event_kind::Announce, Index);
+    schedule(Now + mono_duration(Random.below(mono_duration(1s).count())), event_kind::Announce,
+             Index);
     return Index;
   }
   /// The address comes back as a new backend server.
   void restartBackend(std::size_t Index) {
     fake_backend &Backend = Backends[Index];
-    Backend.Announcement.Key.Life = incarnation(++LastLife);
+    Backend.Announcement.Key.Incarnation = incarnation(++LastIncarnation);
     Backend.Announcement.Leaving = false;
     Backend.Load = {};
     Backend.Alive = true;
@@ -143,7 +144,7 @@
   /// Announces now, as a backend server does when it starts to leave.
   void announceNow(std::size_t Index) { announce(Index); }
 
-  void runFor(mono_span Span) {
+  void runFor(mono_duration Span) {
     const mono_time End = Now + Span;
     while (!Events.empty() && Events.top().At <= End) {
       event Next = Events.top();
@@ -155,7 +156,8 @@
     Now = End;
   }
   /// Runs until the condition holds. @return Whether it did within the time.
-  bool runUntil(const std::function<bool()> &Holds, mono_span Limit, mono_span Step = 50ms) {
+  bool runUntil(const std::function<bool()> &Holds, mono_duration Limit,
+                mono_duration Step = 50ms) {
     const mono_time End = Now + Limit;
     while (!Holds()) {
       if (Now >= End)
@@ -299,17 +301,17 @@
       if (Cuts.count({From, To}) != 0 || Random.chance(Faults.Drop))
         continue;
       const auto Spread = static_cast<std::uint64_t>((Faults.MaxDelay - Faults.MinDelay).count());
-      const mono_span Delay = Faults.MinDelay + mono_span(Random.below(Spread + 1));
+      const mono_duration Delay = Faults.MinDelay + mono_duration(Random.below(Spread + 1));
       schedule(Now + Delay, event_kind::Deliver, To, addressOf(From), Message);
     }
   }
 
   membership_settings Settings;
   std::unordered_map<peer_address, std::size_t> ByAddress;
-  mono_time Now{mono_span(1h)};
+  mono_time Now{mono_duration(1h)};
   std::priority_queue<event> Events;
   std::uint64_t LastOrder{0};
-  std::uint64_t LastLife{0};
+  std::uint64_t LastIncarnation{0};
 };
 
 } // namespace pollenstall
--- a/tests/membership/random_fleet_test.cpp
+++ b/tests/membership/random_fleet_test.cpp
@@ -22,7 +22,7 @@
 
 /// What one host has been shown of one backend server address.
 struct shown_backend {
-  incarnation Life;
+  incarnation Incarnation;
   bool Leaving{false};
 };
 
@@ -42,7 +42,7 @@
     const std::uint64_t Rounds = 15 + Net.Random.below(25);
     for (std::uint64_t Round = 0; Round < Rounds; ++Round) {
       disturb();
-      Net.runFor(mono_span(Net.Random.below(mono_span(5s).count())));
+      Net.runFor(mono_duration(Net.Random.below(mono_duration(5s).count())));
     }
     calm();
     Net.runFor(60s);
@@ -66,10 +66,10 @@
   void checkBackend(std::size_t Host, const backend_view &View) {
     const backend_key &Key = View.Announcement.Key;
     shown_backend &Shown = ShownAt[{Net.Hosts[Host].Key, Key.Address}];
-    if (Key.Life < Shown.Life)
+    if (Key.Incarnation < Shown.Incarnation)
       fault("an older incarnation replaced a newer one: " + toText(Key));
-    if (Key.Life > Shown.Life)
-      Shown = {Key.Life, false};
+    if (Key.Incarnation > Shown.Incarnation)
+      Shown = {Key.Incarnation, false};
     if (Shown.Leaving && View.Standing == backend_standing::Active)
       fault("active again after leaving: " + toText(Key));
     Shown.Leaving = Shown.Leaving || View.Standing == backend_standing::Leaving;
@@ -107,8 +107,9 @@
       Net.Backends[anyBackend()].Alive = Net.Random.chance(0.5);
       return;
     case 12:
-      Net.Faults = {Net.Random.unit() * 0.4, Net.Random.unit() * 0.3, 200us,
-                    mono_span(1ms + mono_span(Net.Random.below(mono_span(400ms).count())))};
+      Net.Faults = {
+          Net.Random.uniform() * 0.4, Net.Random.uniform() * 0.3, 200us,
+          mono_duration(1ms + mono_duration(Net.Random.below(mono_duration(400ms).count())))};
       return;
     default:
       Net.Backends[anyBackend()].Announcement.Labels["version"] =
--- a/tests/order/order_planner_test.cpp
+++ b/tests/order/order_planner_test.cpp
@@ -47,7 +47,7 @@
     return {Engine.Key, order_kind::Unload, sampleCopy(Version)};
   }
 
-  const fencing_number OfficeFence{10};
+  const fencing_token OfficeFence{10};
   const model_copy V1 = sampleCopy("1");
   const model_copy V2 = sampleCopy("2");
   engine_state A1 = sampleEngine(1, "accra-a");
@@ -101,7 +101,7 @@
 TEST_F(a_planner, TrustsNoCopyThatAnEarlierLeaderMayStillTakeAway) {
   Planner.declare({samplePlacement("2", 1)});
   readAll({V1}, {V2}, {V1});
-  Planner.observed(A2.Key, {V2}, fencing_number(9), Time);
+  Planner.observed(A2.Key, {V2}, fencing_token(9), Time);
   EXPECT_THAT(Planner.plan(Time),
               UnorderedElementsAre(planned_order{A2.Key, order_kind::Confirm, V2}));
   Planner.observed(A2.Key, {V2}, OfficeFence.next(), Time);
--- a/tests/order/random_order_world.cpp
+++ b/tests/order/random_order_world.cpp
@@ -48,13 +48,13 @@
 random_order_world::random_order_world(std::uint64_t Seed, const order_world_options &Given)
     : Random(Seed), Options(Given), FaultsEnd(Now + FaultTime), LeaseEnd(Now) {
   order_gate_times Kept;
-  Kept.LeaseMargin = Options.LeaseMargin ? Times.LeaseMargin : mono_span{};
-  Kept.SuccessorWait = Options.SuccessorWait ? Times.SuccessorWait : mono_span{};
+  Kept.LeaseMargin = Options.LeaseMargin ? Times.LeaseMargin : mono_duration{};
+  Kept.SuccessorWait = Options.SuccessorWait ? Times.SuccessorWait : mono_duration{};
   const std::vector<std::string> Domains{"accra-a", "accra-a", "accra-b", "accra-b", "accra-c"};
   for (std::size_t I = 0; I < Domains.size(); ++I) {
     const order_check Orders = I % 2 == 0 ? order_check::Unfenced : order_check::Fenced;
     const engine_state State = sampleEngine(I, Domains[I], Orders);
-    Engines[State.Key] = {State, fencing_number()};
+    Engines[State.Key] = {State, fencing_token()};
   }
   change();
   for (std::size_t I = 0; I < LeaderCount; ++I) {
@@ -77,16 +77,16 @@
   return Violations;
 }
 
-mono_span random_order_world::upTo(mono_span Bound) {
-  return mono_span(
-      static_cast<mono_span::rep>(Random.below(static_cast<std::uint64_t>(Bound.count()))));
+mono_duration random_order_world::upTo(mono_duration Bound) {
+  return mono_duration(
+      static_cast<mono_duration::rep>(Random.below(static_cast<std::uint64_t>(Bound.count()))));
 }
 
-mono_span random_order_world::mostOf(mono_span Bound) {
+mono_duration random_order_world::mostOf(mono_duration Bound) {
   return Random.chance(0.5) ? upTo(Bound) : Bound - upTo(Bound / 10) - milliseconds(1);
 }
 
-void random_order_world::inProcess(std::size_t Who, mono_span Delay, step Do) {
+void random_order_world::inProcess(std::size_t Who, mono_duration Delay, step Do) {
   at(Now + Delay, [this, Who, Do = std::move(Do)] {
     if (Now < Leaders[Who]->FrozenUntil)
       return inProcess(Who, Leaders[Who]->FrozenUntil - Now + upTo(milliseconds(1)), Do);
@@ -190,7 +190,7 @@
     Leader.Sending[Order.Engine] = LastFence;
     Leader.Planner.started(Order, Now);
     const bool Slow = Random.chance(0.3);
-    const mono_span Connect = Slow ? upTo(SlowConnect) : upTo(NetworkDelay);
+    const mono_duration Connect = Slow ? upTo(SlowConnect) : upTo(NetworkDelay);
     // The worst moment to be cut off: an order stands before its write, and a successor comes.
     if (Slow && Now < FaultsEnd && Random.chance(0.3))
       Leader.CutUntil = std::min(Now + LongFreeze, FaultsEnd);
@@ -200,8 +200,8 @@
   }
 }
 
-void random_order_world::connected(std::size_t Who, const planned_order &Order,
-                                   fencing_number Fence, leader_term Planned) {
+void random_order_world::connected(std::size_t Who, const planned_order &Order, fencing_token Fence,
+                                   leader_term Planned) {
   leader &Leader = *Leaders[Who];
   look(Leader);
   if (Leader.Gate.refusal(Order.Engine, Planned)) {
@@ -214,16 +214,17 @@
   const bool Checks = Engines[Order.Engine].State.Orders == order_check::Fenced;
   const bool Stopped = Random.chance(0.3);
   const bool ForLong = Checks && Now < FaultsEnd && Random.chance(0.1);
-  const mono_span Pause =
-      ForLong ? upTo(LongFreeze) : (Stopped ? mostOf(Times.LeaseMargin) : mono_span{});
+  const mono_duration Pause =
+      ForLong ? upTo(LongFreeze) : (Stopped ? mostOf(Times.LeaseMargin) : mono_duration{});
   Leader.FrozenUntil = std::max(Leader.FrozenUntil, Now + Pause);
-  const mono_span Transit = Random.chance(0.4) ? mostOf(Times.LongestUnderWay) : upTo(NetworkDelay);
+  const mono_duration Transit =
+      Random.chance(0.4) ? mostOf(Times.LongestUnderWay) : upTo(NetworkDelay);
   at(Now + Pause + Transit, [this, Who, Order, Fence] { arrive(Who, Order, Fence); });
   inProcess(Who, Pause + Times.LongestUnderWay / 2,
             [this, Who, Order, Fence] { answered(Who, Order, Fence, order_outcome::Unknown); });
 }
 
-void random_order_world::arrive(std::size_t Who, const planned_order &Order, fencing_number Fence) {
+void random_order_world::arrive(std::size_t Who, const planned_order &Order, fencing_token Fence) {
   fake_engine &Engine = Engines[Order.Engine];
   order_outcome Outcome = order_outcome::Done;
   const bool Checks = Options.EnginesCheckFences && Engine.State.Orders == order_check::Fenced;
@@ -239,7 +240,7 @@
             [this, Who, Order, Outcome, Fence] { answered(Who, Order, Fence, Outcome); });
 }
 
-void random_order_world::answered(std::size_t Who, const planned_order &Order, fencing_number Fence,
+void random_order_world::answered(std::size_t Who, const planned_order &Order, fencing_token Fence,
                                   order_outcome Outcome) {
   leader &Leader = *Leaders[Who];
   const auto Sending = Leader.Sending.find(Order.Engine);
@@ -253,7 +254,7 @@
 }
 
 void random_order_world::apply(fake_engine &Engine, const planned_order &Order,
-                               fencing_number Fence) {
+                               fencing_token Fence) {
   if (Fence < Engine.Newest)
     Violations.push_back("order " + std::to_string(Fence.value()) + " took effect after " +
                          std::to_string(Engine.Newest.value()) + " on " +
--- a/tests/order/random_order_world.h
+++ b/tests/order/random_order_world.h
@@ -49,7 +49,7 @@
 private:
   struct fake_engine {
     engine_state State;
-    fencing_number Newest; ///< Highest that took effect, whether the engine checks or not.
+    fencing_token Newest; ///< Highest that took effect, whether the engine checks or not.
   };
   struct leader {
     leader(const order_planner_limits &Limits, const order_gate_times &Times)
@@ -62,15 +62,15 @@
     mono_time CutUntil{};
     mono_time CanStandFrom{};
     std::map<backend_key, mono_time> NextRead;
-    std::map<backend_key, fencing_number> Sending;
+    std::map<backend_key, fencing_token> Sending;
   };
   using step = std::function<void()>;
 
   void at(mono_time When, step Do) { Events.emplace(When, std::move(Do)); }
-  void inProcess(std::size_t Who, mono_span Delay, step Do);
-  mono_span upTo(mono_span Bound);
+  void inProcess(std::size_t Who, mono_duration Delay, step Do);
+  mono_duration upTo(mono_duration Bound);
   /// Just under the bound in half of the cases.
-  mono_span mostOf(mono_span Bound);
+  mono_duration mostOf(mono_duration Bound);
   void disturb();
   void change();
   void tick(std::size_t Who);
@@ -78,12 +78,12 @@
   void look(leader &Leader);
   void readStates(std::size_t Who);
   void sendNext(std::size_t Who);
-  void connected(std::size_t Who, const planned_order &Order, fencing_number Fence,
+  void connected(std::size_t Who, const planned_order &Order, fencing_token Fence,
                  leader_term Planned);
-  void arrive(std::size_t Who, const planned_order &Order, fencing_number Fence);
-  void answered(std::size_t Who, const planned_order &Order, fencing_number Fence,
+  void arrive(std::size_t Who, const planned_order &Order, fencing_token Fence);
+  void answered(std::size_t Who, const planned_order &Order, fencing_token Fence,
                 order_outcome Outcome);
-  void apply(fake_engine &Engine, const planned_order &Order, fencing_number Fence);
+  void apply(fake_engine &Engine, const planned_order &Order, fencing_token Fence);
   void checkServing();
   void checkDeclared();
   [[nodiscard]] bool reachesLog(const leader &Leader) const { return Now >= Leader.CutUntil; }
@@ -100,7 +100,7 @@
   std::size_t Holder{0};
   leader_term Term;
   mono_time LeaseEnd{}; ///< True end of the holder's lease.
-  fencing_number LastFence;
+  fencing_token LastFence;
   bool Served{false};
   std::vector<std::string> Violations;
   order_world_counts Counts;
--- a/tests/orphan/orphan_patrol_test.cpp
+++ b/tests/orphan/orphan_patrol_test.cpp
@@ -10,15 +10,15 @@
 
 const process_key Self{host_name("e1"), incarnation(10)};
 
-host_view host(const std::string &Name, std::uint64_t Life, host_standing Standing) {
+host_view host(const std::string &Name, std::uint64_t Incarnation, host_standing Standing) {
   host_view View;
-  View.Key = {host_name(Name), incarnation(Life)};
+  View.Key = {host_name(Name), incarnation(Incarnation)};
   View.Standing = Standing;
   return View;
 }
 
-attempt_id attemptOf(const std::string &Name, std::uint64_t Life) {
-  return {{host_name(Name), incarnation(Life)}, request_number(1), 1};
+attempt_id attemptOf(const std::string &Name, std::uint64_t Incarnation) {
+  return {{host_name(Name), incarnation(Incarnation)}, request_number(1), 1};
 }
 
 backend_announcement engine(const std::string &Address) {
--- a/tests/packed_text/packed_text_test.cpp
+++ b/tests/packed_text/packed_text_test.cpp
@@ -23,37 +23,37 @@
 
 TEST(PackedTextSize, IsSmallWhereWordsRepeat) {
   const std::string Text = routes(1000);
-  EXPECT_LT(pack(Text).Bytes.size(), Text.size() / 4);
+  EXPECT_LT(pack(Text).Compressed.size(), Text.size() / 4);
   EXPECT_EQ(unpack(pack(Text), Limit), Text);
 }
 
 // A forged message of a few bytes must not make its receiver allocate gigabytes.
 TEST(PackedTextSize, IsRefusedOverTheLimit) {
   packed_text Packed = pack(routes(1000));
-  EXPECT_FALSE(unpack(Packed, Packed.Size - 1));
-  Packed.Size = 0xFFFFFFFFU;
+  EXPECT_FALSE(unpack(Packed, Packed.UncompressedSize - 1));
+  Packed.UncompressedSize = 0xFFFFFFFFU;
   EXPECT_FALSE(unpack(Packed, Limit));
 }
 
 TEST(PackedTextSize, IsAsItSays) {
   packed_text Packed = pack("text");
-  ++Packed.Size;
+  ++Packed.UncompressedSize;
   EXPECT_FALSE(unpack(Packed, Limit));
-  Packed.Size -= 2;
+  Packed.UncompressedSize -= 2;
   EXPECT_FALSE(unpack(Packed, Limit));
 }
 
 TEST(PackedTextBytes, AreRefusedWhereverTheyAreCut) {
   const packed_text Whole = pack(routes(20));
-  for (std::size_t Length = 0; Length < Whole.Bytes.size(); ++Length)
-    EXPECT_FALSE(unpack({Whole.Size, Whole.Bytes.substr(0, Length)}, Limit));
+  for (std::size_t Length = 0; Length < Whole.Compressed.size(); ++Length)
+    EXPECT_FALSE(unpack({Whole.UncompressedSize, Whole.Compressed.substr(0, Length)}, Limit));
 }
 
 RC_GTEST_PROP(PackedTextBytes, NeverComeBackAsAnotherText, (std::uint64_t Seed)) {
   random_source Random(Seed);
   const std::string Text = routes(20);
   packed_text Packed = pack(Text);
-  Packed.Bytes[Random.below(Packed.Bytes.size())] = static_cast<char>(Random());
+  Packed.Compressed[Random.below(Packed.Compressed.size())] = static_cast<char>(Random());
   const auto Unpacked = unpack(Packed, Limit);
   RC_ASSERT(!Unpacked || *Unpacked == Text);
 }
--- a/tests/placement/placer_spread_test.cpp
+++ b/tests/placement/placer_spread_test.cpp
@@ -20,7 +20,7 @@
       const std::size_t Begun = PerSecond / 20;
       std::vector<work_load> Loads(Engines);
       for (std::size_t Place = 0; Place < Engines; ++Place)
-        Loads[Place].Life = listing(Place).Key.Life;
+        Loads[Place].Incarnation = listing(Place).Key.Incarnation;
       Placer.takeOthersLoads(Loads, Now);
       for (std::size_t Request = 0; Request < Begun; ++Request)
         ++Loads[(Round + Request) % Engines].Requests;
--- a/tests/placement/placer_story.h
+++ b/tests/placement/placer_story.h
@@ -107,11 +107,12 @@
   static void tellOthers(placer &Entry, const std::vector<work_load> &Loads, mono_time At) {
     std::vector<work_load> All = Loads;
     for (std::size_t Place = 0; Place < Engines; ++Place) {
-      const incarnation Life = listing(Place).Key.Life;
-      if (std::none_of(Loads.begin(), Loads.end(),
-                       [Life](const work_load &Load) { return Load.Life == Life; })) {
+      const incarnation Incarnation = listing(Place).Key.Incarnation;
+      if (std::none_of(Loads.begin(), Loads.end(), [Incarnation](const work_load &Load) {
+            return Load.Incarnation == Incarnation;
+          })) {
         All.emplace_back();
-        All.back().Life = Life;
+        All.back().Incarnation = Incarnation;
       }
     }
     Entry.takeOthersLoads(All, At);
--- a/tests/placement/placer_test.cpp
+++ b/tests/placement/placer_test.cpp
@@ -201,7 +201,7 @@
 TEST_F(placer_story, WhatOtherEntriesHaveUnderWayCounts) {
   std::vector<work_load> Loads;
   for (std::size_t Place = 0; Place < 15; ++Place)
-    Loads.push_back({listing(Place).Key.Life, 0, 0, 400, 0});
+    Loads.push_back({listing(Place).Key.Incarnation, 0, 0, 400, 0});
   others(Loads);
   arrive(154'000);
   const auto Placed = poll();
@@ -210,7 +210,7 @@
       << "five are free, and two of them stay so for short work";
   for (const backend_key &Helper : Placed[0].Helpers)
     for (const work_load &Load : Loads)
-      EXPECT_NE(Helper.Life, Load.Life);
+      EXPECT_NE(Helper.Incarnation, Load.Incarnation);
 }
 
 /// Two entries that hear of each other only between polls.
@@ -305,7 +305,7 @@
 TEST_F(placer_story, ASilentEntrysWorkCountsNoLonger) {
   std::vector<work_load> Loads;
   for (std::size_t Place = 0; Place < Engines; ++Place)
-    Loads.push_back({listing(Place).Key.Life, 16, 16, 5'000, 300'000});
+    Loads.push_back({listing(Place).Key.Incarnation, 16, 16, 5'000, 300'000});
   others(Loads);
   arrive(5'000);
   EXPECT_TRUE(poll().empty());
@@ -417,7 +417,7 @@
   Rest.Resumed = true;
   std::vector<work_load> Loads;
   for (std::size_t Place = 0; Place < Engines; ++Place)
-    Loads.push_back({listing(Place).Key.Life, 16, 16, 5'000, 300'000});
+    Loads.push_back({listing(Place).Key.Incarnation, 16, 16, 5'000, 300'000});
   others(Loads);
   EXPECT_TRUE(succeeded(Placer.submit(Rest, Now)));
   EXPECT_TRUE(Placer.poll(Now).Expiries.empty());
@@ -441,7 +441,7 @@
 TEST_F(placer_story, WhatFindsNoPlaceIsRefusedWithATimeToComeBack) {
   std::vector<work_load> Loads;
   for (std::size_t Place = 0; Place < Engines; ++Place)
-    Loads.push_back({listing(Place).Key.Life, 16, 16, 0, 300'000});
+    Loads.push_back({listing(Place).Key.Incarnation, 16, 16, 0, 300'000});
   arrive(5'000);
   for (int Step = 0; Step < 35; ++Step) {
     others(Loads);
@@ -466,7 +466,7 @@
   /// @param ReadMs What the engine still has to read when 0.3 of the request's 10 s have passed.
   std::chrono::seconds toldToReturn(std::uint32_t ReadMs) {
     Now += 3s;
-    others({{listing(0).Key.Life, 1, 0, ReadMs, 200'000, 0}});
+    others({{listing(0).Key.Incarnation, 1, 0, ReadMs, 200'000, 0}});
     const poll_outcome Outcome = Placer.poll(Now);
     EXPECT_EQ(Outcome.Expiries.size(), 1U);
     return Outcome.Expiries.at(0).Refusal.RetryAfter.value();
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -103,8 +103,8 @@
       R"("service":"s","address":"10.0.0.1:8080","zone":"z","state":"ready","sequence":4)";
   const auto Read = readPlatformNotice("i-1", "{" + Rest + R"(,"born":1764730000123})");
   ASSERT_TRUE(succeeded(Read)) << errorOf(Read);
-  EXPECT_EQ(valueOf(Read).Started, life_start(1'764'730'000'123));
-  EXPECT_EQ(valueOf(readPlatformNotice("i-1", "{" + Rest + "}")).Started, life_start());
+  EXPECT_EQ(valueOf(Read).Started, incarnation_start(1'764'730'000'123));
+  EXPECT_EQ(valueOf(readPlatformNotice("i-1", "{" + Rest + "}")).Started, incarnation_start());
   for (const char *Bad : {R"("1764730000123")", "-1", "1.5", "null", "true", "[]", "1e40"})
     EXPECT_FALSE(succeeded(readPlatformNotice("i-1", "{" + Rest + ",\"born\":" + Bad + "}")))
         << Bad;
@@ -113,8 +113,9 @@
 TEST(AWithdrawal, MayTellWhichLifeItEnds) {
   const auto Told = readPlatformWithdrawal("i-1", R"({"born":1764730000123})");
   ASSERT_TRUE(succeeded(Told));
-  EXPECT_EQ(valueOf(Told), (backend_life{instance_name("i-1"), life_start(1'764'730'000'123)}));
-  EXPECT_EQ(valueOf(readPlatformWithdrawal("i-1", "")).Started, life_start());
+  EXPECT_EQ(valueOf(Told),
+            (backend_incarnation{instance_name("i-1"), incarnation_start(1'764'730'000'123)}));
+  EXPECT_EQ(valueOf(readPlatformWithdrawal("i-1", "")).Started, incarnation_start());
   EXPECT_FALSE(succeeded(readPlatformWithdrawal("", "")));
   EXPECT_FALSE(succeeded(readPlatformWithdrawal("i-1", R"({"born":"x"})")));
   EXPECT_FALSE(succeeded(readPlatformWithdrawal("i-1", "{")));
@@ -222,23 +223,23 @@
 
 /// A control host whose answers the test sets.
 struct a_control_host : testing::Test {
-  service_answer Answer{service_verdict::Done, {}};
+  service_answer Answer{service_status::Accepted, {}};
   revision Offered;
   std::vector<backend_notice> Notices;
   std::vector<operator_route> Routes;
 
   void SetUp() override {
     control_services Services;
-    Services.Offer = [this](revision Revision, const std::string &) {
+    Services.ProposeDeclaration = [this](revision Revision, const std::string &) {
       Offered = Revision;
       return Answer;
     };
-    Services.Declared = [this] { return declared_answer{Answer, Offered, Valid}; };
+    Services.ReadDeclaration = [this] { return declaration_answer{Answer, Offered, Valid}; };
     Services.Announce = [this](const backend_notice &Notice) {
       Notices.push_back(Notice);
       return Answer;
     };
-    Services.Withdraw = [this](const backend_life &) { return Answer; };
+    Services.Withdraw = [this](const backend_incarnation &) { return Answer; };
     Services.OwnUrl = "http://10.0.0.9:1";
     Routes = platformRoutes(Services);
   }
@@ -266,7 +267,7 @@
 }
 
 TEST_F(a_control_host, SendsCallersToTheLeader) {
-  Answer = {service_verdict::Elsewhere, "http://10.0.0.4:8"};
+  Answer = {service_status::NotLeader, "http://10.0.0.4:8"};
   const operator_reply Reply = call("PUT", "/pollenstall/configuration", Valid);
   EXPECT_EQ(Reply.Status, 307U);
   EXPECT_EQ(Reply.Location, "http://10.0.0.4:8/pollenstall/configuration");
@@ -282,7 +283,7 @@
   EXPECT_EQ(call("PUT", "/pollenstall/instances/i-1", Body).Status, 200U);
   ASSERT_EQ(Notices.size(), 1U);
   EXPECT_EQ(Notices[0].Instance.str(), "i-1");
-  Answer = {service_verdict::Unavailable, {}};
+  Answer = {service_status::Unavailable, {}};
   EXPECT_EQ(call("PUT", "/pollenstall/instances/i-1", Body).Status, 503U);
   EXPECT_EQ(call("DELETE", "/pollenstall/instances/i-1").Status, 503U);
   EXPECT_EQ(call("PUT", "/pollenstall/instances/i-1", "{").Status, 400U);
--- a/tests/relay/headed_relay.cpp
+++ b/tests/relay/headed_relay.cpp
@@ -26,8 +26,8 @@
   call_interface Calls;
   Calls.ReadHead = [](const request_head &Head) -> result<head_facts, call_error> {
     head_facts Facts;
-    Facts.LastEvent = numberFrom<std::uint64_t>(Head.header("X-Last")).value_or(0);
-    if (const auto Time = numberFrom<std::int64_t>(Head.header("X-Time")))
+    Facts.LastEvent = parseNumber<std::uint64_t>(Head.header("X-Last")).value_or(0);
+    if (const auto Time = parseNumber<std::int64_t>(Head.header("X-Time")))
       Facts.TimeLeft = std::chrono::milliseconds(*Time);
     return Facts;
   };
--- a/tests/scheduling/scheduler_test.cpp
+++ b/tests/scheduling/scheduler_test.cpp
@@ -122,7 +122,7 @@
   start(Second, placeNow(Second));
   Scheduler.removeBackend(engineKey(1), Now);
   backend_view Again = engine(1);
-  Again.Announcement.Key.Life = incarnation(2);
+  Again.Announcement.Key.Incarnation = incarnation(2);
   Scheduler.updateBackend(Again, Now);
   EXPECT_EQ(placeNow(work(300'000)), Again.Announcement.Key);
 }
--- a/tests/suspect/crash_world_test.cpp
+++ b/tests/suspect/crash_world_test.cpp
@@ -142,7 +142,7 @@
       Broken.push_back(Run);
       return true;
     });
-    Table.noteCrash({Marks.begin(), Marks.end()}, incarnation(++LastLife), Now + Epoch);
+    Table.noteCrash({Marks.begin(), Marks.end()}, incarnation(++LastIncarnation), Now + Epoch);
     for (const run &Run : Broken) // Sent on to another server.
       if (!isBlocked(Run.Mark))
         start(Run.Mark, milliseconds(200 + Random.below(1'500)), Run.Crashes);
@@ -169,7 +169,7 @@
   std::vector<told_suspect> Next;
   milliseconds ToldAt{0};
   std::optional<milliseconds> ThirdAt;
-  std::uint64_t LastLife{0};
+  std::uint64_t LastIncarnation{0};
   std::uint64_t LastRequest{100};
 };
 
--- a/tests/suspect/suspect_table_test.cpp
+++ b/tests/suspect/suspect_table_test.cpp
@@ -17,13 +17,13 @@
   suspect_tuning Tuning;
   suspect_table Table{Tuning};
   milliseconds Now{1'000'000};
-  std::uint64_t LastLife{0};
+  std::uint64_t LastIncarnation{0};
   const request_mark Cause = markOf(1, 1);
 
   /// Another backend server crashes, this long after the one before.
   void crash(const std::vector<request_mark> &Marks, milliseconds After) {
     Now += After;
-    Table.noteCrash(Marks, incarnation(++LastLife), Now);
+    Table.noteCrash(Marks, incarnation(++LastIncarnation), Now);
   }
   void crashThrice(const request_mark &Mark) {
     for (int Time = 0; Time < 3; ++Time)
--- a/tests/text_difference/text_difference_test.cpp
+++ b/tests/text_difference/text_difference_test.cpp
@@ -23,16 +23,16 @@
 TEST(ADifference, MakesTheNewTextOutOfTheOldOne) {
   const std::string Old = routesText(1, 50);
   const std::string New = routesText(2, 51, 20);
-  const auto Made = applyDifference(Old, differenceOf(Old, New), Most);
+  const auto Made = applyDifference(Old, computeDifference(Old, New), Most);
   ASSERT_TRUE(Made);
   EXPECT_EQ(*Made, New);
 }
 
 TEST(ADifference, OfOneRouteIsSmall) {
   const std::string Old = routesText(1, 500);
-  EXPECT_LT(sizeOf(differenceOf(Old, routesText(2, 500, 250))), 300U);
-  EXPECT_LT(sizeOf(differenceOf(Old, routesText(2, 501))), 300U);
-  EXPECT_LT(sizeOf(differenceOf(Old, routesText(2, 499))), 300U);
+  EXPECT_LT(estimateEncodedBytes(computeDifference(Old, routesText(2, 500, 250))), 300U);
+  EXPECT_LT(estimateEncodedBytes(computeDifference(Old, routesText(2, 501))), 300U);
+  EXPECT_LT(estimateEncodedBytes(computeDifference(Old, routesText(2, 499))), 300U);
 }
 
 TEST(ADifference, OfTextsInLinesIsSmallToo) {
@@ -41,29 +41,29 @@
     Old += "key_" + std::to_string(Line) + " = \"value\"\n";
   std::string New = Old;
   New.replace(New.find("key_150"), 7, "KEY_150");
-  EXPECT_LT(sizeOf(differenceOf(Old, New)), 150U);
+  EXPECT_LT(estimateEncodedBytes(computeDifference(Old, New)), 150U);
 }
 
 // A host that restarted holds another text than the sender believes. Applied to it, the difference
 // would make a declaration that nobody declared.
 TEST(ADifference, IsRefusedByAnotherBase) {
   const std::string Old = routesText(1, 5);
-  const text_difference Difference = differenceOf(Old, routesText(2, 5));
+  const text_difference Difference = computeDifference(Old, routesText(2, 5));
   EXPECT_FALSE(applyDifference(routesText(3, 5), Difference, Most));
   EXPECT_FALSE(applyDifference("", Difference, Most));
 }
 
 TEST(ADifference, ThatReachesBeyondTheBaseIsRefused) {
   const std::string Old = "{a}{b}";
-  text_difference Difference = differenceOf(Old, "{b}{a}");
+  text_difference Difference = computeDifference(Old, "{b}{a}");
   for (difference_step &Step : Difference.Steps)
-    Step.Bytes = 0xFFFFFFFF;
+    Step.CopyBytes = 0xFFFFFFFF;
   EXPECT_FALSE(applyDifference(Old, Difference, Most));
 }
 
 TEST(ADifference, ThatMakesTooMuchIsRefused) {
   const std::string Old(1'000, 'x');
-  EXPECT_FALSE(applyDifference(Old, differenceOf(Old, Old + Old), 1'500));
+  EXPECT_FALSE(applyDifference(Old, computeDifference(Old, Old + Old), 1'500));
 }
 
 /// Texts of few letters, so that pieces repeat.
@@ -79,7 +79,7 @@
   random_source Random(Seed);
   const std::string Old = drawText(Random);
   const std::string New = drawText(Random);
-  const auto Made = applyDifference(Old, differenceOf(Old, New), Most);
+  const auto Made = applyDifference(Old, computeDifference(Old, New), Most);
   RC_ASSERT(Made.has_value());
   RC_ASSERT(*Made == New);
 }
@@ -88,12 +88,12 @@
   random_source Random(Seed);
   const std::string Old = drawText(Random);
   const std::string New = drawText(Random);
-  text_difference Difference = differenceOf(Old, New);
+  text_difference Difference = computeDifference(Old, New);
   if (Difference.Steps.empty())
     return;
   difference_step &Step = Difference.Steps[Random.below(Difference.Steps.size())];
-  Step.From += static_cast<std::uint32_t>(Random.below(3));
-  Step.Bytes += static_cast<std::uint32_t>(Random.below(3));
+  Step.CopyOffset += static_cast<std::uint32_t>(Random.below(3));
+  Step.CopyBytes += static_cast<std::uint32_t>(Random.below(3));
   const auto Made = applyDifference(Old, Difference, Most);
   RC_ASSERT(!Made || *Made == New);
 }
--- a/tests/work_share/board_network.h
+++ b/tests/work_share/board_network.h
@@ -39,7 +39,7 @@
 
   static work_load load(std::size_t Engine, std::uint32_t Requests, std::uint32_t ReadMs = 0) {
     work_load Load;
-    Load.Life = engine(Engine);
+    Load.Incarnation = engine(Engine);
     Load.Requests = Requests;
     Load.ReadMs = ReadMs;
     return Load;
@@ -69,7 +69,7 @@
   void kill(std::size_t Number) { Entries[Number].Down = true; }
   void thaw(std::size_t Number) { Entries[Number].Down = false; }
   void restart(std::size_t Number) {
-    Entries[Number] = makeEntry(Number, Entries[Number].Life + 1);
+    Entries[Number] = makeEntry(Number, Entries[Number].Incarnation + 1);
     introduce();
   }
 
@@ -107,7 +107,7 @@
     mono_time OwnToldAt;
     std::map<incarnation, std::pair<work_load, mono_time>> Known;
     bool Down{false};
-    std::uint64_t Life{1};
+    std::uint64_t Incarnation{1};
     sent_counts Sent;
   };
   struct on_its_way {
@@ -120,12 +120,12 @@
     return failure_domain_name("d" + std::to_string(Number % Domains));
   }
 
-  entry makeEntry(std::size_t Number, std::uint64_t Life) const {
+  entry makeEntry(std::size_t Number, std::uint64_t Incarnation) const {
     entry Made;
-    const process_key Process{host_name("e" + std::to_string(Number)), incarnation(Life)};
+    const process_key Process{host_name("e" + std::to_string(Number)), incarnation(Incarnation)};
     Made.Board = std::make_unique<work_board>(Process, address(Number));
     Made.OwnToldAt = Now;
-    Made.Life = Life;
+    Made.Incarnation = Incarnation;
     return Made;
   }
 
@@ -166,7 +166,7 @@
         send(Number, Datagram);
     }
     for (const work_load &Load : Entry.Board->othersChanged(Now))
-      Entry.Known[Load.Life] = {Load, Now};
+      Entry.Known[Load.Incarnation] = {Load, Now};
   }
 
   void send(std::size_t From, const work_datagram &Datagram) {
