--- a/src/adapter/adapter.h
+++ b/src/adapter/adapter.h
@@ -1,5 +1,4 @@
-/** @file adapter.h Public header of adapter: what the programs offer to an adapter of a platform.
- */
+/** @file adapter.h Public header of adapter: services of the programs for a platform adapter. */
 #ifndef POLLENSTALL_ADAPTER_ADAPTER_H
 #define POLLENSTALL_ADAPTER_ADAPTER_H
 
--- a/src/adapter/control_services_type.h
+++ b/src/adapter/control_services_type.h
@@ -1,4 +1,4 @@
-/** @file control_services_type.h What a control host does for callers of another protocol. */
+/** @file control_services_type.h Services of a control host for an adapter to another protocol. */
 #ifndef POLLENSTALL_ADAPTER_CONTROL_SERVICES_TYPE_H
 #define POLLENSTALL_ADAPTER_CONTROL_SERVICES_TYPE_H
 
@@ -11,34 +11,35 @@
 
 namespace pollenstall {
 
-/// How a control host has answered.
+/// Result of a call to a control host.
 enum class service_status : std::uint8_t {
-  Accepted,    ///< Durable, or on its way to every entry in touch.
-  NotLeader,   ///< Nothing was done: another host leads.
-  Unavailable, ///< Not known, or nothing was done: ask again.
+  Accepted,    ///< Durable, or being sent to every connected entry.
+  NotLeader,   ///< Nothing was done; another host is the leader.
+  Unavailable, ///< Outcome unknown, or nothing was done; retry the call.
 };
 
+/// Answer of a control host to a call.
 struct service_answer {
   service_status Status{service_status::Unavailable};
-  std::string LeaderUrl; ///< For NotLeader: "http://IP:port"; empty where not known.
+  std::string LeaderUrl; ///< For NotLeader: "http://IP:port", or empty if not known.
 };
 
-/// The declaration in force, never older than what was acknowledged before it was asked for.
+/// The declaration in force; never older than a change acknowledged before the call.
 struct declaration_answer {
   service_answer Answer;
-  revision Revision; ///< 0 where nothing was declared yet.
+  revision Revision; ///< 0 if nothing has been declared yet.
   std::string Text;
 };
 
-/// Calls that may block for as long as an operator's call may; from any thread.
+/// Callable from any thread. A call may block for as long as an operator's call.
 struct control_services {
-  std::function<service_answer(revision, std::string Text)>
-      ProposeDeclaration; ///< The highest revision counts.
+  /// A declaration is ignored if its revision is not higher than the current one.
+  std::function<service_answer(revision, std::string Text)> ProposeDeclaration;
   std::function<declaration_answer()> ReadDeclaration;
   std::function<service_answer(const backend_notice &)> Announce;
-  /// A life without a start stands for whichever has that name now.
+  /// Without a start time it withdraws the current incarnation of that name.
   std::function<service_answer(const backend_incarnation &)> Withdraw;
-  std::string OwnUrl; ///< Of this host's operators' address.
+  std::string OwnUrl; ///< URL of the operator address of this host.
 };
 
 } // namespace pollenstall
--- a/src/address/address.cpp
+++ b/src/address/address.cpp
@@ -1,4 +1,4 @@
-/** @file address.cpp Numeric addresses to endpoints and back. */
+/** @file address.cpp Converts numeric addresses to endpoints and back. */
 #include "address/address_func.h"
 
 #include "core/core.h"
@@ -9,7 +9,7 @@
 
 namespace {
 
-template <typename Endpoint> std::optional<Endpoint> endpointFrom(std::string_view Text) {
+template <typename Endpoint> std::optional<Endpoint> parseEndpoint(std::string_view Text) {
   const std::size_t Colon = Text.rfind(':');
   if (Colon == std::string_view::npos)
     return std::nullopt;
@@ -24,33 +24,33 @@
   return Endpoint(Address, *Port);
 }
 
-template <typename Endpoint> std::string textOf(const Endpoint &Of) {
-  const std::string Host = Of.address().to_string();
-  const std::string Port = std::to_string(Of.port());
-  return Of.address().is_v6() ? "[" + Host + "]:" + Port : Host + ":" + Port;
+template <typename Endpoint> std::string formatEndpoint(const Endpoint &Value) {
+  const std::string Host = Value.address().to_string();
+  const std::string Port = std::to_string(Value.port());
+  return Value.address().is_v6() ? "[" + Host + "]:" + Port : Host + ":" + Port;
 }
 
 } // namespace
 
 std::optional<ip::tcp::endpoint> tcpEndpoint(std::string_view Text) {
-  return endpointFrom<ip::tcp::endpoint>(Text);
+  return parseEndpoint<ip::tcp::endpoint>(Text);
 }
 
 std::optional<ip::udp::endpoint> udpEndpoint(std::string_view Text) {
-  return endpointFrom<ip::udp::endpoint>(Text);
+  return parseEndpoint<ip::udp::endpoint>(Text);
 }
 
 std::vector<std::string> withPort(std::vector<std::string> Addresses, std::uint32_t Port) {
   if (Port == 0)
     return Addresses;
   for (std::string &Address : Addresses)
-    if (const auto Known = tcpEndpoint(Address))
-      Address = toText(ip::tcp::endpoint(Known->address(), static_cast<std::uint16_t>(Port)));
+    if (const auto Parsed = tcpEndpoint(Address))
+      Address = toText(ip::tcp::endpoint(Parsed->address(), static_cast<std::uint16_t>(Port)));
   return Addresses;
 }
 
-std::string toText(const ip::tcp::endpoint &Endpoint) { return textOf(Endpoint); }
-std::string toText(const ip::udp::endpoint &Endpoint) { return textOf(Endpoint); }
+std::string toText(const ip::tcp::endpoint &Endpoint) { return formatEndpoint(Endpoint); }
+std::string toText(const ip::udp::endpoint &Endpoint) { return formatEndpoint(Endpoint); }
 
 result<done, std::string> listenOn(boost::asio::ip::tcp::acceptor &Acceptor,
                                    std::string_view Address) {
--- a/src/address/address.h
+++ b/src/address/address.h
@@ -1,4 +1,4 @@
-/** @file address.h Public header of address: numeric addresses as text and as endpoints. */
+/** @file address.h Public header of address: conversion between numeric addresses and endpoints. */
 #ifndef POLLENSTALL_ADDRESS_ADDRESS_H
 #define POLLENSTALL_ADDRESS_ADDRESS_H
 
--- a/src/core/bounded_ring.h
+++ b/src/core/bounded_ring.h
@@ -1,4 +1,4 @@
-/** @file bounded_ring.h A bounded queue from one thread to one other thread, with a wake hook. */
+/** @file bounded_ring.h A bounded single-producer, single-consumer queue with a wake-up hook. */
 #ifndef POLLENSTALL_CORE_BOUNDED_RING_H
 #define POLLENSTALL_CORE_BOUNDED_RING_H
 
@@ -12,23 +12,24 @@
 namespace pollenstall {
 
 /**
- * Joins exactly one producing thread to exactly one consuming thread.
- * The wake hook is called at most once between two drains, so a burst costs one wake-up.
+ * A bounded queue between exactly one producer thread and exactly one consumer thread.
+ * push() calls the wake-up hook at most once between two drains, so a burst of items costs one
+ * wake-up.
  */
-template <typename Item> class bounded_ring {
+template <typename Element> class bounded_ring {
 public:
-  /// @param Capacity Items held at most; push() refuses beyond it.
+  /// @param Capacity Maximum number of queued items; push() fails when the queue is full.
   explicit bounded_ring(std::size_t Capacity) : Queue(Capacity) {}
 
-  /// Sets what wakes the consumer; set before either side starts.
+  /// Sets the hook that wakes the consumer. Call this before either thread starts.
   void onWake(std::function<void()> Hook) { Wake = std::move(Hook); }
 
   /**
-   * Producer's side.
-   * @return False where the ring is full; the item is then untouched and the producer must refuse
-   * work.
+   * Appends an item; called by the producer only.
+   * @return False if the queue is full; the item is then unchanged, and the producer must refuse
+   * the work.
    */
-  bool push(Item &&Value) {
+  bool push(Element &&Value) {
     if (!Queue.push(std::move(Value)))
       return false;
     if (!Pending.exchange(true, std::memory_order_acq_rel) && Wake)
@@ -36,26 +37,26 @@
     return true;
   }
 
-  /// Consumer's side: handles all that is there. @return How many items were handled.
-  template <typename Handler> std::size_t drain(Handler &&Handle) {
-    // Cleared before reading: an item pushed after the last pop sets it again and wakes once more.
-    // An exchange, since a plain store orders nothing before it: the push whose wake-up it takes
-    // back must be seen by the pops below.
+  /// Removes and handles all queued items; called by the consumer only. @return Number of items.
+  template <typename Handler> std::size_t drain(Handler &&HandleElement) {
+    // Cleared before the pops: an item pushed after the last pop sets it again and calls the hook.
+    // This must be an exchange. It acquires from the producer's exchange, so the pops below see the
+    // item whose wake-up is cleared here; a plain store would not order the pops after that push.
     Pending.exchange(false, std::memory_order_acq_rel);
     std::size_t Handled = 0;
-    Item Value;
+    Element Value;
     while (Queue.pop(Value)) {
-      Handle(std::move(Value));
+      HandleElement(std::move(Value));
       ++Handled;
     }
     return Handled;
   }
 
-  /// Producer's side. @return How many more items fit now.
+  /// @return Number of items that can be pushed now; called by the producer only.
   [[nodiscard]] std::size_t room() const { return Queue.write_available(); }
 
 private:
-  boost::lockfree::spsc_queue<Item> Queue;
+  boost::lockfree::spsc_queue<Element> Queue;
   std::atomic<bool> Pending{false};
   std::function<void()> Wake;
 };
--- a/src/core/clock_type.h
+++ b/src/core/clock_type.h
@@ -1,5 +1,4 @@
-/** @file clock_type.h The monotonic clock that leases and timeouts are measured on, and the wall
- * clock. */
+/** @file clock_type.h The monotonic clock for leases and timeouts, and the wall clock. */
 #ifndef POLLENSTALL_CORE_CLOCK_TYPE_H
 #define POLLENSTALL_CORE_CLOCK_TYPE_H
 
@@ -9,8 +8,8 @@
 namespace pollenstall {
 
 /**
- * Monotonic time that goes on while the machine is suspended (CLOCK_BOOTTIME).
- * On a clock that stops during suspension a lease would look fresh after a night's sleep.
+ * A monotonic clock that also advances while the machine is suspended (CLOCK_BOOTTIME).
+ * With a clock that stops during suspension, an expired lease would look valid after a resume.
  */
 struct boot_clock {
   using duration = std::chrono::nanoseconds;
@@ -19,7 +18,7 @@
   using time_point = std::chrono::time_point<boot_clock>;
   static constexpr bool is_steady = true;
 
-  /// @return The time now.
+  /// @return The current time.
   static time_point now() noexcept {
     timespec Time{};
     clock_gettime(CLOCK_BOOTTIME, &Time);
@@ -27,12 +26,12 @@
   }
 };
 
-/// A moment on the boot clock; decision code is handed it and never reads a clock itself.
+/// A point in time on the boot clock. Decision code gets it as a parameter and reads no clock.
 using mono_time = boot_clock::time_point;
-/// A span on the boot clock.
+/// A duration on the boot clock.
 using mono_duration = boot_clock::duration;
 
-/// @return Milliseconds since 1970; for records that outlive the process, never for timeouts.
+/// @return Milliseconds since 1970. For records that outlive the process, never for timeouts.
 inline std::chrono::milliseconds wallClock() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
       std::chrono::system_clock::now().time_since_epoch());
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -1,5 +1,5 @@
-/** @file core.h Public header of core: strong types, clocks, invariants, results, rings, random
- * numbers, numbers from text. */
+/** @file core.h Public header of core: strong types, clocks, invariants, results, queues, hashes,
+ * random numbers, number parsing. */
 #ifndef POLLENSTALL_CORE_CORE_H
 #define POLLENSTALL_CORE_CORE_H
 
--- a/src/core/hash_func.h
+++ b/src/core/hash_func.h
@@ -1,5 +1,5 @@
-/** @file hash_func.h A hash that is the same in every process and build, for placement and
- * prefixes. */
+/** @file hash_func.h Hashes that are the same in every process and build, for placement and
+ * prompt prefixes. */
 #ifndef POLLENSTALL_CORE_HASH_FUNC_H
 #define POLLENSTALL_CORE_HASH_FUNC_H
 
@@ -8,9 +8,9 @@
 
 namespace pollenstall {
 
-constexpr std::uint64_t StableHashSeed = 0xCBF29CE484222325ULL; ///< FNV-1a's offset basis.
+constexpr std::uint64_t StableHashSeed = 0xCBF29CE484222325ULL; ///< FNV-1a offset basis.
 
-/// @return FNV-1a of the bytes, continued from Seed; not for input chosen by an adversary.
+/// @return FNV-1a hash of the bytes, continued from Seed. Not safe for input chosen by an attacker.
 constexpr std::uint64_t stableHash(std::string_view Bytes, std::uint64_t Seed = StableHashSeed) {
   constexpr std::uint64_t Prime = 0x100000001B3ULL;
   std::uint64_t Hash = Seed;
@@ -21,9 +21,9 @@
   return Hash;
 }
 
-/// @return A well-mixed combination of two hashes.
-constexpr std::uint64_t combineHashes(std::uint64_t A, std::uint64_t B) {
-  std::uint64_t Mixed = A ^ (B + 0x9E3779B97F4A7C15ULL + (A << 6U) + (A >> 2U));
+/// @return One well-mixed hash of both; the order matters.
+constexpr std::uint64_t combineHashes(std::uint64_t First, std::uint64_t Second) {
+  std::uint64_t Mixed = First ^ (Second + 0x9E3779B97F4A7C15ULL + (First << 6U) + (First >> 2U));
   Mixed = (Mixed ^ (Mixed >> 30U)) * 0xBF58476D1CE4E5B9ULL;
   Mixed = (Mixed ^ (Mixed >> 27U)) * 0x94D049BB133111EBULL;
   return Mixed ^ (Mixed >> 31U);
--- a/src/core/identity.cpp
+++ b/src/core/identity.cpp
@@ -1,4 +1,4 @@
-/** @file identity.cpp Text forms of ids that cross process borders. */
+/** @file identity.cpp Text forms of ids that are sent to other processes. */
 #include "core/identity_type.h"
 
 #include "core/number_func.h"
@@ -9,19 +9,20 @@
 
 namespace {
 
-constexpr std::size_t AttemptParts = 4;
+constexpr std::size_t AttemptFieldCount = 4;
 
-std::optional<std::array<std::string_view, AttemptParts>> splitAttempt(std::string_view Text) {
-  std::array<std::string_view, AttemptParts> Parts;
-  for (std::size_t Index = 0; Index + 1 < AttemptParts; ++Index) {
+std::optional<std::array<std::string_view, AttemptFieldCount>>
+splitAttemptText(std::string_view Text) {
+  std::array<std::string_view, AttemptFieldCount> Fields;
+  for (std::size_t Index = 0; Index + 1 < AttemptFieldCount; ++Index) {
     const std::size_t Slash = Text.find('/');
     if (Slash == std::string_view::npos)
       return std::nullopt;
-    Parts[Index] = Text.substr(0, Slash);
+    Fields[Index] = Text.substr(0, Slash);
     Text.remove_prefix(Slash + 1);
   }
-  Parts[AttemptParts - 1] = Text;
-  return Parts;
+  Fields[AttemptFieldCount - 1] = Text;
+  return Fields;
 }
 
 } // namespace
@@ -32,15 +33,15 @@
 }
 
 std::optional<attempt_id> parseAttemptId(std::string_view Text) {
-  const auto Parts = splitAttempt(Text);
-  if (!Parts || (*Parts)[0].empty())
+  const auto Fields = splitAttemptText(Text);
+  if (!Fields || (*Fields)[0].empty())
     return std::nullopt;
-  const auto Incarnation = parseNumber<std::uint64_t>((*Parts)[1]);
-  const auto Request = parseNumber<std::uint64_t>((*Parts)[2]);
-  const auto Ordinal = parseNumber<std::uint32_t>((*Parts)[3]);
+  const auto Incarnation = parseNumber<std::uint64_t>((*Fields)[1]);
+  const auto Request = parseNumber<std::uint64_t>((*Fields)[2]);
+  const auto Ordinal = parseNumber<std::uint32_t>((*Fields)[3]);
   if (!Incarnation || !Request || !Ordinal)
     return std::nullopt;
-  return attempt_id{{host_name(std::string((*Parts)[0])), incarnation(*Incarnation)},
+  return attempt_id{{host_name(std::string((*Fields)[0])), incarnation(*Incarnation)},
                     request_number(*Request),
                     *Ordinal};
 }
--- a/src/core/identity_type.h
+++ b/src/core/identity_type.h
@@ -1,4 +1,4 @@
-/** @file identity_type.h Names and ids that several libraries share. */
+/** @file identity_type.h Names and ids that several libraries use. */
 #ifndef POLLENSTALL_CORE_IDENTITY_TYPE_H
 #define POLLENSTALL_CORE_IDENTITY_TYPE_H
 
@@ -24,57 +24,61 @@
 struct change_tag {};
 struct fence_tag {};
 
-using host_name = strong_text<host_tag>;                     ///< One of the system's own hosts.
-using failure_domain_name = strong_text<failure_domain_tag>; ///< Hosts that are lost together.
-using client_account_name = strong_text<client_account_tag>; ///< Who a request is accounted to.
+using host_name = strong_text<host_tag>;                     ///< A host of this system.
+using failure_domain_name = strong_text<failure_domain_tag>; ///< Hosts that can fail together.
+using client_account_name = strong_text<client_account_tag>; ///< Account of a request's caller.
 using service_name = strong_text<service_tag>;               ///< A declared model or plain service.
-using model_name = strong_text<model_tag>;                   ///< What callers write as "model".
+using model_name = strong_text<model_tag>;                   ///< The "model" of a call.
 using group_name = strong_text<group_tag>;                   ///< A labelled set of backend servers.
-using selector_name = strong_text<selector_tag>;          ///< A rule that sends requests to groups.
+using selector_name = strong_text<selector_tag>; ///< A rule that routes requests to groups.
 using backend_address = strong_text<backend_address_tag>; ///< "IP:port" of a backend server.
-using change_id = strong_text<change_tag>;                ///< Chosen by the operator's tool.
+using change_id = strong_text<change_tag>;                ///< Set by the operator's tool.
 
-/// Rises each time a process starts, so that two lives of one address are told apart.
+/// Number of one run of a process or backend server. It increases with each start, so that a
+/// restarted one is distinct from its predecessor at the same address.
 using incarnation = strong_id<incarnation_tag>;
-/// Position of a declaration in the sequence of accepted changes; 0 is the empty declaration.
+/// Position of a declaration in the sequence of accepted changes; 0 means the empty declaration.
 using revision = strong_id<revision_tag>;
-/// Number of a request within one life of one entry.
+/// Number of a request, unique within one incarnation of an entry.
 using request_number = strong_id<request_tag>;
-/// Rises with each leader's term and order; an engine refuses an order that carries a lower one.
+/// Increases with each leader term and each order. An engine refuses an order with a lower token
+/// than it has seen.
 using fencing_token = strong_id<fence_tag>;
 
-/// One life of one backend server: a new incarnation at the same address is another backend server.
+/// Identifies one incarnation of a backend server. A new incarnation at the same address counts as
+/// another backend server.
 struct backend_key {
-  backend_address Address; ///< Where it answers HTTP.
-  incarnation Incarnation; ///< Announced by the backend server itself.
+  backend_address Address; ///< Its HTTP address.
+  incarnation Incarnation; ///< As announced by the backend server.
 
   auto operator<=>(const backend_key &) const = default;
 };
 
-/// One life of one process of the system.
+/// Identifies one incarnation of a process of this system.
 struct process_key {
-  host_name Host;          ///< From the settings.
-  incarnation Incarnation; ///< Drawn from the wall clock at start, in nanoseconds.
+  host_name Host;          ///< Host name from the settings.
+  incarnation Incarnation; ///< Wall-clock time of its start, in nanoseconds.
 
   auto operator<=>(const process_key &) const = default;
 };
 
 /**
- * One attempt of one request, unique in the fleet for as long as incarnations are.
- * Engines list running attempts by its text form, and a survivor reads the owner from it.
+ * Identifies one attempt of a request; unique in the fleet as long as incarnations are.
+ * Engines list their running attempts in its text form. Other entries read the owner from it when
+ * the owner has failed.
  */
 struct attempt_id {
   process_key Owner;        ///< The entry that started it.
-  request_number Request;   ///< Which request of that entry.
+  request_number Request;   ///< The request of that entry.
   std::uint32_t Ordinal{1}; ///< 1 for the first attempt of the request.
 
   auto operator<=>(const attempt_id &) const = default;
 };
 
-/// @return "host/incarnation/request/ordinal", the form sent to backend servers.
+/// @return "host/incarnation/request/ordinal", the form that backend servers receive.
 std::string toText(const attempt_id &Attempt);
 
-/// @return The attempt a text names, or nothing where the text has another form.
+/// Parses the form that toText() writes. @return Nothing if the text has another form.
 std::optional<attempt_id> parseAttemptId(std::string_view Text);
 
 /// @return "address#incarnation", for logs and dumps.
--- a/src/core/invariant.cpp
+++ b/src/core/invariant.cpp
@@ -1,4 +1,4 @@
-/** @file invariant.cpp What happens when an invariant does not hold. */
+/** @file invariant.cpp Aborts the process when an invariant is violated. */
 #include "core/invariant_func.h"
 
 #include <cstdio>
--- a/src/core/invariant_func.h
+++ b/src/core/invariant_func.h
@@ -1,4 +1,4 @@
-/** @file invariant_func.h Checks that stay on in release builds and stop the process by name. */
+/** @file invariant_func.h Checks that stay enabled in release builds and abort the process. */
 #ifndef POLLENSTALL_CORE_INVARIANT_FUNC_H
 #define POLLENSTALL_CORE_INVARIANT_FUNC_H
 
@@ -8,17 +8,17 @@
 
 namespace pollenstall {
 
-/// Gives a dump of the state that the failed check belongs to.
+/// Returns a dump of the state that the check covers.
 using state_dump = std::function<std::string()>;
 
-/// Writes the invariant's name and the dump to standard error, then aborts.
+/// Writes the name of the invariant and the dump to standard error, then aborts the process.
 [[noreturn]] void failInvariant(std::string_view Name, const state_dump &Dump);
 
 /**
- * Aborts where a condition that the code relies on does not hold.
- * Going on with a broken state could run a request twice or revert a change; a restart cannot.
+ * Aborts the process if a condition that the code relies on does not hold.
+ * Continuing in an invalid state could run a request twice or revert a change; a restart cannot.
  * @param Holds The condition.
- * @param Name What must hold, in a few words; it is printed.
+ * @param Name A short description of the condition; printed on failure.
  * @param Dump Called only on failure.
  */
 inline void requireInvariant(bool Holds, std::string_view Name, const state_dump &Dump = {}) {
--- a/src/core/number_func.h
+++ b/src/core/number_func.h
@@ -1,4 +1,4 @@
-/** @file number_func.h Numbers from text. */
+/** @file number_func.h Parses numbers. */
 #ifndef POLLENSTALL_CORE_NUMBER_FUNC_H
 #define POLLENSTALL_CORE_NUMBER_FUNC_H
 
@@ -8,12 +8,13 @@
 
 namespace pollenstall {
 
-/// @return The decimal number that the whole text is; nothing where it is none, or out of range.
+/// Parses the whole text as a decimal number.
+/// @return Nothing if the text is not a number or does not fit into Number.
 template <typename Number> std::optional<Number> parseNumber(std::string_view Text) {
   Number Value{};
-  const char *Last = Text.data() + Text.size();
-  const auto [End, Error] = std::from_chars(Text.data(), Last, Value);
-  if (Error != std::errc{} || End != Last)
+  const char *TextEnd = Text.data() + Text.size();
+  const auto [NumberEnd, Error] = std::from_chars(Text.data(), TextEnd, Value);
+  if (Error != std::errc{} || NumberEnd != TextEnd)
     return std::nullopt;
   return Value;
 }
--- a/src/core/random_type.h
+++ b/src/core/random_type.h
@@ -1,4 +1,4 @@
-/** @file random_type.h Seeded random numbers, the same on every machine for one seed. */
+/** @file random_type.h Seeded random numbers; a seed gives the same numbers on every machine. */
 #ifndef POLLENSTALL_CORE_RANDOM_TYPE_H
 #define POLLENSTALL_CORE_RANDOM_TYPE_H
 
@@ -8,8 +8,8 @@
 namespace pollenstall {
 
 /**
- * SplitMix64 (Steele, Lea, Flood 2014): small, fast, and unlike std's distributions specified to
- * the bit, so that a failing seed fails again elsewhere.
+ * The SplitMix64 generator (Steele, Lea, Flood 2014): small, fast and, unlike the distributions of
+ * std, specified to the bit. A seed that makes a test fail does so on every machine.
  */
 class random_source {
 public:
@@ -30,7 +30,7 @@
     return Mixed ^ (Mixed >> 31U);
   }
 
-  /// @return A number in [0, Bound); 0 where Bound is 0.
+  /// @return A number in [0, Bound); 0 if Bound is 0.
   std::uint64_t below(std::uint64_t Bound) { return Bound == 0 ? 0 : (*this)() % Bound; }
 
   /// @return A number in [0, 1).
--- a/src/core/result_type.h
+++ b/src/core/result_type.h
@@ -1,4 +1,4 @@
-/** @file result_type.h A value or a layer's own error, as std::variant. */
+/** @file result_type.h A value or an error of the called layer, as std::variant. */
 #ifndef POLLENSTALL_CORE_RESULT_TYPE_H
 #define POLLENSTALL_CORE_RESULT_TYPE_H
 
@@ -7,12 +7,12 @@
 
 namespace pollenstall {
 
-/// Stands for success where there is nothing to hand back.
+/// The value of a successful result that carries no data.
 struct done {
   auto operator<=>(const done &) const = default;
 };
 
-/// Either a value or the error of the layer that was asked.
+/// Either a value or an error of the called layer.
 template <typename Value, typename Error> using result = std::variant<Value, Error>;
 
 /// @return Whether the result holds a value.
@@ -21,7 +21,7 @@
   return Result.index() == 0;
 }
 
-/// @return The value; the caller has checked succeeded().
+/// @return The value; the caller must have checked succeeded().
 template <typename Value, typename Error>
 [[nodiscard]] Value &valueOf(result<Value, Error> &Result) {
   return std::get<0>(Result);
@@ -35,13 +35,13 @@
   return std::get<0>(std::move(Result));
 }
 
-/// @return The error; the caller has checked that succeeded() is false.
+/// @return The error; the caller must have checked that succeeded() is false.
 template <typename Value, typename Error>
 [[nodiscard]] const Error &errorOf(const result<Value, Error> &Result) {
   return std::get<1>(Result);
 }
 
-/// Joins lambdas into one visitor for std::visit.
+/// Combines lambdas into one visitor for std::visit.
 template <typename... Handlers> struct overloaded : Handlers... { using Handlers::operator()...; };
 template <typename... Handlers> overloaded(Handlers...) -> overloaded<Handlers...>;
 
--- a/src/core/strong_type.h
+++ b/src/core/strong_type.h
@@ -1,4 +1,4 @@
-/** @file strong_type.h Distinct types over numbers and texts, so that ids and units do not mix. */
+/** @file strong_type.h Distinct types for numbers and strings, so that ids and units do not mix. */
 #ifndef POLLENSTALL_CORE_STRONG_TYPE_H
 #define POLLENSTALL_CORE_STRONG_TYPE_H
 
@@ -12,8 +12,8 @@
 namespace pollenstall {
 
 /**
- * A number that identifies something; ids of different tags do not convert into each other.
- * @tparam Tag An empty struct that names what is identified.
+ * A number used as an id; ids with different tags do not convert to each other.
+ * @tparam Tag An empty struct that names the kind of id.
  */
 template <typename Tag, typename Rep = std::uint64_t> class strong_id {
 public:
@@ -24,7 +24,7 @@
 
   /// @return The plain number, for storage and display.
   [[nodiscard]] constexpr Rep value() const { return Number; }
-  /// @return The id that follows this one.
+  /// @return The id after this one.
   [[nodiscard]] constexpr strong_id next() const { return strong_id(Number + 1); }
 
   constexpr auto operator<=>(const strong_id &) const = default;
@@ -34,7 +34,7 @@
 };
 
 /**
- * A counted amount of one unit: adds and compares with its own kind only.
+ * An amount of one unit; adds to and compares with amounts of the same unit only.
  * @tparam Tag An empty struct that names the unit.
  */
 template <typename Tag, typename Rep = std::int64_t> class strong_amount {
@@ -44,7 +44,7 @@
   constexpr strong_amount() = default;
   constexpr explicit strong_amount(Rep Value) : Number(Value) {}
 
-  /// @return The plain count, for arithmetic across units and for display.
+  /// @return The plain number, for arithmetic across units and for display.
   [[nodiscard]] constexpr Rep value() const { return Number; }
 
   constexpr strong_amount &operator+=(strong_amount Other) {
@@ -55,8 +55,12 @@
     Number -= Other.Number;
     return *this;
   }
-  friend constexpr strong_amount operator+(strong_amount A, strong_amount B) { return A += B; }
-  friend constexpr strong_amount operator-(strong_amount A, strong_amount B) { return A -= B; }
+  friend constexpr strong_amount operator+(strong_amount Left, strong_amount Right) {
+    return Left += Right;
+  }
+  friend constexpr strong_amount operator-(strong_amount Left, strong_amount Right) {
+    return Left -= Right;
+  }
 
   constexpr auto operator<=>(const strong_amount &) const = default;
 
@@ -65,18 +69,18 @@
 };
 
 /**
- * A name (of a host, an account, a model): compares and hashes as text, never mixes with another
- * kind.
- * @tparam Tag An empty struct that names what is named.
+ * A name, for example of a host, an account or a model. It compares and hashes as a string and
+ * does not convert to names of another kind.
+ * @tparam Tag An empty struct that names the kind of name.
  */
 template <typename Tag> class strong_text {
 public:
   strong_text() = default;
   explicit strong_text(std::string Value) : Text(std::move(Value)) {}
 
-  /// @return The plain text.
+  /// @return The plain string.
   [[nodiscard]] const std::string &str() const { return Text; }
-  /// @return Whether no name was given.
+  /// @return Whether no name is set.
   [[nodiscard]] bool empty() const { return Text.empty(); }
 
   auto operator<=>(const strong_text &) const = default;
--- a/src/packed_text/packed_text.cpp
+++ b/src/packed_text/packed_text.cpp
@@ -1,4 +1,4 @@
-/** @file packed_text.cpp Texts through zlib. */
+/** @file packed_text.cpp Compresses and decompresses texts with zlib. */
 #include "packed_text/packed_text_func.h"
 
 #include "core/core.h"
@@ -19,16 +19,17 @@
   return Packed;
 }
 
-std::optional<std::string> unpack(const packed_text &Packed, std::size_t MostBytes) {
-  if (Packed.UncompressedSize > MostBytes)
+std::optional<std::string> unpack(const packed_text &Packed, std::size_t MaxBytes) {
+  if (Packed.UncompressedSize > MaxBytes)
     return std::nullopt;
   std::string Text(Packed.UncompressedSize, '\0');
   uLongf Length = Packed.UncompressedSize;
-  // zlib takes no null pointer, also where there is nothing to write.
-  Bytef Nothing = 0;
-  const int Result = uncompress(Text.empty() ? &Nothing : reinterpret_cast<Bytef *>(Text.data()),
-                                &Length, reinterpret_cast<const Bytef *>(Packed.Compressed.data()),
-                                static_cast<uLong>(Packed.Compressed.size()));
+  // zlib rejects a null output pointer even if there is nothing to write.
+  Bytef EmptyOutput = 0;
+  const int Result =
+      uncompress(Text.empty() ? &EmptyOutput : reinterpret_cast<Bytef *>(Text.data()), &Length,
+                 reinterpret_cast<const Bytef *>(Packed.Compressed.data()),
+                 static_cast<uLong>(Packed.Compressed.size()));
   if (Result != Z_OK || Length != Packed.UncompressedSize)
     return std::nullopt;
   return Text;
--- a/src/packed_text/packed_text.h
+++ b/src/packed_text/packed_text.h
@@ -1,4 +1,4 @@
-/** @file packed_text.h Public header of packed_text: texts that travel compressed. */
+/** @file packed_text.h Public header of packed_text: compressed texts for messages. */
 #ifndef POLLENSTALL_PACKED_TEXT_PACKED_TEXT_H
 #define POLLENSTALL_PACKED_TEXT_PACKED_TEXT_H
 
--- a/src/packed_text/packed_text_func.h
+++ b/src/packed_text/packed_text_func.h
@@ -1,4 +1,4 @@
-/** @file packed_text_func.h Packs texts and unpacks them. */
+/** @file packed_text_func.h Compresses and decompresses texts. */
 #ifndef POLLENSTALL_PACKED_TEXT_PACKED_TEXT_FUNC_H
 #define POLLENSTALL_PACKED_TEXT_PACKED_TEXT_FUNC_H
 
@@ -11,12 +11,13 @@
 
 namespace pollenstall {
 
-/// @return The text, compressed by the fastest level: the sender's processor is small.
+/// Compresses a text at the fastest level, since the sender has little CPU capacity.
 packed_text pack(std::string_view Text);
 
-/// @return The text; nothing where it says that it is longer than MostBytes, is cut or changed, or
-/// is not as long as it says. Never allocates more than MostBytes.
-std::optional<std::string> unpack(const packed_text &Packed, std::size_t MostBytes);
+/// Decompresses a text. Never allocates more than MaxBytes.
+/// @return Nothing if the stated size exceeds MaxBytes, the data is truncated or corrupt, or the
+/// text does not have the stated size.
+std::optional<std::string> unpack(const packed_text &Packed, std::size_t MaxBytes);
 
 } // namespace pollenstall
 
--- a/src/packed_text/packed_text_type.h
+++ b/src/packed_text/packed_text_type.h
@@ -7,9 +7,9 @@
 
 namespace pollenstall {
 
-/// Text in the zlib format (RFC 1950). Declarations repeat their words in every route.
+/// A text in the zlib format (RFC 1950). Declarations repeat the same words in every route.
 struct packed_text {
-  std::uint32_t UncompressedSize{0}; ///< Bytes of the text.
+  std::uint32_t UncompressedSize{0}; ///< Size of the text in bytes.
   std::string Compressed;
 
   bool operator==(const packed_text &) const = default;
--- a/src/text_difference/text_difference.cpp
+++ b/src/text_difference/text_difference.cpp
@@ -1,5 +1,5 @@
-/** @file text_difference.cpp Both texts are cut into pieces where a table or a line begins; pieces
- * that the old text has are copied from there. */
+/** @file text_difference.cpp Splits both texts into pieces at the start of each table or line
+ * and copies the pieces that the old text has. */
 #include "text_difference/text_difference_func.h"
 
 #include "core/core.h"
@@ -11,42 +11,43 @@
 
 namespace {
 
-/// Declarations are JSON without line breaks, or TOML: a changed route or key changes one piece.
+/// Characters that start a piece. Declarations are JSON without line breaks, or TOML, so a changed
+/// route or key changes one piece.
 constexpr std::string_view PieceStarts = "{\n";
 
-/// @return The piece at the front of Rest, of one byte at least.
-std::string_view firstPiece(std::string_view Rest) {
-  return Rest.substr(0, Rest.find_first_of(PieceStarts, 1));
+/// @return The first piece of the remaining text, which must not be empty; at least one byte.
+std::string_view firstPiece(std::string_view Remaining) {
+  return Remaining.substr(0, Remaining.find_first_of(PieceStarts, 1));
 }
 
-/// Where each piece of a text stands first.
-std::unordered_map<std::string_view, std::size_t> placesOfPieces(std::string_view Text) {
-  std::unordered_map<std::string_view, std::size_t> Places;
-  for (std::size_t At = 0; At < Text.size();) {
-    const std::string_view Piece = firstPiece(Text.substr(At));
-    Places.try_emplace(Piece, At);
-    At += Piece.size();
+/// @return The offset of the first occurrence of each piece.
+std::unordered_map<std::string_view, std::size_t> firstPieceOffsets(std::string_view Text) {
+  std::unordered_map<std::string_view, std::size_t> Offsets;
+  for (std::size_t Position = 0; Position < Text.size();) {
+    const std::string_view Piece = firstPiece(Text.substr(Position));
+    Offsets.try_emplace(Piece, Position);
+    Position += Piece.size();
   }
-  return Places;
+  return Offsets;
 }
 
-/// Puts pieces that follow each other in the old text into one step.
-class step_list {
+/// Builds the list of steps; copies of adjacent pieces of the old text become one step.
+class step_list_builder {
 public:
-  void copy(std::size_t From, std::size_t Bytes) {
-    const bool Follows = !Steps.empty() && Steps.back().Inserted.empty() &&
-                         Steps.back().CopyBytes > 0 &&
-                         Steps.back().CopyOffset + Steps.back().CopyBytes == From;
-    if (Follows)
+  void copy(std::size_t Offset, std::size_t Bytes) {
+    const bool IsAdjacent = !Steps.empty() && Steps.back().Inserted.empty() &&
+                            Steps.back().CopyBytes > 0 &&
+                            Steps.back().CopyOffset + Steps.back().CopyBytes == Offset;
+    if (IsAdjacent)
       Steps.back().CopyBytes += static_cast<std::uint32_t>(Bytes);
     else
       Steps.push_back(
-          {static_cast<std::uint32_t>(From), static_cast<std::uint32_t>(Bytes), std::string()});
+          {static_cast<std::uint32_t>(Offset), static_cast<std::uint32_t>(Bytes), std::string()});
   }
-  void add(std::string_view Own) {
+  void insert(std::string_view NewText) {
     if (Steps.empty())
       Steps.emplace_back();
-    Steps.back().Inserted.append(Own);
+    Steps.back().Inserted.append(NewText);
   }
   [[nodiscard]] std::vector<difference_step> take() { return std::move(Steps); }
 
@@ -57,35 +58,36 @@
 } // namespace
 
 text_difference computeDifference(std::string_view Old, std::string_view New) {
-  const auto Places = placesOfPieces(Old);
-  step_list Steps;
-  // Where a piece stands several times, the one that goes on behind the last copy is meant.
-  std::size_t Expected = 0;
-  for (std::size_t At = 0; At < New.size();) {
-    const std::string_view Piece = firstPiece(New.substr(At));
-    const auto Found = Places.find(Piece);
-    if (Found == Places.end()) {
-      Steps.add(Piece);
+  const auto Offsets = firstPieceOffsets(Old);
+  step_list_builder Steps;
+  // If the old text has a piece several times, the occurrence right after the last copy is
+  // preferred, since it extends that copy.
+  std::size_t NextCopyOffset = 0;
+  for (std::size_t Position = 0; Position < New.size();) {
+    const std::string_view Piece = firstPiece(New.substr(Position));
+    const auto Found = Offsets.find(Piece);
+    if (Found == Offsets.end()) {
+      Steps.insert(Piece);
     } else {
-      const bool GoesOn = Old.substr(std::min(Expected, Old.size())).starts_with(Piece);
-      const std::size_t From = GoesOn ? Expected : Found->second;
-      Steps.copy(From, Piece.size());
-      Expected = From + Piece.size();
+      const bool Continues = Old.substr(std::min(NextCopyOffset, Old.size())).starts_with(Piece);
+      const std::size_t CopyOffset = Continues ? NextCopyOffset : Found->second;
+      Steps.copy(CopyOffset, Piece.size());
+      NextCopyOffset = CopyOffset + Piece.size();
     }
-    At += Piece.size();
+    Position += Piece.size();
   }
   return {stableHash(Old), stableHash(New), Steps.take()};
 }
 
 std::optional<std::string> applyDifference(std::string_view Old, const text_difference &Difference,
-                                           std::size_t MostBytes) {
+                                           std::size_t MaxBytes) {
   if (stableHash(Old) != Difference.OldHash)
     return std::nullopt;
   std::string New;
   for (const difference_step &Step : Difference.Steps) {
-    const bool Within =
+    const bool InRange =
         Step.CopyOffset <= Old.size() && Step.CopyBytes <= Old.size() - Step.CopyOffset;
-    if (!Within || New.size() + Step.CopyBytes + Step.Inserted.size() > MostBytes)
+    if (!InRange || New.size() + Step.CopyBytes + Step.Inserted.size() > MaxBytes)
       return std::nullopt;
     New.append(Old.substr(Step.CopyOffset, Step.CopyBytes)).append(Step.Inserted);
   }
--- a/src/text_difference/text_difference.h
+++ b/src/text_difference/text_difference.h
@@ -1,4 +1,4 @@
-/** @file text_difference.h Public header of text_difference: what changes one text into another. */
+/** @file text_difference.h Public header of text_difference: differences between two texts. */
 #ifndef POLLENSTALL_TEXT_DIFFERENCE_TEXT_DIFFERENCE_H
 #define POLLENSTALL_TEXT_DIFFERENCE_TEXT_DIFFERENCE_H
 
--- a/src/text_difference/text_difference_func.h
+++ b/src/text_difference/text_difference_func.h
@@ -1,4 +1,4 @@
-/** @file text_difference_func.h Finds and applies differences. */
+/** @file text_difference_func.h Computes and applies differences. */
 #ifndef POLLENSTALL_TEXT_DIFFERENCE_TEXT_DIFFERENCE_FUNC_H
 #define POLLENSTALL_TEXT_DIFFERENCE_TEXT_DIFFERENCE_FUNC_H
 
@@ -11,15 +11,15 @@
 
 namespace pollenstall {
 
-/// @return What makes New out of Old. Time and memory grow with the length of both.
+/// @return The steps from Old to New. Time and memory grow with the length of both texts.
 text_difference computeDifference(std::string_view Old, std::string_view New);
 
-/// @return The new text, or nothing where Old is not the text that was meant, a step reaches beyond
-/// it, the result is longer than MostBytes or is not what was meant.
+/// @return The new text; nothing if Old is not the text that the difference was computed from, a
+/// step reaches beyond its end, the result exceeds MaxBytes or has the wrong hash.
 std::optional<std::string> applyDifference(std::string_view Old, const text_difference &Difference,
-                                           std::size_t MostBytes);
+                                           std::size_t MaxBytes);
 
-/// @return About how many bytes a difference takes on its way.
+/// @return The approximate size of the encoded difference in bytes.
 std::size_t estimateEncodedBytes(const text_difference &Difference);
 
 } // namespace pollenstall
--- a/tests/core/core_test.cpp
+++ b/tests/core/core_test.cpp
@@ -1,4 +1,4 @@
-/** @file core_test.cpp Text forms of ids, rings and random numbers. */
+/** @file core_test.cpp Tests of id texts, queues, random numbers and invariants. */
 #include "core/core.h"
 
 #include <gtest/gtest.h>
@@ -8,19 +8,19 @@
 namespace pollenstall {
 namespace {
 
-const attempt_id Sample{{host_name("accra-a-1"), incarnation(17)}, request_number(42), 2};
+const attempt_id SampleAttempt{{host_name("accra-a-1"), incarnation(17)}, request_number(42), 2};
 
-TEST(AttemptText, ReadsBackWhatItWrote) {
-  EXPECT_EQ(toText(Sample), "accra-a-1/17/42/2");
-  EXPECT_EQ(parseAttemptId(toText(Sample)), Sample);
+TEST(AttemptIdText, ParsesFormattedText) {
+  EXPECT_EQ(toText(SampleAttempt), "accra-a-1/17/42/2");
+  EXPECT_EQ(parseAttemptId(toText(SampleAttempt)), SampleAttempt);
 }
 
-TEST(AttemptText, RefusesOtherForms) {
+TEST(AttemptIdText, RejectsOtherForms) {
   for (const char *Text : {"", "a/1/2", "a/1/2/x", "/1/2/3", "a/1/2/3/4", "a/-1/2/3", "a/1/2/"})
     EXPECT_EQ(parseAttemptId(Text), std::nullopt) << Text;
 }
 
-TEST(BoundedRing, RefusesBeyondItsCapacityAndKeepsOrder) {
+TEST(BoundedRing, RejectsItemsBeyondCapacityAndKeepsOrder) {
   bounded_ring<int> Ring(2);
   EXPECT_TRUE(Ring.push(1));
   EXPECT_TRUE(Ring.push(2));
@@ -30,43 +30,43 @@
   EXPECT_EQ(Seen, (std::vector<int>{1, 2}));
 }
 
-TEST(BoundedRing, WakesOnceForABurst) {
+TEST(BoundedRing, CallsWakeHookOncePerBurst) {
   bounded_ring<int> Ring(8);
-  int Wakes = 0;
-  Ring.onWake([&Wakes] { ++Wakes; });
+  int WakeCount = 0;
+  Ring.onWake([&WakeCount] { ++WakeCount; });
   Ring.push(1);
   Ring.push(2);
-  EXPECT_EQ(Wakes, 1);
+  EXPECT_EQ(WakeCount, 1);
   Ring.drain([](int) {});
   Ring.push(3);
-  EXPECT_EQ(Wakes, 2);
+  EXPECT_EQ(WakeCount, 2);
 }
 
-TEST(BoundedRing, LosesNothingBetweenTwoThreads) {
-  constexpr int Items = 100000;
+TEST(BoundedRing, DeliversEveryItemBetweenThreads) {
+  constexpr int ItemCount = 100000;
   bounded_ring<int> Ring(64);
   long Sum = 0;
   std::thread Producer([&Ring] {
-    for (int Value = 1; Value <= Items; ++Value)
+    for (int Value = 1; Value <= ItemCount; ++Value)
       while (!Ring.push(int(Value)))
         std::this_thread::yield();
   });
   int Seen = 0;
-  while (Seen < Items)
+  while (Seen < ItemCount)
     Seen += static_cast<int>(Ring.drain([&Sum](int Value) { Sum += Value; }));
   Producer.join();
-  EXPECT_EQ(Sum, static_cast<long>(Items) * (Items + 1) / 2);
+  EXPECT_EQ(Sum, static_cast<long>(ItemCount) * (ItemCount + 1) / 2);
 }
 
-TEST(RandomSource, GivesTheSameSequenceForASeed) {
-  random_source A(7);
-  random_source B(7);
-  EXPECT_EQ(A(), B());
-  EXPECT_LT(A.below(10), 10U);
-  EXPECT_EQ(A.below(0), 0U);
+TEST(RandomSource, RepeatsSequenceForSameSeed) {
+  random_source First(7);
+  random_source Second(7);
+  EXPECT_EQ(First(), Second());
+  EXPECT_LT(First.below(10), 10U);
+  EXPECT_EQ(First.below(0), 0U);
 }
 
-TEST(InvariantDeathTest, PrintsItsNameAndTheDump) {
+TEST(InvariantDeathTest, PrintsNameAndDump) {
   EXPECT_DEATH(requireInvariant(false, "sample invariant", [] { return std::string("the state"); }),
                "sample invariant\nthe state");
 }
--- a/tests/text_difference/text_difference_test.cpp
+++ b/tests/text_difference/text_difference_test.cpp
@@ -1,5 +1,5 @@
-/** @file text_difference_test.cpp Any text out of any other one, and small steps for small changes.
- */
+/** @file text_difference_test.cpp Tests that a difference rebuilds any new text and is small
+ * for a small change. */
 #include "text_difference/text_difference.h"
 
 #include "core/core.h"
@@ -10,7 +10,7 @@
 namespace pollenstall {
 namespace {
 
-constexpr std::size_t Most = 1U << 20U;
+constexpr std::size_t MaxBytes = 1U << 20U;
 
 std::string routesText(int Version, int Routes, int Changed = -1) {
   std::string Text = "{\"version\":" + std::to_string(Version) + ",\"routes\":[";
@@ -20,22 +20,22 @@
   return Text + "]}";
 }
 
-TEST(ADifference, MakesTheNewTextOutOfTheOldOne) {
+TEST(TextDifference, RebuildsNewText) {
   const std::string Old = routesText(1, 50);
   const std::string New = routesText(2, 51, 20);
-  const auto Made = applyDifference(Old, computeDifference(Old, New), Most);
-  ASSERT_TRUE(Made);
-  EXPECT_EQ(*Made, New);
+  const auto Rebuilt = applyDifference(Old, computeDifference(Old, New), MaxBytes);
+  ASSERT_TRUE(Rebuilt);
+  EXPECT_EQ(*Rebuilt, New);
 }
 
-TEST(ADifference, OfOneRouteIsSmall) {
+TEST(TextDifference, IsSmallForOneChangedRoute) {
   const std::string Old = routesText(1, 500);
   EXPECT_LT(estimateEncodedBytes(computeDifference(Old, routesText(2, 500, 250))), 300U);
   EXPECT_LT(estimateEncodedBytes(computeDifference(Old, routesText(2, 501))), 300U);
   EXPECT_LT(estimateEncodedBytes(computeDifference(Old, routesText(2, 499))), 300U);
 }
 
-TEST(ADifference, OfTextsInLinesIsSmallToo) {
+TEST(TextDifference, IsSmallForOneChangedLine) {
   std::string Old;
   for (int Line = 0; Line < 300; ++Line)
     Old += "key_" + std::to_string(Line) + " = \"value\"\n";
@@ -44,29 +44,29 @@
   EXPECT_LT(estimateEncodedBytes(computeDifference(Old, New)), 150U);
 }
 
-// A host that restarted holds another text than the sender believes. Applied to it, the difference
-// would make a declaration that nobody declared.
-TEST(ADifference, IsRefusedByAnotherBase) {
+// A restarted host may hold a different text than its sender assumes. Applying the difference to it
+// would build a declaration that nobody declared.
+TEST(TextDifference, RejectsWrongBase) {
   const std::string Old = routesText(1, 5);
   const text_difference Difference = computeDifference(Old, routesText(2, 5));
-  EXPECT_FALSE(applyDifference(routesText(3, 5), Difference, Most));
-  EXPECT_FALSE(applyDifference("", Difference, Most));
+  EXPECT_FALSE(applyDifference(routesText(3, 5), Difference, MaxBytes));
+  EXPECT_FALSE(applyDifference("", Difference, MaxBytes));
 }
 
-TEST(ADifference, ThatReachesBeyondTheBaseIsRefused) {
+TEST(TextDifference, RejectsCopyBeyondBase) {
   const std::string Old = "{a}{b}";
   text_difference Difference = computeDifference(Old, "{b}{a}");
   for (difference_step &Step : Difference.Steps)
     Step.CopyBytes = 0xFFFFFFFF;
-  EXPECT_FALSE(applyDifference(Old, Difference, Most));
+  EXPECT_FALSE(applyDifference(Old, Difference, MaxBytes));
 }
 
-TEST(ADifference, ThatMakesTooMuchIsRefused) {
+TEST(TextDifference, RejectsResultOverLimit) {
   const std::string Old(1'000, 'x');
   EXPECT_FALSE(applyDifference(Old, computeDifference(Old, Old + Old), 1'500));
 }
 
-/// Texts of few letters, so that pieces repeat.
+/// Draws a text from a few characters, so that pieces repeat.
 std::string drawText(random_source &Random) {
   constexpr std::string_view Letters = "ab{\n";
   std::string Text(Random.below(60), ' ');
@@ -75,16 +75,16 @@
   return Text;
 }
 
-RC_GTEST_PROP(ADifferenceProperty, MakesAnyTextOutOfAnyOther, (std::uint64_t Seed)) {
+RC_GTEST_PROP(TextDifferenceProperty, RebuildsAnyText, (std::uint64_t Seed)) {
   random_source Random(Seed);
   const std::string Old = drawText(Random);
   const std::string New = drawText(Random);
-  const auto Made = applyDifference(Old, computeDifference(Old, New), Most);
-  RC_ASSERT(Made.has_value());
-  RC_ASSERT(*Made == New);
+  const auto Rebuilt = applyDifference(Old, computeDifference(Old, New), MaxBytes);
+  RC_ASSERT(Rebuilt.has_value());
+  RC_ASSERT(*Rebuilt == New);
 }
 
-RC_GTEST_PROP(ADifferenceProperty, ThatWasChangedOnItsWayMakesNothingElse, (std::uint64_t Seed)) {
+RC_GTEST_PROP(TextDifferenceProperty, NeverRebuildsWrongTextWhenCorrupted, (std::uint64_t Seed)) {
   random_source Random(Seed);
   const std::string Old = drawText(Random);
   const std::string New = drawText(Random);
@@ -94,8 +94,8 @@
   difference_step &Step = Difference.Steps[Random.below(Difference.Steps.size())];
   Step.CopyOffset += static_cast<std::uint32_t>(Random.below(3));
   Step.CopyBytes += static_cast<std::uint32_t>(Random.below(3));
-  const auto Made = applyDifference(Old, Difference, Most);
-  RC_ASSERT(!Made || *Made == New);
+  const auto Rebuilt = applyDifference(Old, Difference, MaxBytes);
+  RC_ASSERT(!Rebuilt || *Rebuilt == New);
 }
 
 } // namespace
