--- a/bench/consensus/consensus_bench.cpp
+++ b/bench/consensus/consensus_bench.cpp
@@ -70,7 +70,7 @@
     Compact.Snapshot = std::make_shared<const log_snapshot>(
         log_snapshot{log_index(Count / 2),
                      term_number(1),
-                     {cluster_id(1), {{{member_id(1), disk_identity(1)}, member_standing::Voter}}},
+                     {cluster_id(1), {{{member_id(1), disk_identity(1)}, voting_status::Voter}}},
                      std::string(1U << 20U, 's')});
     const auto Written = Place.open()->write({batchAfter(0, Count), Compact});
     requireInvariant(succeeded(Written), "the bench's write succeeds");
@@ -97,7 +97,7 @@
       replica_builder Builder({Id, disk_identity(Id.value())});
       Builder.peers(Peers).seed(Id.value());
       if (Id == member_id(1))
-        Builder.founder(cluster_id(1));
+        Builder.bootstrapCluster(cluster_id(1));
       Replicas.push_back(Builder.build(Now));
     }
   }
--- a/programs/pollenstall-control/control_core.cpp
+++ b/programs/pollenstall-control/control_core.cpp
@@ -52,7 +52,7 @@
       .peers(std::move(Peers))
       .seed(randomNumber());
   if (isFounder(Settings))
-    Builder.founder(cluster_id(randomNumber()));
+    Builder.bootstrapCluster(cluster_id(randomNumber()));
   return Builder.build(boot_clock::now());
 }
 
@@ -363,7 +363,7 @@
   NextRepair = Now + RepairInterval;
   member_repair_options Options;
   Options.TargetVoters = targetVoters(Parts.Settings);
-  const std::optional<member_change> Wanted = memberRepair(Status, Emptied, Options);
+  const std::optional<member_change> Wanted = nextMemberRepair(Status, Emptied, Options);
   if (!Wanted)
     return;
   const auto *Expelled = std::get_if<expel_member>(&*Wanted);
--- a/programs/pollenstall-control/control_core_request.cpp
+++ b/programs/pollenstall-control/control_core_request.cpp
@@ -84,7 +84,7 @@
       if (Other != Member && Other != self() && Kept.Peers == Told.Peers)
         Emptied.insert(Other);
   Addresses[Member] = Told;
-  Replica.learnPeer(Member);
+  Replica.addPeer(Member);
   return true;
 }
 
@@ -111,7 +111,7 @@
   const proposal_result Result = Replica.propose(encodeCommand(Command), Time);
   if (!succeeded(Result))
     return errorOf(Result);
-  const proposal_place &Place = valueOf(Result);
+  const proposal_position &Place = valueOf(Result);
   Proposals.insert_or_assign(
       Place.Index, waiting_proposal{Place.Term, std::move(Answered), Time + ProposalLimit});
   return std::nullopt;
@@ -265,7 +265,7 @@
 void control_core::answerMembership(const proposal_result &Result, const control_request &Request) {
   if (!succeeded(Result))
     return Request.Answer->set_value(refusalOf(errorOf(Result)));
-  const proposal_place &Place = valueOf(Result);
+  const proposal_position &Place = valueOf(Result);
   Memberships.insert_or_assign(Place.Index, waiting_membership{Place.Term, Request.Answer,
                                                                boot_clock::now() + ProposalLimit});
 }
--- a/programs/pollenstall-control/control_core_status.cpp
+++ b/programs/pollenstall-control/control_core_status.cpp
@@ -40,7 +40,7 @@
   json::object Object;
   Object["member"] = Member.Key.Member.value();
   Object["disk"] = std::to_string(Member.Key.Disk.value());
-  Object["standing"] = Member.Standing == member_standing::Voter ? "voter" : "learner";
+  Object["standing"] = Member.VotingStatus == voting_status::Voter ? "voter" : "learner";
   Object["operator_url"] = Known != nullptr && !Known->Operators.empty()
                                ? json::value("http://" + Known->Operators)
                                : json::value();
@@ -53,7 +53,7 @@
       continue;
     Object["caught_up"] = Progress.Match.value() + CaughtUpWithin >= Status.LastIndex.value();
     Object["match_index"] = Progress.Match.value();
-    Object["heard_ms_ago"] = wholeMillis(Progress.SinceHeard);
+    Object["heard_ms_ago"] = wholeMillis(Progress.SinceLastReply);
   }
   return Object;
 }
@@ -64,7 +64,7 @@
   if (voterCount(Committed) < Expected)
     return true;
   for (const member_progress &Progress : Status.Progress)
-    if (Progress.Member.Standing != member_standing::Voter || Progress.SinceHeard > Silence ||
+    if (Progress.Member.VotingStatus != voting_status::Voter || Progress.SinceLastReply > Silence ||
         Progress.Match.value() + CaughtUpWithin < Status.LastIndex.value())
       return true;
   return false;
--- a/programs/pollenstall-control/control_main.cpp
+++ b/programs/pollenstall-control/control_main.cpp
@@ -38,7 +38,7 @@
   Options.Folder = Settings.DataFolder;
   Options.Fleet = Settings.Fleet;
   Options.Member = member_id(Settings.MemberId);
-  Options.FreshDisk = disk_identity((std::uint64_t{Source()} << HalfBits) | Source() | 1U);
+  Options.NewDiskIdentity = disk_identity((std::uint64_t{Source()} << HalfBits) | Source() | 1U);
   return Options;
 }
 
@@ -198,7 +198,7 @@
 bool waitForDisk(const control_settings &Settings, const stop_signal &Stop) {
   logEvent(log_level::Warning, "disk_awaited", {{"folder", Settings.DataFolder}});
   while (!Stop.waitFor(DiskRetryInterval)) {
-    if (!takesWrites(Settings.DataFolder))
+    if (!isWritable(Settings.DataFolder))
       continue;
     logEvent(log_level::Info, "disk_back", {{"folder", Settings.DataFolder}});
     return true;
--- a/src/consensus/follower_progress.cpp
+++ b/src/consensus/follower_progress.cpp
@@ -1,4 +1,4 @@
-/** @file follower_progress.cpp What a leader knows of one other member. */
+/** @file follower_progress.cpp Replication progress of one other member, kept by the leader. */
 #include "consensus/follower_progress_base.h"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 bool follower_progress::mayAppend(std::size_t MaxInFlight) const {
   switch (Mode) {
   case send_mode::Probe:
-    return !ProbeUnderWay;
+    return !ProbeInFlight;
   case send_mode::Replicate:
     return InFlight.size() < MaxInFlight;
   case send_mode::Snapshot:
@@ -17,9 +17,9 @@
   return false;
 }
 
-void follower_progress::sentAppend(log_index Last) {
+void follower_progress::recordSentAppend(log_index Last) {
   if (Mode == send_mode::Probe) {
-    ProbeUnderWay = true;
+    ProbeInFlight = true;
     return;
   }
   if (Last < Next)
@@ -28,50 +28,50 @@
   Next = Last.next();
 }
 
-void follower_progress::changeMode(send_mode To, std::uint64_t NextRound) {
-  Mode = To;
-  ModeSince = NextRound;
-  ProbeUnderWay = false;
+void follower_progress::changeMode(send_mode NewMode, std::uint64_t NextRound) {
+  Mode = NewMode;
+  FirstModeRound = NextRound;
+  ProbeInFlight = false;
   InFlight.clear();
 }
 
-void follower_progress::sentSnapshot(std::uint64_t NextRound, mono_time Now) {
+void follower_progress::recordSentSnapshot(std::uint64_t NextRound, mono_time Now) {
   changeMode(send_mode::Snapshot, NextRound);
   SnapshotSentAt = Now;
 }
 
-bool follower_progress::matched(log_index Index, std::uint64_t Round, std::uint64_t NextRound) {
-  const bool News = Index > Match;
+bool follower_progress::recordMatch(log_index Index, std::uint64_t Round, std::uint64_t NextRound) {
+  const bool Advanced = Index > Match;
   Match = std::max(Match, Index);
-  if (Mode == send_mode::Probe && Round >= ModeSince) {
-    // What follows the match is sent again: the probe's own entries may not be on the disk yet.
+  if (Mode == send_mode::Probe && Round >= FirstModeRound) {
+    // Entries after the match are sent again, because the probe's entries may not be durable yet.
     changeMode(send_mode::Replicate, NextRound);
     Next = Match.next();
-    return News;
+    return Advanced;
   }
   Next = std::max(Next, Match.next());
   while (!InFlight.empty() && InFlight.front() <= Match)
     InFlight.pop_front();
-  return News;
+  return Advanced;
 }
 
-bool follower_progress::rejected(log_index Prev, log_index NextTry, std::uint64_t Round,
-                                 std::uint64_t NextRound) {
-  if (Prev <= Match || Round < ModeSince || Mode == send_mode::Snapshot)
+bool follower_progress::recordRejection(log_index Prev, log_index NextTry, std::uint64_t Round,
+                                        std::uint64_t NextRound) {
+  if (Prev <= Match || Round < FirstModeRound || Mode == send_mode::Snapshot)
     return false;
   changeMode(send_mode::Probe, NextRound);
   Next = std::max(Match.next(), std::min(NextTry, Prev));
   return true;
 }
 
-void follower_progress::leaveSnapshot(log_index NextTry, std::uint64_t NextRound) {
+void follower_progress::restartProbe(log_index NextTry, std::uint64_t NextRound) {
   changeMode(send_mode::Probe, NextRound);
   Next = std::max(Match.next(), NextTry);
 }
 
-void follower_progress::heard(std::uint64_t Round, mono_time SentAt) {
-  HeardRound = std::max(HeardRound, Round);
-  HeardAt = std::max(HeardAt.value_or(SentAt), SentAt);
+void follower_progress::recordReply(std::uint64_t Round, mono_time SentAt) {
+  LastRepliedRound = std::max(LastRepliedRound, Round);
+  LastRepliedSendTime = std::max(LastRepliedSendTime.value_or(SentAt), SentAt);
 }
 
 } // namespace pollenstall
--- a/src/consensus/follower_progress_base.h
+++ b/src/consensus/follower_progress_base.h
@@ -1,4 +1,4 @@
-/** @file follower_progress_base.h What a leader knows of one other member. */
+/** @file follower_progress_base.h Replication progress of one other member, kept by the leader. */
 #ifndef POLLENSTALL_CONSENSUS_FOLLOWER_PROGRESS_BASE_H
 #define POLLENSTALL_CONSENSUS_FOLLOWER_PROGRESS_BASE_H
 
@@ -8,14 +8,14 @@
 
 namespace pollenstall {
 
-/// How entries are sent to a member.
+/// How the leader sends entries to a member.
 enum class send_mode : std::uint8_t {
-  Probe,     ///< One append at a time until the logs' common part is found.
-  Replicate, ///< Several appends under way at once.
-  Snapshot,  ///< A snapshot is under way; no entries.
+  Probe,     ///< One append at a time until the last matching entry is found.
+  Replicate, ///< Several appends in flight at once.
+  Snapshot,  ///< A snapshot is in flight; no entries are sent.
 };
 
-/// Match, next index and appends under way of one member, by the rules of their changes.
+/// Match index, next index and in-flight appends of one member.
 class follower_progress {
 public:
   follower_progress(member_key Member, log_index First) : Key(Member), Next(First) {}
@@ -24,50 +24,53 @@
   [[nodiscard]] log_index match() const { return Match; }
   [[nodiscard]] log_index next() const { return Next; }
   [[nodiscard]] send_mode mode() const { return Mode; }
-  /// @return Whether an append with entries may go out now.
+  /// @return Whether an append with entries may be sent now.
   [[nodiscard]] bool mayAppend(std::size_t MaxInFlight) const;
 
-  /// An append up to Last went out; Last is before next() where it was empty.
-  void sentAppend(log_index Last);
-  /// @param NextRound Of the next message: older answers say nothing of the new mode.
-  void sentSnapshot(std::uint64_t NextRound, mono_time Now);
+  /// Records an append up to Last; an empty append has a Last before next().
+  void recordSentAppend(log_index Last);
+  /// Switches to snapshot mode. @param NextRound Round of the next message; replies to earlier
+  /// rounds cannot change the mode.
+  void recordSentSnapshot(std::uint64_t NextRound, mono_time Now);
   [[nodiscard]] mono_time snapshotSentAt() const { return SnapshotSentAt; }
-  /// A lost probe is sent again with the next heartbeat.
-  void allowProbe() { ProbeUnderWay = false; }
+  /// Permits another probe, in case the last one was lost; called for each heartbeat.
+  void allowProbe() { ProbeInFlight = false; }
 
-  /// The member has everything up to Index on its disk. @return Whether that is news.
-  bool matched(log_index Index, std::uint64_t Round, std::uint64_t NextRound);
-  /// The log did not fit at Prev. @param NextTry Where to go on. @return False where that is old.
-  bool rejected(log_index Prev, log_index NextTry, std::uint64_t Round, std::uint64_t NextRound);
-  /// The snapshot is lost or useless: look for the common part again.
-  void leaveSnapshot(log_index NextTry, std::uint64_t NextRound);
+  /// Records that entries up to Index are durable on the member. @return Whether match() advanced.
+  bool recordMatch(log_index Index, std::uint64_t Round, std::uint64_t NextRound);
+  /// Records that the member's log did not match at Prev. @param NextTry Next index to probe.
+  /// @return False if the reply is stale.
+  bool recordRejection(log_index Prev, log_index NextTry, std::uint64_t Round,
+                       std::uint64_t NextRound);
+  /// Returns to probing after a snapshot was installed or lost.
+  void restartProbe(log_index NextTry, std::uint64_t NextRound);
 
-  /// The member answered a message that this leader sent at SentAt.
-  void heard(std::uint64_t Round, mono_time SentAt);
-  /// Times before a clock jump mean nothing.
-  void forgetHeard() { HeardAt.reset(); }
-  [[nodiscard]] std::uint64_t heardRound() const { return HeardRound; }
-  [[nodiscard]] std::optional<mono_time> heardAt() const { return HeardAt; }
+  /// Records a reply to the message of Round, which this leader sent at SentAt.
+  void recordReply(std::uint64_t Round, mono_time SentAt);
+  /// Called at a clock jump, after which earlier times are invalid.
+  void clearRepliedSendTime() { LastRepliedSendTime.reset(); }
+  [[nodiscard]] std::uint64_t lastRepliedRound() const { return LastRepliedRound; }
+  [[nodiscard]] std::optional<mono_time> lastRepliedSendTime() const { return LastRepliedSendTime; }
 
-  log_index SentCommit; ///< The commit index that was last sent.
+  log_index SentCommit; ///< Last commit index sent to the member.
 
 private:
   member_key Key;
   log_index Match;
   log_index Next;
   /**
-   * Each answer may set off several appends. If an answer to a message from before the last change
-   * of mode could change the mode back, reordered answers would multiply without end.
+   * Each reply may trigger several appends. If a reply to a message sent before the last change of
+   * mode could change the mode back, reordered replies would multiply without bound.
    */
-  void changeMode(send_mode To, std::uint64_t NextRound);
+  void changeMode(send_mode NewMode, std::uint64_t NextRound);
 
   send_mode Mode{send_mode::Probe};
-  std::uint64_t ModeSince{0}; ///< Round of the first message sent in this mode.
-  bool ProbeUnderWay{false};
-  std::deque<log_index> InFlight; ///< Last index of each append without an answer.
+  std::uint64_t FirstModeRound{0}; ///< Round of the first message sent in this mode.
+  bool ProbeInFlight{false};
+  std::deque<log_index> InFlight; ///< Last index of each unacknowledged append.
   mono_time SnapshotSentAt{};
-  std::uint64_t HeardRound{0};
-  std::optional<mono_time> HeardAt; ///< Send time of the newest message that was answered.
+  std::uint64_t LastRepliedRound{0};
+  std::optional<mono_time> LastRepliedSendTime; ///< Send time of the newest message with a reply.
 };
 
 } // namespace pollenstall
--- a/src/consensus/member_history.cpp
+++ b/src/consensus/member_history.cpp
@@ -1,18 +1,18 @@
-/** @file member_history.cpp The sets of members along the log, so that a truncation can go back. */
+/** @file member_history.cpp Member sets by log index, to restore one after a truncation. */
 #include "consensus/member_history_base.h"
 
 namespace pollenstall {
 
 const member_set &member_history::at(log_index Index) const {
-  const placed_set *Found = &Sets.front();
-  for (const placed_set &Set : Sets)
+  const indexed_set *InForce = &Sets.front();
+  for (const indexed_set &Set : Sets)
     if (Set.Index <= Index)
-      Found = &Set;
-  return Found->Members;
+      InForce = &Set;
+  return InForce->Members;
 }
 
 void member_history::append(log_index Index, member_set Set) {
-  requireInvariant(Index > currentIndex(), "sets of members follow the log's order");
+  requireInvariant(Index > currentIndex(), "member sets are appended in log order");
   Sets.push_back({Index, std::move(Set)});
 }
 
@@ -27,7 +27,7 @@
 }
 
 void member_history::reset(log_index Index, member_set Set) {
-  Sets.assign(1, placed_set{Index, std::move(Set)});
+  Sets.assign(1, indexed_set{Index, std::move(Set)});
 }
 
 } // namespace pollenstall
--- a/src/consensus/member_history_base.h
+++ b/src/consensus/member_history_base.h
@@ -1,5 +1,4 @@
-/** @file member_history_base.h The sets of members along the log, so that a truncation can go back.
- */
+/** @file member_history_base.h Member sets by log index, to restore one after a truncation. */
 #ifndef POLLENSTALL_CONSENSUS_MEMBER_HISTORY_BASE_H
 #define POLLENSTALL_CONSENSUS_MEMBER_HISTORY_BASE_H
 
@@ -8,8 +7,8 @@
 namespace pollenstall {
 
 /**
- * A set is in force as soon as it is in the log, committed or not (Ongaro 2014, 4.1); when its
- * entry is truncated the set before it is in force again.
+ * A member set is in force as soon as its entry is in the log, committed or not (Ongaro 2014, 4.1).
+ * If the entry is truncated, the previous set is in force again.
  */
 class member_history {
 public:
@@ -17,7 +16,7 @@
 
   /// @return The set in force.
   [[nodiscard]] const member_set &current() const { return Sets.back().Members; }
-  /// @return The index of the entry that carries it; 0 where there is none.
+  /// @return The index of the entry that carries the set in force; 0 if there is none.
   [[nodiscard]] log_index currentIndex() const { return Sets.back().Index; }
   /// @return The set in force at Index.
   [[nodiscard]] const member_set &at(log_index Index) const;
@@ -25,16 +24,16 @@
   void append(log_index Index, member_set Set);
   void truncateFrom(log_index Index);
   void compactTo(log_index Index);
-  /// Starts anew from a snapshot.
+  /// Replaces the history by the member set of a snapshot.
   void reset(log_index Index, member_set Set);
 
 private:
-  struct placed_set {
+  struct indexed_set {
     log_index Index;
     member_set Members;
   };
 
-  std::vector<placed_set> Sets{placed_set{}};
+  std::vector<indexed_set> Sets{indexed_set{}};
 };
 
 } // namespace pollenstall
--- a/src/consensus/member_repair.cpp
+++ b/src/consensus/member_repair.cpp
@@ -1,4 +1,4 @@
-/** @file member_repair.cpp Lost members make room for those that stand by. */
+/** @file member_repair.cpp Automatic replacement of lost members. */
 #include "consensus/member_repair_func.h"
 
 #include "consensus/member_set_func.h"
@@ -10,13 +10,13 @@
 namespace {
 
 bool isVoting(const member_progress &Progress) {
-  return Progress.Member.Standing == member_standing::Voter;
+  return Progress.Member.VotingStatus == voting_status::Voter;
 }
 
-/// The voters as the leader hears them, itself among them.
+/// Number of voters and of responsive voters, including the leader.
 struct voter_count {
   std::size_t All{1};
-  std::size_t Heard{1};
+  std::size_t Responsive{1};
 };
 
 voter_count countVoters(const replica_status &Status, const member_repair_options &Options) {
@@ -25,70 +25,74 @@
     if (!isVoting(Progress))
       continue;
     ++Count.All;
-    Count.Heard += Progress.SinceHeard < Options.VoterSilence / 2 ? 1 : 0;
+    Count.Responsive += Progress.SinceLastReply < Options.VoterTimeout / 2 ? 1 : 0;
   }
   return Count;
 }
 
-/// @return A learner that could vote now, or null.
-const member_progress *standBy(const replica_status &Status, const member_repair_options &Options) {
+/// @return A responsive learner that has caught up, or null.
+const member_progress *findCaughtUpLearner(const replica_status &Status,
+                                           const member_repair_options &Options) {
   for (const member_progress &Progress : Status.Progress) {
     const bool CaughtUp =
         Progress.Match.value() + Options.CaughtUpWithin >= Status.LastIndex.value();
-    if (!isVoting(Progress) && CaughtUp && Progress.SinceHeard < Options.VoterSilence / 2)
+    if (!isVoting(Progress) && CaughtUp && Progress.SinceLastReply < Options.VoterTimeout / 2)
       return &Progress;
   }
   return nullptr;
 }
 
-/// @return The voter that was not heard of for the longest time, or null.
-const member_progress *mostSilent(const replica_status &Status) {
-  const member_progress *Found = nullptr;
+/// @return The voter with the longest time since its last reply, or null.
+const member_progress *findMostUnresponsiveVoter(const replica_status &Status) {
+  const member_progress *Longest = nullptr;
   for (const member_progress &Progress : Status.Progress)
-    if (isVoting(Progress) && (Found == nullptr || Progress.SinceHeard > Found->SinceHeard))
-      Found = &Progress;
-  return Found;
+    if (isVoting(Progress) &&
+        (Longest == nullptr || Progress.SinceLastReply > Longest->SinceLastReply))
+      Longest = &Progress;
+  return Longest;
 }
 
-std::optional<member_change> forgetLearner(const replica_status &Status,
-                                           const member_repair_options &Options) {
+std::optional<member_change> unresponsiveLearnerRemoval(const replica_status &Status,
+                                                        const member_repair_options &Options) {
   for (const member_progress &Progress : Status.Progress)
-    if (!isVoting(Progress) && Progress.SinceHeard > Options.LearnerSilence)
+    if (!isVoting(Progress) && Progress.SinceLastReply > Options.LearnerTimeout)
       return expel_member{Progress.Member.Key.Member};
   return std::nullopt;
 }
 
-std::optional<member_change> expelEmptied(const replica_status &Status,
-                                          const std::set<member_id> &Emptied) {
+std::optional<member_change>
+voterWithoutDiskRemoval(const replica_status &Status,
+                        const std::set<member_id> &MembersWithoutDisk) {
   for (const member_progress &Progress : Status.Progress)
-    if (isVoting(Progress) && Emptied.count(Progress.Member.Key.Member) != 0)
+    if (isVoting(Progress) && MembersWithoutDisk.count(Progress.Member.Key.Member) != 0)
       return expel_member{Progress.Member.Key.Member};
   return std::nullopt;
 }
 
 } // namespace
 
-std::optional<member_change> memberRepair(const replica_status &Status,
-                                          const std::set<member_id> &Emptied,
-                                          const member_repair_options &Options) {
+std::optional<member_change> nextMemberRepair(const replica_status &Status,
+                                              const std::set<member_id> &MembersWithoutDisk,
+                                              const member_repair_options &Options) {
   if (Options.TargetVoters == 0 || Status.Role != replica_role::Leader || !Status.LeaseValid)
     return std::nullopt;
-  if (const auto Forgotten = forgetLearner(Status, Options))
-    return Forgotten;
+  if (const auto Removal = unresponsiveLearnerRemoval(Status, Options))
+    return Removal;
   const voter_count Voters = countVoters(Status, Options);
-  const member_progress *Silent = mostSilent(Status);
-  const bool CanSpareOne = Voters.Heard >= quorumOf(Voters.All - 1);
-  if (Voters.All > Options.TargetVoters && CanSpareOne && Silent != nullptr)
-    return expel_member{Silent->Member.Key.Member};
-  const member_progress *Next = standBy(Status, Options);
-  if (Next == nullptr || Voters.All != Options.TargetVoters)
+  const member_progress *Unresponsive = findMostUnresponsiveVoter(Status);
+  const bool QuorumWithoutOne = Voters.Responsive >= quorumOf(Voters.All - 1);
+  if (Voters.All > Options.TargetVoters && QuorumWithoutOne && Unresponsive != nullptr)
+    return expel_member{Unresponsive->Member.Key.Member};
+  const member_progress *Replacement = findCaughtUpLearner(Status, Options);
+  if (Replacement == nullptr || Voters.All != Options.TargetVoters)
     return std::nullopt;
-  const auto Replaced = expelEmptied(Status, Emptied);
-  if (Replaced)
-    return CanSpareOne ? Replaced : std::nullopt;
-  const bool Lost = Silent != nullptr && Silent->SinceHeard > Options.VoterSilence;
-  if (Lost && Voters.Heard + 1 >= quorumOf(Voters.All + 1))
-    return promote_member{Next->Member.Key};
+  const auto VoterRemoval = voterWithoutDiskRemoval(Status, MembersWithoutDisk);
+  if (VoterRemoval)
+    return QuorumWithoutOne ? VoterRemoval : std::nullopt;
+  const bool TimedOut =
+      Unresponsive != nullptr && Unresponsive->SinceLastReply > Options.VoterTimeout;
+  if (TimedOut && Voters.Responsive + 1 >= quorumOf(Voters.All + 1))
+    return promote_member{Replacement->Member.Key};
   return std::nullopt;
 }
 
--- a/src/consensus/member_repair_func.h
+++ b/src/consensus/member_repair_func.h
@@ -1,4 +1,4 @@
-/** @file member_repair_func.h Which member of the log is to be replaced, without a person. */
+/** @file member_repair_func.h Automatic replacement of lost members. */
 #ifndef POLLENSTALL_CONSENSUS_MEMBER_REPAIR_FUNC_H
 #define POLLENSTALL_CONSENSUS_MEMBER_REPAIR_FUNC_H
 
@@ -12,12 +12,13 @@
 
 /// When a member counts as lost.
 struct member_repair_options {
-  std::size_t TargetVoters{0}; ///< 0: nobody is ever replaced.
-  /// A voter that answers nothing for so long is replaced where another host stands by. Two
-  /// election timeouts: a voter that only missed a leader's change is back by then.
-  mono_duration VoterSilence{std::chrono::milliseconds(2000)};
-  /// A learner that answers nothing for so long is forgotten; it asks again when it is back.
-  mono_duration LearnerSilence{std::chrono::milliseconds(10'000)};
+  std::size_t TargetVoters{0}; ///< 0 disables replacement.
+  /// A voter that has not replied for this long is replaced if a caught-up learner exists. This is
+  /// two election timeouts, enough for a voter that only missed a change of leader to reply again.
+  mono_duration VoterTimeout{std::chrono::milliseconds(2000)};
+  /// A learner that has not replied for this long is expelled; it requests admission again when it
+  /// is back.
+  mono_duration LearnerTimeout{std::chrono::milliseconds(10'000)};
   std::uint64_t CaughtUpWithin{replica_options().CaughtUpWithin}; ///< Entries.
 };
 
@@ -34,18 +35,21 @@
 using member_change = std::variant<expel_member, promote_member>;
 
 /**
- * One safe change at a time. A voter that is silent may have its disk all the same: another one is
- * promoted first and the silent one expelled after it. Expelled first, it would leave four voters
- * whose quorum of three is gone with two more disks, although three disks of the five are there.
+ * Returns the next membership change that the leader should make, one safe change at a time.
  *
- * A voter whose disk is known to be gone is expelled first: a sixth voter would raise the quorum to
- * four while three may be all that is left.
- * @param Status Of the leader. @param Emptied Members whose hosts came back as others.
- * @return What the leader is to do now, or nothing.
+ * An unresponsive voter may still have its disk, so a learner is promoted before that voter is
+ * expelled. If a voter of five were expelled first, four voters would remain with a quorum of
+ * three, which the loss of two more disks destroys, although three of the five disks still exist.
+ *
+ * A voter whose disk is known to be lost is expelled first: a sixth voter would raise the quorum to
+ * four, while only three voters may remain.
+ * @param Status Of the leader. @param MembersWithoutDisk Members whose hosts returned under other
+ * ids.
+ * @return The change, or nothing if none is needed or safe.
  */
-std::optional<member_change> memberRepair(const replica_status &Status,
-                                          const std::set<member_id> &Emptied,
-                                          const member_repair_options &Options);
+std::optional<member_change> nextMemberRepair(const replica_status &Status,
+                                              const std::set<member_id> &MembersWithoutDisk,
+                                              const member_repair_options &Options);
 
 } // namespace pollenstall
 
--- a/src/consensus/member_set_func.h
+++ b/src/consensus/member_set_func.h
@@ -1,4 +1,4 @@
-/** @file member_set_func.h Text form, quorums and single changes of a set of members. */
+/** @file member_set_func.h Encoding, quorums and single changes of a member set. */
 #ifndef POLLENSTALL_CONSENSUS_MEMBER_SET_FUNC_H
 #define POLLENSTALL_CONSENSUS_MEMBER_SET_FUNC_H
 
@@ -13,34 +13,34 @@
 /// @return The payload of an entry of kind Membership.
 std::string encodeMembers(const member_set &Set);
 
-/// @return The set, or nothing where the bytes are not one.
+/// @return The set, or nothing if the bytes are not a valid encoding.
 std::optional<member_set> decodeMembers(std::string_view Payload);
 
-/// @return The record of exactly this disk, or null.
+/// @return The member with this id and disk, or null.
 const log_member *findMember(const member_set &Set, const member_key &Key);
 
-/// @return The record under this id whatever its disk, or null.
+/// @return The member with this id and any disk, or null.
 const log_member *findMember(const member_set &Set, member_id Member);
 
-/// @return Whether exactly this disk votes.
+/// @return Whether the member with this id and disk is a voter.
 bool isVoter(const member_set &Set, const member_key &Key);
 
-/// @return How many voters there are.
+/// @return The number of voters.
 std::size_t voterCount(const member_set &Set);
 
-/// @return How many of so many voters make a quorum.
+/// @return The quorum of the given number of voters.
 constexpr std::size_t quorumOf(std::size_t Voters) { return Voters / 2 + 1; }
 
-/// @return How many voters make a quorum.
+/// @return The number of voters that form a quorum of the set.
 std::size_t quorumSize(const member_set &Set);
 
-/// @return Whether the voters for whom Agrees holds make a quorum.
+/// @return Whether the voters for which Agrees returns true form a quorum.
 bool hasQuorum(const member_set &Set, const std::function<bool(const member_key &)> &Agrees);
 
-/// @return The set with Key as a learner; an older disk under the same id is gone from it.
+/// @return The set with Key as a learner, in place of any other disk with the same id.
 member_set withLearner(member_set Set, const member_key &Key);
 
-/// @return The set in which Key votes.
+/// @return The set with member Key promoted to voter.
 member_set withVoter(member_set Set, const member_key &Key);
 
 /// @return The set without the member.
--- a/src/consensus/replica.cpp
+++ b/src/consensus/replica.cpp
@@ -1,9 +1,9 @@
-/** @file replica.cpp The public face of a replica and its builder. */
+/** @file replica.cpp Public interface of a replica and its builder. */
 #include "consensus/replica_core_base.h"
 
 namespace pollenstall {
 
-replica::replica(std::unique_ptr<replica_core> Made) : Core(std::move(Made)) {}
+replica::replica(std::unique_ptr<replica_core> NewCore) : Core(std::move(NewCore)) {}
 replica::~replica() = default;
 replica::replica(replica &&) noexcept = default;
 replica &replica::operator=(replica &&) noexcept = default;
@@ -34,7 +34,7 @@
 proposal_result replica::promote(const member_key &Key, mono_time Now) {
   return Core->promote(Key, Now);
 }
-void replica::learnPeer(member_id Peer) { Core->learnPeer(Peer); }
+void replica::addPeer(member_id Peer) { Core->addPeer(Peer); }
 
 std::vector<consensus_action> replica::takeActions(mono_time Now) { return Core->takeActions(Now); }
 
@@ -45,13 +45,13 @@
 
 replica_builder::replica_builder(member_key Key) : Self(Key) {}
 
-replica_builder &replica_builder::options(const replica_options &Bounds) {
-  Options = Bounds;
+replica_builder &replica_builder::options(const replica_options &NewOptions) {
+  Options = NewOptions;
   return *this;
 }
 
-replica_builder &replica_builder::restored(restored_log Found) {
-  State = std::move(Found);
+replica_builder &replica_builder::restored(restored_log Contents) {
+  State = std::move(Contents);
   return *this;
 }
 
@@ -60,13 +60,13 @@
   return *this;
 }
 
-replica_builder &replica_builder::founder(cluster_id Fresh) {
-  Cluster = Fresh;
+replica_builder &replica_builder::bootstrapCluster(cluster_id NewCluster) {
+  Cluster = NewCluster;
   return *this;
 }
 
-replica_builder &replica_builder::seed(std::uint64_t Number) {
-  Seed = Number;
+replica_builder &replica_builder::seed(std::uint64_t NewSeed) {
+  Seed = NewSeed;
   return *this;
 }
 
--- a/src/consensus/replica_base.h
+++ b/src/consensus/replica_base.h
@@ -13,33 +13,34 @@
 
 class replica_core;
 
-/// How far one member is, as the leader knows it.
+/// Replication progress of one member, as known by the leader.
 struct member_progress {
   log_member Member;
-  log_index Match;            ///< Known to be on its disk.
-  mono_duration SinceHeard{}; ///< Since the send time of the last message it answered.
+  log_index Match;                ///< Last index known to be durable on the member.
+  mono_duration SinceLastReply{}; ///< Since the send time of the last message with a reply.
 };
 
-/// What a replica says of itself, for status pages.
+/// State of a replica for status pages.
 struct replica_status {
   member_key Self;
   replica_role Role{replica_role::Learner};
   term_number Term;
-  member_key Leader; ///< Member 0 where none is known.
+  member_key Leader; ///< Member 0 if no leader is known.
   log_index Commit;
   log_index Applied;
   log_index LastIndex;
   log_index SnapshotIndex;
   bool LeaseValid{false};
-  bool Empty{true}; ///< Nothing was founded here and nobody let this disk in.
+  bool Empty{
+      true}; ///< The log is empty: the cluster is not bootstrapped or this disk not admitted.
   member_set Members;
   std::vector<member_progress> Progress; ///< On a leader only.
 };
 
 /**
  * Raft (Ongaro 2014) with pre-vote, check-quorum, a leader lease, read index, learners and
- * single-server membership changes. Pure: no files, sockets, threads or clocks. Each call takes the
- * time now; takeActions() then says what is to be done.
+ * single-server membership changes. It uses no files, sockets, threads or clocks. Each call takes
+ * the current time; takeActions() then returns the actions to execute.
  */
 class replica {
 public:
@@ -47,67 +48,69 @@
   replica(replica &&) noexcept;
   replica &operator=(replica &&) noexcept;
 
-  /// To be called at least every heartbeat interval.
+  /// Advances the replica's timers. Must be called at least once per heartbeat interval.
   void tick(mono_time Now);
-  /// A message arrived; whatever it says, it was decoded and bounded in size before.
+  /// Handles a message, which must be decoded and limited in size; its contents are not trusted.
   void receive(consensus_message Message, mono_time Now);
-  /// All persist actions up to Number are durable.
+  /// Reports that all persist actions up to Number are durable.
   void persisted(persist_number Number, mono_time Now);
-  /// @return Where the payload stands in the log, or why it was not taken.
+  /// @return The position of the payload in the log, or why it was refused.
   proposal_result propose(std::string Payload, mono_time Now);
-  /// Asks for a linearizable read: answered by read_ready or read_refused.
+  /// Requests a linearizable read. The reply is read_ready or read_refused.
   void readIndex(read_id Read, mono_time Now);
-  /// Answers take_snapshot. @param Index What State includes. @return False where it is over the
-  /// bound or older than the snapshot there is.
+  /// Completes take_snapshot. @param Index Last entry that State includes. @return False if State
+  /// exceeds the size limit or is not newer than the current snapshot.
   bool snapshotTaken(log_index Index, std::string State, mono_time Now);
 
-  /// Leader: lets a disk in as a learner, in place of an older disk of the same id; it is promoted
-  /// by itself once it has caught up.
+  /// Leader only: adds a disk as a learner, in place of an older disk of the same id. The learner
+  /// is promoted automatically once it has caught up.
   proposal_result admit(const member_key &Key, mono_time Now);
-  /// Leader: takes a member out.
+  /// Leader only: removes a member.
   proposal_result expel(member_id Member, mono_time Now);
-  /// Leader: lets a learner vote, also beyond the target of voters.
+  /// Leader only: promotes a learner to voter, even beyond the target number of voters.
   proposal_result promote(const member_key &Key, mono_time Now);
-  /// A host was heard of that may let this disk in while it belongs to no log.
-  void learnPeer(member_id Peer);
+  /// Adds a host from which this disk requests admission while it is not a member.
+  void addPeer(member_id Peer);
 
-  /// @return What is to be done, in order. Entries proposed since the last call go out in batches.
+  /// @return The actions to execute, in order. Entries proposed since the last call are batched.
   std::vector<consensus_action> takeActions(mono_time Now);
 
-  /// @return Whether no other member can be a leader with a lease now.
+  /// @return Whether this replica holds a lease, so that no other member can act as leader now.
   [[nodiscard]] bool leaseValid(mono_time Now) const;
-  /// @return When the lease ends unless renewed; the epoch where there is none.
+  /// @return When the lease ends unless it is renewed; the clock's epoch if there is no lease.
   [[nodiscard]] mono_time leaseEnd() const;
   [[nodiscard]] replica_status status(mono_time Now) const;
-  /// @return The whole state as text without payloads.
+  /// @return The state as text, without payloads.
   [[nodiscard]] std::string dump() const;
 
 private:
   friend class replica_builder;
-  explicit replica(std::unique_ptr<replica_core> Made);
+  explicit replica(std::unique_ptr<replica_core> NewCore);
 
   std::unique_ptr<replica_core> Core;
 };
 
-/// Builds a replica from what its disk held.
+/// Builds a replica from the contents of its disk.
 class replica_builder {
 public:
   explicit replica_builder(member_key Key);
 
-  replica_builder &options(const replica_options &Bounds);
+  replica_builder &options(const replica_options &NewOptions);
   replica_builder &restored(restored_log State);
-  /// Members whom an empty disk asks to be let in: all of the settings' control hosts.
+  /// Sets the members from which an empty disk requests admission: all control hosts in the
+  /// settings.
   replica_builder &peers(std::vector<member_id> Ids);
   /**
-   * This host may found the log, once every peer has said that its disk is empty too; with a target
-   * of voters, once so many disks are known to be empty. Safe to leave in the settings: a founder
-   * that lost its disk finds peers that are not empty and joins instead.
-   * @param Fresh A random id for the log.
+   * Allows this host to bootstrap the cluster once every peer has reported that its disk is empty;
+   * with a target number of voters, once that number of disks is known to be empty. It is safe to
+   * leave this set: a bootstrapping host that lost its disk finds peers that are not empty and
+   * joins them instead.
+   * @param NewCluster A random id for the cluster.
    */
-  replica_builder &founder(cluster_id Fresh);
-  /// Draws election timeouts.
+  replica_builder &bootstrapCluster(cluster_id NewCluster);
+  /// Seeds the random election timeouts.
   replica_builder &seed(std::uint64_t Seed);
-  /// @param Now When the process started: no vote is given for a minimum election timeout.
+  /// @param Now Start time of the process; no vote is granted for a minimum election timeout.
   [[nodiscard]] replica build(mono_time Now);
 
 private:
--- a/src/consensus/replica_core_dump.cpp
+++ b/src/consensus/replica_core_dump.cpp
@@ -1,4 +1,4 @@
-/** @file replica_core_dump.cpp A replica's state for people. */
+/** @file replica_core_dump.cpp Status and text dump of a replica. */
 #include "consensus/replica_core_base.h"
 
 #include <sstream>
@@ -20,9 +20,9 @@
   Status.Members = members();
   for (const follower_progress &Progress : Followers) {
     const log_member *Member = findMember(members(), Progress.key());
-    const mono_time Heard = Progress.heardAt().value_or(LeadingSince);
+    const mono_time LastReply = Progress.lastRepliedSendTime().value_or(LeadingSince);
     if (Member != nullptr)
-      Status.Progress.push_back({*Member, Progress.match(), Now - Heard});
+      Status.Progress.push_back({*Member, Progress.match(), Now - LastReply});
   }
   return Status;
 }
@@ -33,14 +33,14 @@
       << " term " << Hard.Term << " vote " << toText(Hard.Vote) << " leader " << toText(Leader)
       << '\n';
   Out << "log base " << Log.baseIndex() << " last " << Log.lastIndex() << " commit " << Commit
-      << " applied " << Applied << " durable " << Ledger.durable() << " snapshot "
+      << " applied " << Applied << " durable " << PersistTracker.durable() << " snapshot "
       << (Snapshot ? Snapshot->Index : log_index()) << '\n';
   Out << "members since " << History.currentIndex() << ": " << toText(members()) << '\n';
   for (const follower_progress &Progress : Followers)
     Out << "follower " << toText(Progress.key()) << " match " << Progress.match() << " next "
         << Progress.next() << " mode " << static_cast<int>(Progress.mode()) << '\n';
-  Out << "held messages " << Held.size() << " reads " << Reads.size() << " votes " << Votes.size()
-      << '\n';
+  Out << "held messages " << DeferredMessages.size() << " reads " << PendingReads.size()
+      << " votes " << Votes.size() << '\n';
   return Out.str();
 }
 
--- a/src/consensus/replica_core_election.cpp
+++ b/src/consensus/replica_core_election.cpp
@@ -4,61 +4,64 @@
 namespace pollenstall {
 
 bool replica_core::mayVote(mono_time Now) const {
-  // A leader counts on those who answered it: until they let the minimum timeout pass, none of them
-  // helps another to office. This is what makes the lease hold, and it keeps a member that was cut
-  // off from deposing a leader that works.
+  // A member that replied to a leader votes for no other member until the minimum election timeout
+  // has passed. The leader's lease depends on this. It also prevents a member that was partitioned
+  // from deposing a working leader.
   if (role() == replica_role::Leader)
     return Now >= leaseEnd();
-  if (PromiseOver)
+  if (LeaseReleased)
     return true;
-  return Now - LastHeard >= Options.MinElectionTimeout;
+  return Now - LastLeaderContact >= Options.MinElectionTimeout;
 }
 
-void replica_core::heardLeader(mono_time Now) {
-  LastHeard = Now;
-  PromiseOver = false;
-  EarlyUntil = Now;
-  drawElectionDeadline(Now);
+void replica_core::recordLeaderContact(mono_time Now) {
+  LastLeaderContact = Now;
+  LeaseReleased = false;
+  EarlyElectionsUntil = Now;
+  randomizeElectionDeadline(Now);
 }
 
-void replica_core::follow(const member_key &Member) {
-  const term_leader Followed{Hard.Term, Member};
-  if (Hard.Followed == Followed)
+void replica_core::recordFollowedLeader(const member_key &Member) {
+  const term_leader FollowedLeader{Hard.Term, Member};
+  if (Hard.FollowedLeader == FollowedLeader)
     return;
-  Hard.Followed = Followed;
-  Ledger.hardState(Hard);
+  Hard.FollowedLeader = FollowedLeader;
+  PersistTracker.recordHardState(Hard);
 }
 
 /**
- * After a loss of all processes every voter would let the minimum timeout pass for a lease that
- * ended with its holder: 0.4 s in which nothing is decided. A member leads a term once, and not
- * after it has said at that term, as a follower, that it does not; so once the leader that was
- * answered last says so, no lease counts on this member.
+ * Releases this member from the lease of the leader that it replied to last, if that leader reports
+ * that it no longer leads. Without this, after a restart of all processes every voter would wait
+ * for the minimum election timeout for a lease that ended with the old leader process, and the
+ * cluster would commit nothing for 0.4 s. The release is safe because a member leads a term at most
+ * once, and not after it has reported in that term, as a follower, that it does not lead.
  */
-void replica_core::noteLeadsNoMore(const consensus_message &Message, mono_time Now) {
-  const bool Ended = Message.From == Hard.Followed.Member && Message.Term >= Hard.Followed.Term;
-  if (!Ended || PromiseOver || role() == replica_role::Leader)
+void replica_core::noteWillNotLead(const consensus_message &Message, mono_time Now) {
+  const bool FromReleasedLeader =
+      Message.From == Hard.FollowedLeader.Member && Message.Term >= Hard.FollowedLeader.Term;
+  if (!FromReleasedLeader || LeaseReleased || role() == replica_role::Leader)
     return;
-  PromiseOver = true;
-  EarlyUntil = Now + Options.MinElectionTimeout;
+  LeaseReleased = true;
+  EarlyElectionsUntil = Now + Options.MinElectionTimeout;
   if (role() != replica_role::Candidate)
-    drawEarlyDeadline(Now, mono_duration());
+    randomizeEarlyDeadline(Now, mono_duration());
 }
 
-void replica_core::drawElectionDeadline(mono_time Now) {
+void replica_core::randomizeElectionDeadline(mono_time Now) {
   const mono_duration Spread = Options.MaxElectionTimeout - Options.MinElectionTimeout;
-  const auto Drawn = Random.below(static_cast<std::uint64_t>(Spread.count()) + 1);
-  ElectionDeadline = Now + Options.MinElectionTimeout + mono_duration(static_cast<long>(Drawn));
+  const auto RandomDelay = Random.below(static_cast<std::uint64_t>(Spread.count()) + 1);
+  ElectionDeadline =
+      Now + Options.MinElectionTimeout + mono_duration(static_cast<long>(RandomDelay));
 }
 
-void replica_core::drawEarlyDeadline(mono_time Now, mono_duration After) {
+void replica_core::randomizeEarlyDeadline(mono_time Now, mono_duration Delay) {
   const auto Spread = static_cast<std::uint64_t>(Options.EarlyElectionTimeout.count());
-  ElectionDeadline = Now + After + mono_duration(static_cast<long>(Random.below(Spread + 1)));
+  ElectionDeadline = Now + Delay + mono_duration(static_cast<long>(Random.below(Spread + 1)));
 }
 
-void replica_core::stand(mono_time Now) {
-  if (Now < LedUntil) {
-    ElectionDeadline = LedUntil; // Asking tells that this member leads no more.
+void replica_core::startPreVote(mono_time Now) {
+  if (Now < FormerLeaseEnd) {
+    ElectionDeadline = FormerLeaseEnd; // The request would tell that this member no longer leads.
     return;
   }
   Role.process(role_event::ElectionTimeout);
@@ -66,38 +69,40 @@
   Votes.clear();
   if (mayVote(Now))
     Votes.insert(Self);
-  if (Now < EarlyUntil)
-    drawEarlyDeadline(Now, Options.EarlyElectionTimeout);
+  if (Now < EarlyElectionsUntil)
+    randomizeEarlyDeadline(Now, Options.EarlyElectionTimeout);
   else
-    drawElectionDeadline(Now);
+    randomizeElectionDeadline(Now);
   const pre_vote_request Request{Hard.Term.next(), Log.lastIndex(), Log.lastTerm()};
   for (const log_member &Member : members().Members)
-    if (Member.Standing == member_standing::Voter && Member.Key != Self)
-      Held.push_back({Ledger.coversHard(), makeMessage(Member.Key, Request)});
+    if (Member.VotingStatus == voting_status::Voter && Member.Key != Self)
+      DeferredMessages.push_back(
+          {PersistTracker.hardStateNumber(), makeMessage(Member.Key, Request)});
   countVotes(Now);
 }
 
 void replica_core::becomeCandidate(mono_time Now) {
   Role.process(role_event::PreVoteWon);
-  setHardState({Hard.Term.next(), Self, Hard.Followed});
+  setHardState({Hard.Term.next(), Self, Hard.FollowedLeader});
   Votes.clear();
-  OwnVoteNeeds = Ledger.coversHard();
-  drawElectionDeadline(Now);
+  OwnVotePersist = PersistTracker.hardStateNumber();
+  randomizeElectionDeadline(Now);
   const vote_request Request{Log.lastIndex(), Log.lastTerm()};
   for (const log_member &Member : members().Members)
-    if (Member.Standing == member_standing::Voter && Member.Key != Self)
-      Held.push_back({OwnVoteNeeds, makeMessage(Member.Key, Request)});
+    if (Member.VotingStatus == voting_status::Voter && Member.Key != Self)
+      DeferredMessages.push_back({OwnVotePersist, makeMessage(Member.Key, Request)});
 }
 
 void replica_core::countOwnVote() {
-  if (role() != replica_role::Candidate || !Ledger.isConfirmed(OwnVoteNeeds))
+  if (role() != replica_role::Candidate || !PersistTracker.isConfirmed(OwnVotePersist))
     return;
   if (Votes.insert(Self).second)
     countVotes(LastEvent);
 }
 
 void replica_core::countVotes(mono_time Now) {
-  // Votes are counted by disk: one that an emptied disk cannot remember is never counted twice.
+  // Votes are counted by disk, so a member that lost its disk, and with it the record of its vote,
+  // is never counted twice.
   if (!hasQuorum(members(), [this](const member_key &Key) { return Votes.count(Key) != 0; }))
     return;
   if (role() == replica_role::PreCandidate)
@@ -107,46 +112,49 @@
 }
 
 void replica_core::becomeLeader(mono_time Now) {
-  check(LedTerm < Hard.Term, "a term is won once");
-  check(Ledger.isConfirmed(OwnVoteNeeds), "a leader's own vote is on its disk");
+  checkInvariant(LastLedTerm < Hard.Term, "a term is won once");
+  checkInvariant(PersistTracker.isConfirmed(OwnVotePersist), "a leader's own vote is durable");
   Role.process(role_event::VoteWon);
-  LedTerm = Hard.Term;
+  LastLedTerm = Hard.Term;
   Leader = Self;
-  follow(Self);
+  recordFollowedLeader(Self);
   LeadingSince = Now;
   LeaseRound = NextRound;
   resetProgress();
-  // Entries of earlier terms count as committed only behind one of this term (Raft, 5.4.2).
-  FirstOwnIndex = appendOwn(entry_kind::Noop, {});
-  HeartbeatWanted = true;
+  // Entries of earlier terms are committed only by committing an entry of this term (Raft, 5.4.2).
+  TermStartIndex = appendAsLeader(entry_kind::Noop, {});
+  HeartbeatPending = true;
   Actions.emplace_back(became_leader{Hard.Term});
 }
 
 void replica_core::receiveBody(const consensus_message &Message, const pre_vote_request &Request,
                                mono_time Now) {
-  noteLeadsNoMore(Message, Now); // Whoever asks for a pre-vote neither leads nor stands yet.
+  noteWillNotLead(Message,
+                  Now); // The sender of a pre-vote request neither leads nor is a candidate.
   const bool Granted = Request.ForTerm > Hard.Term && mayVote(Now) &&
-                       Log.isNoNewerThan(Request.LastIndex, Request.LastTerm);
-  // Of several that start together the first to ask goes on alone: two candidates share the votes.
-  if (Granted && Now < EarlyUntil && role() != replica_role::Candidate)
-    drawEarlyDeadline(Now, Options.EarlyElectionTimeout);
-  const bool InOffice = role() == replica_role::Leader || role() == replica_role::Candidate;
-  const bool LeadsNoMore = !InOffice && Now >= LedUntil;
-  reply(Message, pre_vote_reply{Request.ForTerm, Granted, LeadsNoMore}, Ledger.coversHard());
+                       Log.isUpToDate(Request.LastIndex, Request.LastTerm);
+  // If several members start together, only the first requester continues: two candidates would
+  // split the votes.
+  if (Granted && Now < EarlyElectionsUntil && role() != replica_role::Candidate)
+    randomizeEarlyDeadline(Now, Options.EarlyElectionTimeout);
+  const bool LeadsOrCampaigns = role() == replica_role::Leader || role() == replica_role::Candidate;
+  const bool WillNotLead = !LeadsOrCampaigns && Now >= FormerLeaseEnd;
+  reply(Message, pre_vote_reply{Request.ForTerm, Granted, WillNotLead},
+        PersistTracker.hardStateNumber());
 }
 
 void replica_core::receiveBody(const consensus_message &Message, const pre_vote_reply &Reply,
                                mono_time Now) {
   if (findMember(members(), Message.From) == nullptr)
     return;
-  if (Reply.LeadsNoMore)
-    noteLeadsNoMore(Message, Now);
+  if (Reply.WillNotLead)
+    noteWillNotLead(Message, Now);
   if (Message.Term > Hard.Term && !Reply.Granted) {
     adoptTerm(Message.Term);
     return;
   }
-  const bool Counts = role() == replica_role::PreCandidate && Reply.ForTerm == Hard.Term.next();
-  if (!Counts)
+  const bool IsCurrent = role() == replica_role::PreCandidate && Reply.ForTerm == Hard.Term.next();
+  if (!IsCurrent)
     return;
   if (mayVote(Now))
     Votes.insert(Self);
@@ -158,21 +166,21 @@
 void replica_core::receiveBody(const consensus_message &Message, const vote_request &Request,
                                mono_time Now) {
   if (Message.Term < Hard.Term) {
-    reply(Message, vote_reply{false}, Ledger.coversHard());
+    reply(Message, vote_reply{false}, PersistTracker.hardStateNumber());
     return;
   }
-  const bool Again = Message.Term == Hard.Term && Hard.Vote == Message.From;
-  if (!Again && !mayVote(Now))
+  const bool RepeatedVote = Message.Term == Hard.Term && Hard.Vote == Message.From;
+  if (!RepeatedVote && !mayVote(Now))
     return;
   if (Message.Term > Hard.Term)
     adoptTerm(Message.Term);
-  const bool Free = Hard.Vote.Member == member_id();
-  const bool Granted = Free && Log.isNoNewerThan(Request.LastIndex, Request.LastTerm);
+  const bool NotVoted = Hard.Vote.Member == member_id();
+  const bool Granted = NotVoted && Log.isUpToDate(Request.LastIndex, Request.LastTerm);
   if (Granted) {
-    setHardState({Message.Term, Message.From, Hard.Followed});
-    drawElectionDeadline(Now);
+    setHardState({Message.Term, Message.From, Hard.FollowedLeader});
+    randomizeElectionDeadline(Now);
   }
-  reply(Message, vote_reply{Granted || Again}, Ledger.coversHard());
+  reply(Message, vote_reply{Granted || RepeatedVote}, PersistTracker.hardStateNumber());
 }
 
 void replica_core::receiveBody(const consensus_message &Message, const vote_reply &Reply,
@@ -183,8 +191,8 @@
     adoptTerm(Message.Term);
     return;
   }
-  const bool Counts = role() == replica_role::Candidate && Message.Term == Hard.Term;
-  if (!Counts || !Reply.Granted)
+  const bool IsCurrent = role() == replica_role::Candidate && Message.Term == Hard.Term;
+  if (!IsCurrent || !Reply.Granted)
     return;
   Votes.insert(Message.From);
   countVotes(Now);
--- a/src/consensus/replica_core_follower.cpp
+++ b/src/consensus/replica_core_follower.cpp
@@ -1,51 +1,52 @@
-/** @file replica_core_follower.cpp Taking entries and snapshots from a leader. */
+/** @file replica_core_follower.cpp Receiving entries and snapshots from a leader. */
 #include "consensus/replica_core_base.h"
 
 #include <algorithm>
 
 namespace pollenstall {
 
-bool replica_core::followSender(const consensus_message &Message, mono_time Now) {
+bool replica_core::acceptLeader(const consensus_message &Message, mono_time Now) {
   if (Message.Term < Hard.Term)
     return false;
-  const bool Standing = role() == replica_role::PreCandidate || role() == replica_role::Candidate;
+  const bool Campaigning =
+      role() == replica_role::PreCandidate || role() == replica_role::Candidate;
   if (Message.Term > Hard.Term)
     adoptTerm(Message.Term);
-  else if (Standing)
-    leaveOffice();
+  else if (Campaigning)
+    stepDown();
   const bool OneLeader = Leader.Member == member_id() || Leader == Message.From;
-  check(role() != replica_role::Leader && OneLeader, "a term has one leader");
+  checkInvariant(role() != replica_role::Leader && OneLeader, "a term has one leader");
   Leader = Message.From;
-  follow(Leader);
-  heardLeader(Now);
+  recordFollowedLeader(Leader);
+  recordLeaderContact(Now);
   return true;
 }
 
 bool replica_core::isWellFormed(const append_request &Request, term_number Term) const {
   log_index Index = Request.PrevIndex;
-  term_number Before = Request.PrevTerm;
+  term_number PreviousTerm = Request.PrevTerm;
   for (const log_entry &Entry : Request.Entries) {
-    if (Entry.Index != Index.next() || Entry.Term < Before || Entry.Term > Term)
+    if (Entry.Index != Index.next() || Entry.Term < PreviousTerm || Entry.Term > Term)
       return false;
     if (Entry.Kind == entry_kind::Membership && !decodeMembers(Entry.Payload))
       return false;
     Index = Entry.Index;
-    Before = Entry.Term;
+    PreviousTerm = Entry.Term;
   }
-  return Before <= Term;
+  return PreviousTerm <= Term;
 }
 
 void replica_core::receiveBody(const consensus_message &Message, append_request &Request,
                                mono_time Now) {
   if (!isWellFormed(Request, Message.Term))
     return;
-  if (!followSender(Message, Now)) {
+  if (!acceptLeader(Message, Now)) {
     rejectAppend(Message, Request);
     return;
   }
   if (Request.PrevIndex < Commit) {
-    // What is committed here is the same everywhere; only what follows it is looked at.
-    std::erase_if(Request.Entries, [this](const log_entry &E) { return E.Index <= Commit; });
+    // Committed entries are the same on all members, so only the entries after them are checked.
+    std::erase_if(Request.Entries, [this](const log_entry &Old) { return Old.Index <= Commit; });
     Request.PrevIndex = Commit;
     Request.PrevTerm = *Log.termAt(Commit);
   }
@@ -53,82 +54,84 @@
     rejectAppend(Message, Request);
     return;
   }
-  takeEntries(Message, Request);
+  storeEntries(Message, Request);
 }
 
 void replica_core::rejectAppend(const consensus_message &Message, const append_request &Request) {
-  const log_index Hint =
-      std::max(Commit, Log.lastWithTermAtMost(Request.PrevIndex, Request.PrevTerm));
-  const term_number HintTerm = Log.termAt(Hint).value_or(term_number());
+  const log_index HintIndex =
+      std::max(Commit, Log.lastIndexWithTermAtMost(Request.PrevIndex, Request.PrevTerm));
+  const term_number HintTerm = Log.termAt(HintIndex).value_or(term_number());
   reply(Message,
-        append_reply{false, log_index(), Request.PrevIndex, Hint, HintTerm, Request.Round,
+        append_reply{false, log_index(), Request.PrevIndex, HintIndex, HintTerm, Request.Round,
                      Request.SentAt},
-        Ledger.coversHard());
+        PersistTracker.hardStateNumber());
 }
 
-void replica_core::takeEntries(const consensus_message &Message, const append_request &Request) {
-  bool Stored = false;
+void replica_core::storeEntries(const consensus_message &Message, const append_request &Request) {
+  bool AnyStored = false;
   for (const log_entry &Entry : Request.Entries)
-    Stored |= storeEntry(Entry);
-  const log_index Last(Request.PrevIndex.value() + Request.Entries.size());
-  setCommit(std::min(Request.Commit, Last));
-  append_reply Reply{true, Last, {}, {}, {}, Request.Round, Request.SentAt};
-  if (!Stored)
-    Reply.Match = std::min(Last, Ledger.durable());
-  // A heartbeat does not wait for entries that are still being written: a slow disk delays the
-  // commit, but it does not cost the leader its lease.
-  reply(Message, Reply, Stored ? Ledger.coversAll() : Ledger.coversHard());
+    AnyStored |= storeEntry(Entry);
+  const log_index LastIndex(Request.PrevIndex.value() + Request.Entries.size());
+  setCommit(std::min(Request.Commit, LastIndex));
+  append_reply Reply{true, LastIndex, {}, {}, {}, Request.Round, Request.SentAt};
+  if (!AnyStored)
+    Reply.Match = std::min(LastIndex, PersistTracker.durable());
+  // The reply to a heartbeat does not wait for entries that are still being written: a slow disk
+  // delays the commit but does not make the leader lose its lease.
+  reply(Message, Reply, AnyStored ? PersistTracker.lastNumber() : PersistTracker.hardStateNumber());
 }
 
 bool replica_core::storeEntry(const log_entry &Entry) {
   if (Entry.Index <= Log.lastIndex()) {
     if (Log.termAt(Entry.Index) == Entry.Term) {
-      check(Log.at(Entry.Index) == Entry, "one index and term mean one entry");
+      checkInvariant(Log.at(Entry.Index) == Entry,
+                     "entries with the same index and term are equal");
       return false;
     }
-    check(Entry.Index > Commit, "what is committed is never truncated");
+    checkInvariant(Entry.Index > Commit, "committed entries are never truncated");
     Log.truncateFrom(Entry.Index);
-    Ledger.truncateFrom(Entry.Index);
+    PersistTracker.truncateFrom(Entry.Index);
     if (History.currentIndex() >= Entry.Index) {
       History.truncateFrom(Entry.Index);
-      membersChanged();
+      handleMembersChange();
     }
   }
   Log.append(Entry);
-  Ledger.append(Entry);
+  PersistTracker.append(Entry);
   if (Entry.Kind == entry_kind::Membership)
-    putMembers(Entry.Index, *decodeMembers(Entry.Payload));
+    adoptMembers(Entry.Index, *decodeMembers(Entry.Payload));
   return true;
 }
 
 void replica_core::receiveBody(const consensus_message &Message, snapshot_request &Request,
                                mono_time Now) {
-  const log_snapshot &Offered = Request.Snapshot;
-  if (Offered.State.size() > Options.MaxSnapshotBytes || voterCount(Offered.Members) == 0)
+  const log_snapshot &OfferedSnapshot = Request.Snapshot;
+  if (OfferedSnapshot.State.size() > Options.MaxSnapshotBytes ||
+      voterCount(OfferedSnapshot.Members) == 0)
     return;
   append_reply Reply{true, {}, {}, {}, {}, Request.Round, Request.SentAt};
-  if (!followSender(Message, Now)) {
+  if (!acceptLeader(Message, Now)) {
     Reply.Matched = false;
-    reply(Message, Reply, Ledger.coversHard());
+    reply(Message, Reply, PersistTracker.hardStateNumber());
     return;
   }
-  if (Log.matches(Offered.Index, Offered.Term))
-    setCommit(Offered.Index);
-  if (Offered.Index <= Commit) {
-    Reply.Match = std::min(Commit, Ledger.durable());
-    reply(Message, Reply, Ledger.coversHard());
+  if (Log.matches(OfferedSnapshot.Index, OfferedSnapshot.Term))
+    setCommit(OfferedSnapshot.Index);
+  if (OfferedSnapshot.Index <= Commit) {
+    Reply.Match = std::min(Commit, PersistTracker.durable());
+    reply(Message, Reply, PersistTracker.hardStateNumber());
     return;
   }
   Snapshot = std::make_shared<const log_snapshot>(std::move(Request.Snapshot));
   Log.reset(Snapshot->Index, Snapshot->Term);
-  Ledger.resetTo(Snapshot);
+  PersistTracker.resetToSnapshot(Snapshot);
   Commit = Snapshot->Index;
   Applied = Snapshot->Index;
   History.reset(Snapshot->Index, Snapshot->Members);
-  membersChanged();
+  handleMembersChange();
   Actions.emplace_back(install_snapshot{Snapshot});
   Reply.Match = Snapshot->Index;
-  reply(Message, Reply, Ledger.coversAll());
+  reply(Message, Reply, PersistTracker.lastNumber());
 }
 
 } // namespace pollenstall
--- a/src/consensus/replica_core_leader.cpp
+++ b/src/consensus/replica_core_leader.cpp
@@ -1,4 +1,5 @@
-/** @file replica_core_leader.cpp Sending the log to the other members and committing it. */
+/** @file replica_core_leader.cpp Replicating the log to the other members and committing entries.
+ */
 #include "consensus/replica_core_base.h"
 
 #include <algorithm>
@@ -20,10 +21,10 @@
       Followers.emplace_back(Member.Key, Log.lastIndex().next());
 }
 
-log_index replica_core::appendOwn(entry_kind Kind, std::string Payload) {
+log_index replica_core::appendAsLeader(entry_kind Kind, std::string Payload) {
   log_entry Entry{Log.lastIndex().next(), Hard.Term, Kind, std::move(Payload)};
   const log_index Index = Entry.Index;
-  Ledger.append(Entry);
+  PersistTracker.append(Entry);
   Log.append(std::move(Entry));
   return Index;
 }
@@ -31,18 +32,19 @@
 void replica_core::broadcast() {
   for (follower_progress &Progress : Followers) {
     sendEntries(Progress);
-    const bool NewCommit = Progress.SentCommit < Commit && Progress.mode() == send_mode::Replicate;
-    if (HeartbeatWanted || NewCommit)
+    const bool CommitAdvanced =
+        Progress.SentCommit < Commit && Progress.mode() == send_mode::Replicate;
+    if (HeartbeatPending || CommitAdvanced)
       sendHeartbeat(Progress);
   }
-  if (HeartbeatWanted)
+  if (HeartbeatPending)
     NextHeartbeat = LastEvent + Options.HeartbeatInterval;
-  HeartbeatWanted = false;
+  HeartbeatPending = false;
 }
 
 void replica_core::sendEntries(follower_progress &Progress) {
-  // Also where the window is full: if what it waits for was lost and is compacted away since, no
-  // answer to a heartbeat would ever empty it.
+  // This also applies if the window of in-flight appends is full: if those appends were lost and
+  // their entries are compacted since, no reply to a heartbeat would ever empty the window.
   const bool Compacted = !Log.termAt(log_index(Progress.next().value() - 1));
   if (Compacted && Progress.mode() != send_mode::Snapshot) {
     sendSnapshot(Progress);
@@ -67,29 +69,29 @@
                          LastEvent.time_since_epoch().count(),
                          std::move(Entries)};
   sendNow(Progress.key(), std::move(Request));
-  Progress.sentAppend(Last);
+  Progress.recordSentAppend(Last);
   Progress.SentCommit = Commit;
 }
 
 void replica_core::sendSnapshot(follower_progress &Progress) {
-  check(Snapshot != nullptr, "what is compacted away is in a snapshot");
+  checkInvariant(Snapshot != nullptr, "compacted entries are covered by a snapshot");
   sendNow(Progress.key(),
           snapshot_request{*Snapshot, NextRound++, LastEvent.time_since_epoch().count()});
-  Progress.sentSnapshot(NextRound, LastEvent);
+  Progress.recordSentSnapshot(NextRound, LastEvent);
 }
 
 void replica_core::sendHeartbeat(follower_progress &Progress) {
-  const mono_duration SnapshotRetry = 2 * Options.MaxElectionTimeout;
-  const bool Stuck = Progress.mode() == send_mode::Snapshot;
-  if (Stuck && LastEvent - Progress.snapshotSentAt() >= SnapshotRetry) {
-    Progress.leaveSnapshot(Progress.next(), NextRound);
+  const mono_duration SnapshotRetryInterval = 2 * Options.MaxElectionTimeout;
+  const bool SendingSnapshot = Progress.mode() == send_mode::Snapshot;
+  if (SendingSnapshot && LastEvent - Progress.snapshotSentAt() >= SnapshotRetryInterval) {
+    Progress.restartProbe(Progress.next(), NextRound);
     sendEntries(Progress);
   }
   if (Progress.mode() != send_mode::Snapshot) {
     sendAppend(Progress, {});
     return;
   }
-  // Nothing is known to fit while a snapshot is under way, so the heartbeat names the log's start.
+  // While a snapshot is in flight no matching entry is known, so PrevIndex stays 0.
   append_request Request;
   Request.Round = NextRound++;
   Request.SentAt = LastEvent.time_since_epoch().count();
@@ -111,35 +113,35 @@
   if (Progress == nullptr || SentAt > Now || Reply.Round >= NextRound)
     return;
   if (Reply.Round >= LeaseRound)
-    Progress->heard(Reply.Round, SentAt);
+    Progress->recordReply(Reply.Round, SentAt);
   if (!Reply.Matched) {
-    Progress->rejected(Reply.RejectedPrev,
-                       Log.lastWithTermAtMost(Reply.HintIndex, Reply.HintTerm).next(), Reply.Round,
-                       NextRound);
+    Progress->recordRejection(Reply.RejectedPrev,
+                              Log.lastIndexWithTermAtMost(Reply.HintIndex, Reply.HintTerm).next(),
+                              Reply.Round, NextRound);
     return;
   }
-  check(Reply.Match <= Log.lastIndex(), "nobody matches more than the leader's log");
-  const bool SnapshotOver =
+  checkInvariant(Reply.Match <= Log.lastIndex(), "no member matches beyond the leader's log");
+  const bool SnapshotDone =
       Progress->mode() == send_mode::Snapshot && Reply.Match >= Log.baseIndex();
-  if (SnapshotOver)
-    Progress->leaveSnapshot(Reply.Match.next(), NextRound);
-  if (Progress->matched(Reply.Match, Reply.Round, NextRound))
+  if (SnapshotDone)
+    Progress->restartProbe(Reply.Match.next(), NextRound);
+  if (Progress->recordMatch(Reply.Match, Reply.Round, NextRound))
     advanceCommit();
 }
 
 void replica_core::advanceCommit() {
   std::vector<log_index> Matches;
   for (const log_member &Member : members().Members) {
-    if (Member.Standing != member_standing::Voter)
+    if (Member.VotingStatus != voting_status::Voter)
       continue;
     const follower_progress *Progress = progressOf(Member.Key);
-    Matches.push_back(Progress != nullptr ? Progress->match() : Ledger.durable());
+    Matches.push_back(Progress != nullptr ? Progress->match() : PersistTracker.durable());
   }
   std::sort(Matches.begin(), Matches.end(), std::greater<>());
-  const log_index Agreed = Matches[quorumSize(members()) - 1];
-  if (Agreed <= Commit || Log.termAt(Agreed) != Hard.Term)
+  const log_index QuorumMatch = Matches[quorumSize(members()) - 1];
+  if (QuorumMatch <= Commit || Log.termAt(QuorumMatch) != Hard.Term)
     return;
-  setCommit(Agreed);
+  setCommit(QuorumMatch);
   startReads();
 }
 
--- a/src/consensus/replica_core_lease.cpp
+++ b/src/consensus/replica_core_lease.cpp
@@ -10,61 +10,64 @@
 constexpr std::int64_t Permille = 1000;
 } // namespace
 
-std::optional<mono_time> replica_core::quorumHeardAt(mono_time Now) const {
-  std::vector<mono_time> Times;
+std::optional<mono_time> replica_core::quorumContactTime(mono_time Now) const {
+  std::vector<mono_time> ContactTimes;
   if (isVoter(members(), Self))
-    Times.push_back(Now);
+    ContactTimes.push_back(Now);
   for (const follower_progress &Progress : Followers)
-    if (Progress.heardAt() && isVoter(members(), Progress.key()))
-      Times.push_back(*Progress.heardAt());
+    if (Progress.lastRepliedSendTime() && isVoter(members(), Progress.key()))
+      ContactTimes.push_back(*Progress.lastRepliedSendTime());
   const std::size_t Quorum = quorumSize(members());
-  if (Times.size() < Quorum)
+  if (ContactTimes.size() < Quorum)
     return std::nullopt;
-  std::sort(Times.begin(), Times.end(), std::greater<>());
-  return Times[Quorum - 1];
+  std::sort(ContactTimes.begin(), ContactTimes.end(), std::greater<>());
+  return ContactTimes[Quorum - 1];
 }
 
 mono_time replica_core::leaseEnd() const {
   if (role() != replica_role::Leader)
     return {};
-  const auto Heard = quorumHeardAt(LastEvent);
-  if (!Heard)
+  const auto ContactTime = quorumContactTime(LastEvent);
+  if (!ContactTime)
     return {};
-  // Counted from the sending, which is before the follower's own count begins. The follower's clock
-  // may run fast and this one slow, hence the skew twice: (1 - s) / (1 + s) > 1 - 2s.
-  const std::int64_t Kept = Permille - 2 * std::int64_t{Options.ClockSkewPermille};
-  return *Heard + Options.MinElectionTimeout * Kept / Permille;
+  // The lease starts at the send time, which is before the follower's timeout starts. The
+  // follower's clock may run fast and this one slow, so twice the skew is deducted: (1 - s) / (1 +
+  // s) > 1 - 2s.
+  const std::int64_t LeasePermille = Permille - 2 * std::int64_t{Options.ClockSkewPermille};
+  return *ContactTime + Options.MinElectionTimeout * LeasePermille / Permille;
 }
 
 bool replica_core::leaseValid(mono_time Now) const {
-  if (role() != replica_role::Leader || Commit < FirstOwnIndex || isClockJump(Now))
+  if (role() != replica_role::Leader || Commit < TermStartIndex || isClockJump(Now))
     return false;
   return Now < leaseEnd();
 }
 
 void replica_core::checkQuorum(mono_time Now) {
-  // A leader that is cut off without noticing would take proposals that can never be committed, and
-  // its callers would wait for nothing; so it leaves office by itself.
-  const mono_time Heard = std::max(quorumHeardAt(Now).value_or(LeadingSince), LeadingSince);
-  if (Now - Heard > Options.MaxElectionTimeout)
-    leaveOffice();
+  // A partitioned leader would accept proposals that can never be committed, and its callers would
+  // wait in vain, so it steps down.
+  const mono_time ContactTime =
+      std::max(quorumContactTime(Now).value_or(LeadingSince), LeadingSince);
+  if (Now - ContactTime > Options.MaxElectionTimeout)
+    stepDown();
 }
 
 bool replica_core::isClockJump(mono_time Now) const {
   return Now < LastEvent || Now - LastEvent > Options.MaxClockStep;
 }
 
-void replica_core::noteClockJump(mono_time Now) {
-  // After a jump nobody knows how much true time has passed. The lease is lost and only answers to
-  // later messages renew it; a follower counts its promise to the leader from the beginning.
-  LastHeard = Now;
+void replica_core::handleClockJump(mono_time Now) {
+  // After a jump it is unknown how much time has passed. The lease is lost, and only replies to
+  // later messages renew it. A follower restarts the time during which it votes for no other
+  // member.
+  LastLeaderContact = Now;
   LeadingSince = Now;
   LeaseRound = NextRound;
   for (follower_progress &Progress : Followers)
-    Progress.forgetHeard();
+    Progress.clearRepliedSendTime();
   NextHeartbeat = Now;
-  NextJoin = Now;
-  drawElectionDeadline(Now);
+  NextAdmissionRequest = Now;
+  randomizeElectionDeadline(Now);
 }
 
 } // namespace pollenstall
--- a/src/consensus/replica_core_member.cpp
+++ b/src/consensus/replica_core_member.cpp
@@ -1,4 +1,4 @@
-/** @file replica_core_member.cpp Founding, admission and single-server membership changes. */
+/** @file replica_core_member.cpp Bootstrap, admission and single-server membership changes. */
 #include "consensus/replica_core_base.h"
 
 #include <algorithm>
@@ -6,17 +6,17 @@
 namespace pollenstall {
 
 namespace {
-constexpr term_number FoundingTerm{1}; ///< No election can be won in it.
+constexpr term_number BootstrapTerm{1}; ///< No election can be won in it.
 } // namespace
 
-void replica_core::putMembers(log_index Index, member_set Set) {
+void replica_core::adoptMembers(log_index Index, member_set Set) {
   History.append(Index, std::move(Set));
-  membersChanged();
+  handleMembersChange();
 }
 
-void replica_core::membersChanged() {
+void replica_core::handleMembersChange() {
   Actions.emplace_back(members_changed{members()});
-  const bool Voter = isVoter(members(), Self);
+  const bool SelfIsVoter = isVoter(members(), Self);
   if (role() == replica_role::Leader) {
     std::erase_if(Followers, [this](const follower_progress &Progress) {
       return findMember(members(), Progress.key()) == nullptr;
@@ -26,20 +26,21 @@
         Followers.emplace_back(Member.Key, Log.lastIndex().next());
     return;
   }
-  if (Voter && role() == replica_role::Learner) {
+  if (SelfIsVoter && role() == replica_role::Learner) {
     Role.process(role_event::MadeVoter);
-    drawElectionDeadline(LastEvent);
-  } else if (!Voter && role() != replica_role::Learner) {
+    randomizeElectionDeadline(LastEvent);
+  } else if (!SelfIsVoter && role() != replica_role::Learner) {
     Role.process(role_event::MadeLearner);
   }
 }
 
-std::optional<proposal_refusal> replica_core::refuseChange(const member_set &Set) const {
+std::optional<proposal_refusal> replica_core::checkMembershipChange(const member_set &Set) const {
   if (role() != replica_role::Leader)
     return proposal_refusal{proposal_error::NotLeader, Leader};
-  // Two changes under way could give two quorums that do not meet; so could one that is proposed
-  // before the leader knows whether its predecessor's change is committed (Ongaro's 2015 erratum).
-  if (Commit < FirstOwnIndex)
+  // Two concurrent changes could lead to two quorums that do not intersect. So could a change that
+  // is proposed before the leader knows whether a change of its predecessor is committed (Ongaro's
+  // 2015 erratum).
+  if (Commit < TermStartIndex)
     return proposal_refusal{proposal_error::NotReady, Leader};
   if (History.currentIndex() > Commit)
     return proposal_refusal{proposal_error::ChangeInProgress, Leader};
@@ -49,35 +50,35 @@
 }
 
 proposal_result replica_core::proposeMembers(member_set Set) {
-  const auto Refusal = refuseChange(Set);
+  const auto Refusal = checkMembershipChange(Set);
   if (Refusal)
     return *Refusal;
-  const log_index Index = appendOwn(entry_kind::Membership, encodeMembers(Set));
-  putMembers(Index, std::move(Set));
-  return proposal_place{Index, Hard.Term};
+  const log_index Index = appendAsLeader(entry_kind::Membership, encodeMembers(Set));
+  adoptMembers(Index, std::move(Set));
+  return proposal_position{Index, Hard.Term};
 }
 
 proposal_result replica_core::admit(const member_key &Key, mono_time Now) {
-  enter(Now);
+  beginEvent(Now);
   if (role() != replica_role::Leader)
     return proposal_refusal{proposal_error::NotLeader, Leader};
-  const log_member *Present = findMember(members(), Key.Member);
-  if (Present != nullptr && Present->Key == Key)
+  const log_member *CurrentMember = findMember(members(), Key.Member);
+  if (CurrentMember != nullptr && CurrentMember->Key == Key)
     return proposal_refusal{proposal_error::AlreadyMember, Leader};
-  if (Present != nullptr) {
-    // Two processes under one id by mistake must not push each other out in turn.
-    const follower_progress *Progress = progressOf(Present->Key);
-    const bool Active =
-        Progress == nullptr ||
-        (Progress->heardAt() && Now - *Progress->heardAt() < Options.MaxElectionTimeout);
-    if (Active)
+  if (CurrentMember != nullptr) {
+    // Two processes that run with the same id by mistake must not keep replacing each other.
+    const follower_progress *Progress = progressOf(CurrentMember->Key);
+    const bool IsActive = Progress == nullptr ||
+                          (Progress->lastRepliedSendTime() &&
+                           Now - *Progress->lastRepliedSendTime() < Options.MaxElectionTimeout);
+    if (IsActive)
       return proposal_refusal{proposal_error::MemberActive, Leader};
   }
   return proposeMembers(withLearner(members(), Key));
 }
 
 proposal_result replica_core::expel(member_id Member, mono_time Now) {
-  enter(Now);
+  beginEvent(Now);
   if (role() != replica_role::Leader)
     return proposal_refusal{proposal_error::NotLeader, Leader};
   if (findMember(members(), Member) == nullptr)
@@ -86,7 +87,7 @@
 }
 
 proposal_result replica_core::promote(const member_key &Key, mono_time Now) {
-  enter(Now);
+  beginEvent(Now);
   if (role() != replica_role::Leader)
     return proposal_refusal{proposal_error::NotLeader, Leader};
   if (findMember(members(), Key) == nullptr)
@@ -96,46 +97,50 @@
   return proposeMembers(withVoter(members(), Key));
 }
 
-void replica_core::learnPeer(member_id Peer) {
+void replica_core::addPeer(member_id Peer) {
   if (Peer != Self.Member && std::find(Peers.begin(), Peers.end(), Peer) == Peers.end())
     Peers.push_back(Peer);
 }
 
 void replica_core::promoteLearner(mono_time Now) {
-  // A voter beyond the target raises the quorum: with one more lost host it could not be reached.
+  // A voter beyond the target raises the quorum, which might be unreachable after the loss of
+  // another host.
   if (Options.TargetVoters > 0 && voterCount(members()) >= Options.TargetVoters)
     return;
   for (const follower_progress &Progress : Followers) {
-    const bool Learns = !isVoter(members(), Progress.key());
-    const bool InContact =
-        Progress.heardAt() && Now - *Progress.heardAt() < Options.MinElectionTimeout;
-    // A voter that lags would leave the next lost host without a quorum that has the whole log.
+    const bool IsLearner = !isVoter(members(), Progress.key());
+    const bool IsResponsive = Progress.lastRepliedSendTime() &&
+                              Now - *Progress.lastRepliedSendTime() < Options.MinElectionTimeout;
+    // If a lagging learner became voter, the loss of one more host could leave no quorum with the
+    // complete log.
     const bool CaughtUp =
         Progress.match().value() + Options.CaughtUpWithin >= Log.lastIndex().value();
-    if (!Learns || !InContact || !CaughtUp)
+    if (!IsLearner || !IsResponsive || !CaughtUp)
       continue;
     proposeMembers(withVoter(members(), Progress.key()));
     return;
   }
 }
 
-bool replica_core::mustAskToJoin(mono_time Now) const {
+bool replica_core::shouldRequestAdmission(mono_time Now) const {
   if (isEmpty())
     return true;
-  // The entry that let this disk in may have been truncated by a later leader, who sends nothing
-  // here, and the log may not even have reached that entry. Without asking again the learner would
-  // wait for good. A member that was taken out asks too; whoever answers knows that it was.
+  // The entry that admitted this disk may have been truncated by a later leader, which sends
+  // nothing to this disk, or the log here may not have reached that entry. A learner that did not
+  // ask again would wait forever. An expelled member asks as well; the receiver knows that it was
+  // expelled.
   if (role() == replica_role::Learner)
-    return Now - LastHeard >= Options.MaxElectionTimeout;
-  // A voter that was expelled while it was cut off never hears of it: nobody sends to it any more,
-  // and it would stand for office among the others for good.
-  return role() == replica_role::PreCandidate && Now - LastHeard >= 2 * Options.MaxElectionTimeout;
+    return Now - LastLeaderContact >= Options.MaxElectionTimeout;
+  // A voter that was expelled while it was partitioned is never notified, because no member sends
+  // to it any more. It would otherwise request pre-votes forever.
+  return role() == replica_role::PreCandidate &&
+         Now - LastLeaderContact >= 2 * Options.MaxElectionTimeout;
 }
 
-void replica_core::askToJoin(mono_time Now) {
-  if (Now < NextJoin || !mustAskToJoin(Now))
+void replica_core::requestAdmission(mono_time Now) {
+  if (Now < NextAdmissionRequest || !shouldRequestAdmission(Now))
     return;
-  NextJoin = Now + Options.JoinInterval;
+  NextAdmissionRequest = Now + Options.JoinInterval;
   for (const member_id Peer : Peers)
     if (Peer != Self.Member)
       sendNow({Peer, disk_identity()}, admission_request{});
@@ -144,48 +149,51 @@
 void replica_core::receiveBody(const consensus_message &Message, const admission_request &,
                                mono_time) {
   if (role() == replica_role::Leader) {
-    const bool Foreign = Message.Cluster != cluster_id() && Message.Cluster != cluster();
-    if (!Foreign && findMember(members(), Message.From) == nullptr)
+    const bool OtherCluster = Message.Cluster != cluster_id() && Message.Cluster != cluster();
+    if (!OtherCluster && findMember(members(), Message.From) == nullptr)
       Actions.emplace_back(admission_requested{Message.From});
     return;
   }
-  if (!isEmpty() || Fresh == cluster_id() || Message.Cluster != cluster_id())
+  if (!isEmpty() || NewCluster == cluster_id() || Message.Cluster != cluster_id())
     return;
-  // Only an answer that names this disk was given after this disk was made. An older one could come
-  // from a peer that has since taken part in a log which this host founded and then lost.
+  // Only a request that names this disk was certainly sent after this disk was created. An older
+  // request could come from a peer that has since joined a cluster which this host bootstrapped
+  // before it lost its disk.
   if (Message.To.Disk == Self.Disk)
-    Joined[Message.From.Member] = Message.From;
+    EmptyPeers[Message.From.Member] = Message.From;
   else
-    sendNow(Message.From, founder_probe{});
+    sendNow(Message.From, bootstrap_probe{});
 }
 
-void replica_core::receiveBody(const consensus_message &Message, const founder_probe &, mono_time) {
+void replica_core::receiveBody(const consensus_message &Message, const bootstrap_probe &,
+                               mono_time) {
   if (isEmpty())
     sendNow(Message.From, admission_request{});
 }
 
-void replica_core::foundWhenAllAreEmpty() {
-  if (!isEmpty() || Fresh == cluster_id())
+void replica_core::bootstrapWhenReady() {
+  if (!isEmpty() || NewCluster == cluster_id())
     return;
-  // With a target the others are not known beforehand: so many must have said that they are empty,
-  // or the first change could be accepted by too few disks to outlive the loss that is to be borne.
-  const std::size_t Needed = Options.TargetVoters;
-  if (Needed > 0 && Joined.size() + 1 < Needed)
+  // With a target number of voters the peers are not known in advance. That number of disks must
+  // have reported that they are empty; with fewer, the first change could be accepted by too few
+  // disks to survive the number of losses that the cluster must tolerate.
+  const std::size_t RequiredDisks = Options.TargetVoters;
+  if (RequiredDisks > 0 && EmptyPeers.size() + 1 < RequiredDisks)
     return;
-  member_set Set{Fresh, {{Self, member_standing::Voter}}};
+  member_set Set{NewCluster, {{Self, voting_status::Voter}}};
   for (const member_id Peer : Peers) {
     if (Peer == Self.Member)
       continue;
-    const auto Known = Joined.find(Peer);
-    if (Known == Joined.end() && Needed == 0)
+    const auto EmptyPeer = EmptyPeers.find(Peer);
+    if (EmptyPeer == EmptyPeers.end() && RequiredDisks == 0)
       return;
-    if (Known == Joined.end() || (Needed > 0 && voterCount(Set) >= Needed))
+    if (EmptyPeer == EmptyPeers.end() || (RequiredDisks > 0 && voterCount(Set) >= RequiredDisks))
       continue;
-    Set = withVoter(withLearner(std::move(Set), Known->second), Known->second);
+    Set = withVoter(withLearner(std::move(Set), EmptyPeer->second), EmptyPeer->second);
   }
-  if (Hard.Term < FoundingTerm)
-    setHardState({FoundingTerm, {}});
-  storeEntry({log_index(1), FoundingTerm, entry_kind::Membership, encodeMembers(Set)});
+  if (Hard.Term < BootstrapTerm)
+    setHardState({BootstrapTerm, {}});
+  storeEntry({log_index(1), BootstrapTerm, entry_kind::Membership, encodeMembers(Set)});
 }
 
 } // namespace pollenstall
--- a/src/consensus/replica_core_read.cpp
+++ b/src/consensus/replica_core_read.cpp
@@ -6,51 +6,52 @@
 namespace pollenstall {
 
 void replica_core::readIndex(read_id Read, mono_time Now) {
-  enter(Now);
+  beginEvent(Now);
   if (role() != replica_role::Leader) {
     Actions.emplace_back(read_refused{Read, Leader});
     return;
   }
-  Reads.push_back({Read, 0, {}});
+  PendingReads.push_back({Read, 0, {}});
   startReads();
 }
 
 void replica_core::startReads() {
-  // Before an entry of its own term is committed a leader does not know the true commit index: it
-  // may be behind what its predecessor has acknowledged.
-  if (role() != replica_role::Leader || Commit < FirstOwnIndex)
+  // Until an entry of its own term is committed, a leader does not know the true commit index. Its
+  // own may be behind what its predecessor has acknowledged.
+  if (role() != replica_role::Leader || Commit < TermStartIndex)
     return;
-  for (waiting_read &Read : Reads) {
+  for (pending_read &Read : PendingReads) {
     if (Read.Round != 0)
       continue;
     Read.Round = NextRound;
     Read.Index = Commit;
-    HeartbeatWanted = true;
+    HeartbeatPending = true;
   }
 }
 
 void replica_core::answerReads() {
   if (role() != replica_role::Leader)
     return;
-  // Only answers to messages sent after the read was asked for show that nobody else led then.
-  const auto IsReady = [this](const waiting_read &Read) {
-    const auto Confirmed = [this, &Read](const member_key &Key) {
+  // Only replies to messages sent after the read request show that no other member led at that
+  // time.
+  const auto IsReady = [this](const pending_read &Read) {
+    const auto HasReplied = [this, &Read](const member_key &Key) {
       const follower_progress *Progress = progressOf(Key);
-      return Progress == nullptr || Progress->heardRound() >= Read.Round;
+      return Progress == nullptr || Progress->lastRepliedRound() >= Read.Round;
     };
-    return Read.Round != 0 && Applied >= Read.Index && hasQuorum(members(), Confirmed);
+    return Read.Round != 0 && Applied >= Read.Index && hasQuorum(members(), HasReplied);
   };
-  const auto Waits = [&IsReady](const waiting_read &Read) { return !IsReady(Read); };
-  const auto Ready = std::stable_partition(Reads.begin(), Reads.end(), Waits);
-  for (auto Read = Ready; Read != Reads.end(); ++Read)
+  const auto IsWaiting = [&IsReady](const pending_read &Read) { return !IsReady(Read); };
+  const auto Ready = std::stable_partition(PendingReads.begin(), PendingReads.end(), IsWaiting);
+  for (auto Read = Ready; Read != PendingReads.end(); ++Read)
     Actions.emplace_back(read_ready{Read->Read, Read->Index});
-  Reads.erase(Ready, Reads.end());
+  PendingReads.erase(Ready, PendingReads.end());
 }
 
 void replica_core::refuseReads() {
-  for (const waiting_read &Read : Reads)
+  for (const pending_read &Read : PendingReads)
     Actions.emplace_back(read_refused{Read.Read, Leader});
-  Reads.clear();
+  PendingReads.clear();
 }
 
 } // namespace pollenstall
--- a/src/consensus/replica_log.cpp
+++ b/src/consensus/replica_log.cpp
@@ -1,4 +1,4 @@
-/** @file replica_log.cpp The part of the log that a replica holds in memory. */
+/** @file replica_log.cpp The in-memory part of a replica's log. */
 #include "consensus/replica_log_base.h"
 
 #include <algorithm>
@@ -21,10 +21,10 @@
     Entries.assign(State.Entries.begin(), State.Entries.end());
     return;
   }
-  const std::size_t AtSnapshot = SnapshotIndex.value() - First.value();
-  if (State.Entries[AtSnapshot].Term != State.Snapshot->Term)
+  const std::size_t SnapshotOffset = SnapshotIndex.value() - First.value();
+  if (State.Entries[SnapshotOffset].Term != State.Snapshot->Term)
     return;
-  // The term before the first entry is not known, so that entry serves as the base.
+  // The term before the first entry is not known, so the first entry becomes the base.
   reset(First, State.Entries.front().Term);
   Entries.assign(State.Entries.begin() + 1, State.Entries.end());
 }
@@ -48,23 +48,23 @@
 }
 
 const log_entry &replica_log::at(log_index Index) const {
-  requireInvariant(Index > BaseIndex && Index <= lastIndex(), "an entry that is read is held");
+  requireInvariant(Index > BaseIndex && Index <= lastIndex(), "only entries in memory are read");
   return Entries[offsetOf(Index)];
 }
 
 bool replica_log::matches(log_index Index, term_number Term) const { return termAt(Index) == Term; }
 
-bool replica_log::isNoNewerThan(log_index OtherLast, term_number OtherTerm) const {
-  if (OtherTerm != lastTerm())
-    return OtherTerm > lastTerm();
-  return OtherLast >= lastIndex();
+bool replica_log::isUpToDate(log_index CandidateLastIndex, term_number CandidateLastTerm) const {
+  if (CandidateLastTerm != lastTerm())
+    return CandidateLastTerm > lastTerm();
+  return CandidateLastIndex >= lastIndex();
 }
 
-log_index replica_log::lastWithTermAtMost(log_index Index, term_number Term) const {
-  log_index Found = std::min(Index, lastIndex());
-  while (Found > BaseIndex && at(Found).Term > Term)
-    Found = log_index(Found.value() - 1);
-  return Found;
+log_index replica_log::lastIndexWithTermAtMost(log_index Index, term_number Term) const {
+  log_index LastIndex = std::min(Index, lastIndex());
+  while (LastIndex > BaseIndex && at(LastIndex).Term > Term)
+    LastIndex = log_index(LastIndex.value() - 1);
+  return LastIndex;
 }
 
 std::vector<log_entry> replica_log::slice(log_index First, std::size_t MaxEntries,
@@ -74,8 +74,8 @@
   for (log_index Index = First; Index <= lastIndex(); Index = Index.next()) {
     const log_entry &Entry = at(Index);
     Bytes += Entry.Payload.size();
-    const bool Full = Slice.size() >= MaxEntries || Bytes > MaxBytes;
-    if (Full && !Slice.empty())
+    const bool LimitReached = Slice.size() >= MaxEntries || Bytes > MaxBytes;
+    if (LimitReached && !Slice.empty())
       break;
     Slice.push_back(Entry);
   }
@@ -84,12 +84,12 @@
 
 void replica_log::append(log_entry Entry) {
   requireInvariant(Entry.Index == lastIndex().next(), "log indexes have no gaps");
-  requireInvariant(Entry.Term >= lastTerm(), "terms never fall along the log");
+  requireInvariant(Entry.Term >= lastTerm(), "terms never decrease along the log");
   Entries.push_back(std::move(Entry));
 }
 
 void replica_log::truncateFrom(log_index Index) {
-  requireInvariant(Index > BaseIndex, "nothing compacted is truncated");
+  requireInvariant(Index > BaseIndex, "compacted entries are never truncated");
   if (Index <= lastIndex())
     Entries.resize(offsetOf(Index));
 }
--- a/src/consensus/role.cpp
+++ b/src/consensus/role.cpp
@@ -16,11 +16,11 @@
 struct election_timeout {};
 struct pre_vote_won {};
 struct vote_won {};
-struct left_office {};
+struct step_down {};
 
 template <replica_role Role> struct role_state : front::state<> {
-  template <typename Event, typename Machine> void on_entry(const Event &, Machine &Owner) {
-    Owner.Current = Role;
+  template <typename Event, typename Machine> void on_entry(const Event &, Machine &StateMachine) {
+    StateMachine.Current = Role;
   }
 };
 
@@ -30,30 +30,30 @@
 using candidate = role_state<replica_role::Candidate>;
 using leader = role_state<replica_role::Leader>;
 
-struct role_front : front::state_machine_def<role_front> {
+struct role_definition : front::state_machine_def<role_definition> {
   using initial_state = learner;
 
   // clang-format off
   struct transition_table : boost::mpl::vector<
     front::Row<learner,       made_voter,       follower>,
-    front::Row<learner,       left_office,      front::none>,
+    front::Row<learner,       step_down,        front::none>,
     front::Row<follower,      made_learner,     learner>,
     front::Row<follower,      election_timeout, pre_candidate>,
-    front::Row<follower,      left_office,      front::none>,
+    front::Row<follower,      step_down,        front::none>,
     front::Row<pre_candidate, election_timeout, pre_candidate>,
     front::Row<pre_candidate, pre_vote_won,     candidate>,
-    front::Row<pre_candidate, left_office,      follower>,
+    front::Row<pre_candidate, step_down,        follower>,
     front::Row<pre_candidate, made_learner,     learner>,
     front::Row<candidate,     election_timeout, pre_candidate>,
     front::Row<candidate,     vote_won,         leader>,
-    front::Row<candidate,     left_office,      follower>,
+    front::Row<candidate,     step_down,        follower>,
     front::Row<candidate,     made_learner,     learner>,
-    front::Row<leader,        left_office,      follower>,
+    front::Row<leader,        step_down,        follower>,
     front::Row<leader,        made_learner,     learner>> {};
   // clang-format on
 
   template <typename Machine, typename Event> void no_transition(const Event &, Machine &, int) {
-    failInvariant("a role changes only as its table allows",
+    failInvariant("a role event has a transition in the table",
                   [this] { return std::string("role ") + toText(Current); });
   }
 
@@ -62,7 +62,7 @@
 
 } // namespace
 
-struct role_machine::machine : boost::msm::back::state_machine<role_front> {};
+struct role_machine::machine : boost::msm::back::state_machine<role_definition> {};
 
 role_machine::role_machine() : Machine(std::make_unique<machine>()) { Machine->start(); }
 role_machine::~role_machine() = default;
@@ -89,7 +89,7 @@
     Machine->process_event(vote_won{});
     return;
   case role_event::SteppedDown:
-    Machine->process_event(left_office{});
+    Machine->process_event(step_down{});
     return;
   }
 }
--- a/src/consensus/role_base.h
+++ b/src/consensus/role_base.h
@@ -8,18 +8,18 @@
 
 namespace pollenstall {
 
-/// What moves a replica from role to role.
+/// An event that may change the role of a replica.
 enum class role_event : std::uint8_t {
-  MadeVoter,       ///< The set in force lets this disk vote.
-  MadeLearner,     ///< The set in force does not let it vote.
-  ElectionTimeout, ///< No leader was heard of, or no election was won, in time.
+  MadeVoter,       ///< This disk is a voter in the member set in force.
+  MadeLearner,     ///< This disk is not a voter in the member set in force.
+  ElectionTimeout, ///< No message from a leader, or no election won, before the deadline.
   PreVoteWon,
   VoteWon,
-  SteppedDown, ///< A higher term, another leader of this term, or no quorum in contact.
+  SteppedDown, ///< A higher term, another leader of this term, or no contact with a quorum.
 };
 
-/// Learner, follower, pre-candidate, candidate, leader; a transition that is not in the table
-/// breaks an invariant.
+/// State machine over the replica_role values. An event without a transition in the table violates
+/// an invariant.
 class role_machine {
 public:
   role_machine();
@@ -35,7 +35,7 @@
   std::unique_ptr<machine> Machine;
 };
 
-/// @return The role's name, for dumps.
+/// @return The name of the role, for dumps.
 const char *toText(replica_role Role);
 
 } // namespace pollenstall
--- a/src/peer_link/peer_codec_func.h
+++ b/src/peer_link/peer_codec_func.h
@@ -23,7 +23,7 @@
 }
 template <typename Archive> void serialize(Archive &Into, log_member &Member) {
   Into(Member.Key);
-  serializeEnum(Into, Member.Standing, member_standing::Voter);
+  serializeEnum(Into, Member.VotingStatus, voting_status::Voter);
 }
 template <typename Archive> void serialize(Archive &Into, member_set &Set) {
   Into(Set.Cluster, Set.Members);
@@ -40,7 +40,7 @@
   Into(Body.ForTerm, Body.LastIndex, Body.LastTerm);
 }
 template <typename Archive> void serialize(Archive &Into, pre_vote_reply &Body) {
-  Into(Body.ForTerm, Body.Granted, Body.LeadsNoMore);
+  Into(Body.ForTerm, Body.Granted, Body.WillNotLead);
 }
 template <typename Archive> void serialize(Archive &Into, vote_request &Body) {
   Into(Body.LastIndex, Body.LastTerm);
@@ -57,7 +57,7 @@
   Into(Body.Snapshot, Body.Round, Body.SentAt);
 }
 template <typename Archive> void serialize(Archive & /*Into*/, admission_request & /*Body*/) {}
-template <typename Archive> void serialize(Archive & /*Into*/, founder_probe & /*Body*/) {}
+template <typename Archive> void serialize(Archive & /*Into*/, bootstrap_probe & /*Body*/) {}
 template <typename Archive> void serialize(Archive &Into, consensus_message &Message) {
   Into(Message.Cluster, Message.From, Message.To, Message.Term, Message.Body);
 }
--- a/src/storage/data_folder.cpp
+++ b/src/storage/data_folder.cpp
@@ -17,21 +17,22 @@
 constexpr std::uint64_t FirstIndex = 1;
 } // namespace
 
-struct data_folder::parts {
-  parts(const storage_options &Given, file_system Calls)
-      : Options(Given), Files(std::move(Calls)), Log(Files, Options.Folder, Options.SegmentBytes),
-        Snapshots(Files, Options.Folder) {}
+struct data_folder::impl {
+  impl(const storage_options &Given, file_system SystemCalls)
+      : Options(Given), FileSystem(std::move(SystemCalls)),
+        Log(FileSystem, Options.Folder, Options.SegmentBytes),
+        Snapshots(FileSystem, Options.Folder) {}
 
   storage_result lock();
-  storage_result identify();
-  storage_result makeFresh();
+  storage_result loadIdentity();
+  storage_result initialize();
   storage_result load();
   storage_result checkLogFitsSnapshot();
-  storage_result carryOut(const persist_log &Write);
+  storage_result execute(const persist_log &Write);
   storage_result storeSnapshot(const persist_log &Write);
 
   storage_options Options;
-  file_system Files;
+  file_system FileSystem;
   file_handle Lock;
   folder_identity Identity;
   restored_log Restored;
@@ -41,7 +42,7 @@
   std::optional<storage_error> Failed; ///< The first failed write; nothing is written after it.
 };
 
-storage_result data_folder::parts::lock() {
+storage_result data_folder::impl::lock() {
   std::error_code Error;
   std::filesystem::create_directories(Options.Folder, Error);
   if (Error)
@@ -50,19 +51,19 @@
   if (!succeeded(Opened))
     return errorOf(Opened);
   Lock = std::move(valueOf(Opened));
-  if (::flock(Lock.number(), LOCK_EX | LOCK_NB) == 0)
+  if (::flock(Lock.descriptor(), LOCK_EX | LOCK_NB) == 0)
     return done{};
   if (errno == EWOULDBLOCK)
     return folder_in_use{Options.Folder};
-  return errnoFailure("lock", Options.Folder);
+  return errorFromErrno("lock", Options.Folder);
 }
 
-storage_result data_folder::parts::identify() {
+storage_result data_folder::impl::loadIdentity() {
   auto Read = readIdentity(Options.Folder);
   if (!succeeded(Read))
     return errorOf(Read);
   if (!valueOf(Read))
-    return makeFresh();
+    return initialize();
   Identity = *valueOf(Read);
   const bool OtherMember = Options.Member != member_id() && Identity.Key.Member != Options.Member;
   if (Identity.Fleet != Options.Fleet || OtherMember)
@@ -70,24 +71,25 @@
   return done{};
 }
 
-storage_result data_folder::parts::makeFresh() {
+storage_result data_folder::impl::initialize() {
   std::error_code Error;
   for (const auto &File : std::filesystem::directory_iterator(Options.Folder, Error)) {
     const std::string Name = File.path().filename().string();
-    if (log_segment::firstFromName(Name) || snapshot_files::indexFromName(Name))
-      return damaged_file{Options.Folder / "identity", 0, "it is missing, but there is a log"};
+    if (log_segment::firstIndexFromName(Name) || snapshot_files::indexFromName(Name))
+      return corrupt_file{Options.Folder / "identity", 0, "it is missing, but there is a log"};
   }
-  auto Meta = writeHardState(Files, Options.Folder, {});
+  auto Meta = writeHardState(FileSystem, Options.Folder, {});
   if (!succeeded(Meta))
     return Meta;
   // The identity is written last: a folder that has one is complete.
   const bool Drawn = Options.Member == member_id();
   Identity = {Options.Fleet,
-              {Drawn ? member_id(Options.FreshDisk.value()) : Options.Member, Options.FreshDisk}};
-  return writeIdentity(Files, Options.Folder, Identity);
+              {Drawn ? member_id(Options.NewDiskIdentity.value()) : Options.Member,
+               Options.NewDiskIdentity}};
+  return writeIdentity(FileSystem, Options.Folder, Identity);
 }
 
-storage_result data_folder::parts::load() {
+storage_result data_folder::impl::load() {
   const auto Hard = readHardState(Options.Folder);
   if (!succeeded(Hard))
     return errorOf(Hard);
@@ -102,14 +104,14 @@
   return checkLogFitsSnapshot();
 }
 
-storage_result data_folder::parts::checkLogFitsSnapshot() {
+storage_result data_folder::impl::checkLogFitsSnapshot() {
   if (Restored.Entries.empty())
     return Log.removeAll();
   const log_index First = Restored.Entries.front().Index;
   const log_snapshot *Snapshot = Restored.Snapshot.get();
   const std::uint64_t Needed = Snapshot != nullptr ? Snapshot->Index.value() + 1 : FirstIndex;
   if (First.value() > Needed)
-    return damaged_file{Options.Folder, 0, "entries are missing between snapshot and log"};
+    return corrupt_file{Options.Folder, 0, "entries are missing between snapshot and log"};
   if (Snapshot == nullptr)
     return done{};
   const std::uint64_t AtSnapshot = Snapshot->Index.value() - First.value();
@@ -123,20 +125,20 @@
   return Log.removeAll();
 }
 
-storage_result data_folder::parts::storeSnapshot(const persist_log &Write) {
+storage_result data_folder::impl::storeSnapshot(const persist_log &Write) {
   auto Stored = Snapshots.store(Write.Snapshot);
   if (!succeeded(Stored))
     return Stored;
   if (!Write.ResetLog)
-    return Log.compactTo(std::min(Write.CompactTo, Snapshots.coveredByAll()));
+    return Log.compactTo(std::min(Write.CompactTo, Snapshots.compactionLimit()));
   const auto Removed = Log.removeAll();
-  return succeeded(Removed) ? Snapshots.dropOlder() : Removed;
+  return succeeded(Removed) ? Snapshots.removeOlder() : Removed;
 }
 
-storage_result data_folder::parts::carryOut(const persist_log &Write) {
+storage_result data_folder::impl::execute(const persist_log &Write) {
   storage_result Result = done{};
   if (Write.Hard)
-    Result = writeHardState(Files, Options.Folder, *Write.Hard);
+    Result = writeHardState(FileSystem, Options.Folder, *Write.Hard);
   if (succeeded(Result) && Write.Snapshot)
     Result = storeSnapshot(Write);
   if (succeeded(Result) && Write.TruncateFrom)
@@ -146,15 +148,15 @@
   return Result;
 }
 
-data_folder::data_folder(std::unique_ptr<parts> Opened) : Parts(std::move(Opened)) {}
+data_folder::data_folder(std::unique_ptr<impl> Opened) : Impl(std::move(Opened)) {}
 data_folder::~data_folder() = default;
 
 result<std::unique_ptr<data_folder>, storage_error>
-data_folder::open(const storage_options &Options, file_system Files) {
-  auto Opened = std::make_unique<parts>(Options, std::move(Files));
+data_folder::open(const storage_options &Options, file_system FileSystem) {
+  auto Opened = std::make_unique<impl>(Options, std::move(FileSystem));
   storage_result Result = Opened->lock();
   if (succeeded(Result))
-    Result = Opened->identify();
+    Result = Opened->loadIdentity();
   if (succeeded(Result))
     Result = Opened->load();
   if (!succeeded(Result))
@@ -162,46 +164,46 @@
   return std::unique_ptr<data_folder>(new data_folder(std::move(Opened)));
 }
 
-const folder_identity &data_folder::identity() const { return Parts->Identity; }
-restored_log &data_folder::restored() { return Parts->Restored; }
-const std::vector<std::string> &data_folder::repairs() const { return Parts->Repairs; }
+const folder_identity &data_folder::identity() const { return Impl->Identity; }
+restored_log &data_folder::restored() { return Impl->Restored; }
+const std::vector<std::string> &data_folder::repairs() const { return Impl->Repairs; }
 
 result<done, storage_error> data_folder::write(const std::vector<persist_log> &Batch) {
-  if (Parts->Failed)
-    return *Parts->Failed;
+  if (Impl->Failed)
+    return *Impl->Failed;
   storage_result Result = done{};
   for (const persist_log &Write : Batch) {
-    Result = Parts->carryOut(Write);
+    Result = Impl->execute(Write);
     if (!succeeded(Result))
       break;
   }
   if (succeeded(Result))
-    Result = Parts->Log.sync();
+    Result = Impl->Log.sync();
   // After a failed sync the kernel may have dropped the dirty pages, and a later sync would succeed
   // without them; so this folder object never confirms anything again.
   if (!succeeded(Result))
-    Parts->Failed = errorOf(Result);
+    Impl->Failed = errorOf(Result);
   return Result;
 }
 
-bool takesWrites(const std::filesystem::path &Folder) {
+bool isWritable(const std::filesystem::path &Folder) {
   constexpr std::size_t ProbeBytes = 64U << 10U;
   const std::filesystem::path Probe = Folder / "probe.tmp";
   const std::string Bytes(ProbeBytes, 'x');
-  bool Taken = false;
+  bool Writable = false;
   {
     std::error_code Ignored;
     std::filesystem::create_directories(Folder, Ignored);
     auto File = openFile(Probe, O_WRONLY | O_CREAT | O_TRUNC);
     if (succeeded(File)) {
-      const int Handle = valueOf(File).number();
+      const int Handle = valueOf(File).descriptor();
       const auto Size = static_cast<ssize_t>(Bytes.size());
-      Taken = ::write(Handle, Bytes.data(), Bytes.size()) == Size && ::fdatasync(Handle) == 0;
+      Writable = ::write(Handle, Bytes.data(), Bytes.size()) == Size && ::fdatasync(Handle) == 0;
     }
   }
   std::error_code Ignored;
   std::filesystem::remove(Probe, Ignored);
-  return Taken;
+  return Writable;
 }
 
 } // namespace pollenstall
--- a/src/storage/data_folder_base.h
+++ b/src/storage/data_folder_base.h
@@ -19,7 +19,7 @@
 public:
   /// Opens, locks, checks and repairs (a torn tail only). @param Files Calls on files.
   static result<std::unique_ptr<data_folder>, storage_error>
-  open(const storage_options &Options, file_system Files = systemFiles());
+  open(const storage_options &Options, file_system FileSystem = osFileSystem());
 
   ~data_folder();
   data_folder(const data_folder &) = delete;
@@ -41,14 +41,14 @@
   result<done, storage_error> write(const std::vector<persist_log> &Batch);
 
 private:
-  struct parts;
-  explicit data_folder(std::unique_ptr<parts> Opened);
+  struct impl;
+  explicit data_folder(std::unique_ptr<impl> Opened);
 
-  std::unique_ptr<parts> Parts;
+  std::unique_ptr<impl> Impl;
 };
 
 /// @return Whether a file of some size can be written and synced in the folder now; it is removed.
-bool takesWrites(const std::filesystem::path &Folder);
+bool isWritable(const std::filesystem::path &Folder);
 
 } // namespace pollenstall
 
--- a/src/storage/file_handle.cpp
+++ b/src/storage/file_handle.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t ReadChunk = 1U << 16U;
 } // namespace
 
-file_system systemFiles() {
+file_system osFileSystem() {
   return {[](int File, const void *Bytes, std::size_t Size) { return ::write(File, Bytes, Size); },
           [](int File) { return ::fdatasync(File); }, [](int File) { return ::fsync(File); },
           [](const char *From, const char *To) { return ::rename(From, To); },
@@ -21,90 +21,91 @@
 }
 
 file_handle::~file_handle() {
-  if (Number >= 0)
-    ::close(Number);
+  if (Descriptor >= 0)
+    ::close(Descriptor);
 }
 
-file_handle::file_handle(file_handle &&Other) noexcept : Number(std::exchange(Other.Number, -1)) {}
+file_handle::file_handle(file_handle &&Other) noexcept
+    : Descriptor(std::exchange(Other.Descriptor, -1)) {}
 
 file_handle &file_handle::operator=(file_handle &&Other) noexcept {
-  std::swap(Number, Other.Number);
+  std::swap(Descriptor, Other.Descriptor);
   return *this;
 }
 
-storage_error errnoFailure(std::string Operation, const std::filesystem::path &Path) {
+storage_error errorFromErrno(std::string Operation, const std::filesystem::path &Path) {
   if (errno == ENOSPC || errno == EDQUOT)
     return disk_full{Path};
   return file_failure{std::move(Operation), Path, errno};
 }
 
 result<file_handle, storage_error> openFile(const std::filesystem::path &Path, int Flags) {
-  const int Number = ::open(Path.c_str(), Flags | O_CLOEXEC, OwnerOnly);
-  if (Number < 0)
-    return errnoFailure("open", Path);
-  return file_handle(Number);
+  const int Descriptor = ::open(Path.c_str(), Flags | O_CLOEXEC, OwnerOnly);
+  if (Descriptor < 0)
+    return errorFromErrno("open", Path);
+  return file_handle(Descriptor);
 }
 
-storage_result writeAll(const file_system &Files, const file_handle &File, std::string_view Bytes,
-                        const std::filesystem::path &Path) {
+storage_result writeAll(const file_system &FileSystem, const file_handle &File,
+                        std::string_view Bytes, const std::filesystem::path &Path) {
   while (!Bytes.empty()) {
-    const ssize_t Written = Files.Write(File.number(), Bytes.data(), Bytes.size());
+    const ssize_t Written = FileSystem.Write(File.descriptor(), Bytes.data(), Bytes.size());
     if (Written < 0 && errno == EINTR)
       continue;
     if (Written < 0)
-      return errnoFailure("write", Path);
+      return errorFromErrno("write", Path);
     Bytes.remove_prefix(static_cast<std::size_t>(Written));
   }
   return done{};
 }
 
-result<std::string, storage_error> readWhole(const std::filesystem::path &Path) {
+result<std::string, storage_error> readEntireFile(const std::filesystem::path &Path) {
   auto Opened = openFile(Path, O_RDONLY);
   if (!succeeded(Opened))
     return errorOf(Opened);
   std::string Bytes;
   std::string Chunk(ReadChunk, '\0');
   while (true) {
-    const ssize_t Read = ::read(valueOf(Opened).number(), Chunk.data(), Chunk.size());
+    const ssize_t Read = ::read(valueOf(Opened).descriptor(), Chunk.data(), Chunk.size());
     if (Read < 0 && errno == EINTR)
       continue;
     if (Read < 0)
-      return errnoFailure("read", Path);
+      return errorFromErrno("read", Path);
     if (Read == 0)
       return Bytes;
     Bytes.append(Chunk, 0, static_cast<std::size_t>(Read));
   }
 }
 
-storage_result syncFolder(const file_system &Files, const std::filesystem::path &Folder) {
+storage_result syncFolder(const file_system &FileSystem, const std::filesystem::path &Folder) {
   const auto Opened = openFile(Folder, O_RDONLY | O_DIRECTORY);
   if (!succeeded(Opened))
     return errorOf(Opened);
-  if (Files.Sync(valueOf(Opened).number()) != 0)
-    return errnoFailure("sync", Folder);
+  if (FileSystem.Sync(valueOf(Opened).descriptor()) != 0)
+    return errorFromErrno("sync", Folder);
   return done{};
 }
 
-storage_result replaceFile(const file_system &Files, const std::filesystem::path &Path,
+storage_result replaceFile(const file_system &FileSystem, const std::filesystem::path &Path,
                            std::string_view Bytes) {
   std::filesystem::path Temporary = Path;
   Temporary += ".tmp";
   const auto Opened = openFile(Temporary, O_WRONLY | O_CREAT | O_TRUNC);
   if (!succeeded(Opened))
     return errorOf(Opened);
-  auto Written = writeAll(Files, valueOf(Opened), Bytes, Temporary);
+  auto Written = writeAll(FileSystem, valueOf(Opened), Bytes, Temporary);
   if (!succeeded(Written))
     return Written;
-  if (Files.Sync(valueOf(Opened).number()) != 0)
-    return errnoFailure("sync", Temporary);
-  if (Files.Rename(Temporary.c_str(), Path.c_str()) != 0)
-    return errnoFailure("rename", Path);
-  return syncFolder(Files, Path.parent_path());
+  if (FileSystem.Sync(valueOf(Opened).descriptor()) != 0)
+    return errorFromErrno("sync", Temporary);
+  if (FileSystem.Rename(Temporary.c_str(), Path.c_str()) != 0)
+    return errorFromErrno("rename", Path);
+  return syncFolder(FileSystem, Path.parent_path());
 }
 
 storage_result removeFile(const std::filesystem::path &Path) {
   if (::unlink(Path.c_str()) != 0 && errno != ENOENT)
-    return errnoFailure("remove", Path);
+    return errorFromErrno("remove", Path);
   return done{};
 }
 
--- a/src/storage/file_handle_base.h
+++ b/src/storage/file_handle_base.h
@@ -15,37 +15,37 @@
 class file_handle {
 public:
   file_handle() = default;
-  explicit file_handle(int Opened) : Number(Opened) {}
+  explicit file_handle(int Opened) : Descriptor(Opened) {}
   ~file_handle();
   file_handle(file_handle &&Other) noexcept;
   file_handle &operator=(file_handle &&Other) noexcept;
   file_handle(const file_handle &) = delete;
   file_handle &operator=(const file_handle &) = delete;
 
-  [[nodiscard]] int number() const { return Number; }
+  [[nodiscard]] int descriptor() const { return Descriptor; }
 
 private:
-  int Number{-1};
+  int Descriptor{-1};
 };
 
 /// @return What errno says happened to Path; disk_full where no space is left.
-storage_error errnoFailure(std::string Operation, const std::filesystem::path &Path);
+storage_error errorFromErrno(std::string Operation, const std::filesystem::path &Path);
 
 /// Opens with O_CLOEXEC. @param Flags As open(2) takes them.
 result<file_handle, storage_error> openFile(const std::filesystem::path &Path, int Flags);
 
 /// Writes all bytes at the file's position.
-storage_result writeAll(const file_system &Files, const file_handle &File, std::string_view Bytes,
-                        const std::filesystem::path &Path);
+storage_result writeAll(const file_system &FileSystem, const file_handle &File,
+                        std::string_view Bytes, const std::filesystem::path &Path);
 
 /// @return All of the file's bytes.
-result<std::string, storage_error> readWhole(const std::filesystem::path &Path);
+result<std::string, storage_error> readEntireFile(const std::filesystem::path &Path);
 
 /// Makes renames, creations and removals in the folder durable.
-storage_result syncFolder(const file_system &Files, const std::filesystem::path &Folder);
+storage_result syncFolder(const file_system &FileSystem, const std::filesystem::path &Folder);
 
 /// Replaces the file as a whole: a crash leaves the old bytes or the new ones, never a mixture.
-storage_result replaceFile(const file_system &Files, const std::filesystem::path &Path,
+storage_result replaceFile(const file_system &FileSystem, const std::filesystem::path &Path,
                            std::string_view Bytes);
 
 /// Removes a file, not yet durably. A file that is not there is no error.
--- a/src/storage/file_system_base.h
+++ b/src/storage/file_system_base.h
@@ -22,7 +22,7 @@
 };
 
 /// @return The operating system's calls.
-file_system systemFiles();
+file_system osFileSystem();
 
 } // namespace pollenstall
 
--- a/src/storage/folder_meta_func.h
+++ b/src/storage/folder_meta_func.h
@@ -10,13 +10,13 @@
 result<std::optional<folder_identity>, storage_error>
 readIdentity(const std::filesystem::path &Folder);
 
-storage_result writeIdentity(const file_system &Files, const std::filesystem::path &Folder,
+storage_result writeIdentity(const file_system &FileSystem, const std::filesystem::path &Folder,
                              const folder_identity &Identity);
 
 /// @return Term and vote; a folder with an identity always has them.
 result<hard_state, storage_error> readHardState(const std::filesystem::path &Folder);
 
-storage_result writeHardState(const file_system &Files, const std::filesystem::path &Folder,
+storage_result writeHardState(const file_system &FileSystem, const std::filesystem::path &Folder,
                               const hard_state &Hard);
 
 } // namespace pollenstall
--- a/src/storage/log_files.cpp
+++ b/src/storage/log_files.cpp
@@ -10,7 +10,7 @@
   std::map<log_index, std::filesystem::path> Paths;
   std::error_code Error;
   for (const auto &File : std::filesystem::directory_iterator(Folder, Error)) {
-    const auto First = log_segment::firstFromName(File.path().filename().string());
+    const auto First = log_segment::firstIndexFromName(File.path().filename().string());
     if (First)
       Paths.emplace(*First, File.path());
   }
@@ -18,15 +18,15 @@
     return file_failure{"list", Folder, Error.value()};
   for (const auto &[First, Path] : Paths) {
     if (!Segments.empty() && First != Segments.back().last().next())
-      return damaged_file{Path, 0, "entries are missing before this segment"};
+      return corrupt_file{Path, 0, "entries are missing before this segment"};
     const bool IsLast = First == Paths.rbegin()->first;
-    auto Opened = log_segment::open(Files, Path, First, IsLast);
+    auto Opened = log_segment::open(FileSystem, Path, First, IsLast);
     if (!succeeded(Opened))
       return errorOf(Opened);
-    log_segment::opened &Read = valueOf(Opened);
-    if (Read.CutBytes != 0)
-      Repairs.push_back("cut " + std::to_string(Read.CutBytes) + " bytes of a torn tail off " +
-                        Path.string());
+    log_segment::open_result &Read = valueOf(Opened);
+    if (Read.TruncatedBytes != 0)
+      Repairs.push_back("cut " + std::to_string(Read.TruncatedBytes) +
+                        " bytes of a torn tail off " + Path.string());
     std::move(Read.Entries.begin(), Read.Entries.end(), std::back_inserter(Entries));
     Segments.push_back(std::move(Read.Segment));
   }
@@ -38,7 +38,7 @@
   auto Synced = sync();
   if (!succeeded(Synced))
     return Synced;
-  auto Created = log_segment::create(Files, Folder, First);
+  auto Created = log_segment::create(FileSystem, Folder, First);
   if (!succeeded(Created))
     return errorOf(Created);
   Segments.push_back(std::move(valueOf(Created)));
@@ -63,7 +63,7 @@
       Bytes += RecordHeaderSize + Stop->Payload.size();
       ++Stop;
     }
-    auto Written = Segments.back().append(Files, Next, Stop);
+    auto Written = Segments.back().append(FileSystem, Next, Stop);
     if (!succeeded(Written))
       return Written;
     Unsynced = true;
@@ -76,7 +76,7 @@
   if (!Unsynced)
     return done{};
   Unsynced = false;
-  return Segments.back().sync(Files);
+  return Segments.back().sync(FileSystem);
 }
 
 storage_result log_files::truncateFrom(log_index Index) {
@@ -84,7 +84,7 @@
     auto Removed = removeFile(Segments.back().path());
     if (!succeeded(Removed))
       return Removed;
-    auto Synced = syncFolder(Files, Folder);
+    auto Synced = syncFolder(FileSystem, Folder);
     if (!succeeded(Synced))
       return Synced;
     Segments.pop_back();
@@ -92,7 +92,7 @@
   }
   if (Segments.empty())
     return done{};
-  return Segments.back().truncateFrom(Files, Index);
+  return Segments.back().truncateFrom(FileSystem, Index);
 }
 
 storage_result log_files::compactTo(log_index Index) {
@@ -104,7 +104,7 @@
     Segments.pop_front();
     Removed = true;
   }
-  return Removed ? syncFolder(Files, Folder) : storage_result(done{});
+  return Removed ? syncFolder(FileSystem, Folder) : storage_result(done{});
 }
 
 storage_result log_files::removeAll() { return truncateFrom(log_index()); }
--- a/src/storage/log_files_base.h
+++ b/src/storage/log_files_base.h
@@ -11,8 +11,9 @@
 /// Entries without gaps over several files; the last file grows.
 class log_files {
 public:
-  log_files(file_system Calls, std::filesystem::path Where, std::uint64_t BytesPerSegment)
-      : Files(std::move(Calls)), Folder(std::move(Where)), SegmentBytes(BytesPerSegment) {}
+  log_files(file_system SystemCalls, std::filesystem::path Where, std::uint64_t BytesPerSegment)
+      : FileSystem(std::move(SystemCalls)), Folder(std::move(Where)),
+        SegmentBytes(BytesPerSegment) {}
 
   /// Reads all segments. @param Entries Receives what they hold. @param Repairs Receives what was
   /// cut, for the log.
@@ -31,7 +32,7 @@
 private:
   storage_result rollOver(log_index First);
 
-  file_system Files;
+  file_system FileSystem;
   std::filesystem::path Folder;
   std::uint64_t SegmentBytes;
   std::deque<log_segment> Segments;
--- a/src/storage/log_segment.cpp
+++ b/src/storage/log_segment.cpp
@@ -16,7 +16,7 @@
 constexpr std::string_view NamePrefix = "log-";
 constexpr std::size_t SectorSize = 512;
 
-std::string nameOf(log_index First) {
+std::string fileNameOf(log_index First) {
   std::array<char, 32> Name{};
   std::snprintf(Name.data(), Name.size(), "log-%020llu",
                 static_cast<unsigned long long>(First.value()));
@@ -39,7 +39,7 @@
 bool wasSynced(std::string_view Bytes, std::size_t Offset) {
   for (std::size_t Place = Offset + 1; Place + RecordHeaderSize <= Bytes.size(); ++Place) {
     const read_record Later = readRecord(Bytes.substr(Place));
-    if (Later.Finding == record_finding::Whole && Later.SyncedTo > Offset)
+    if (Later.Status == record_status::Valid && Later.SyncedTo > Offset)
       return true;
   }
   return false;
@@ -53,7 +53,7 @@
 bool isTorn(std::string_view Bytes, std::size_t Offset, const read_record &Record) {
   if (wasSynced(Bytes, Offset))
     return false;
-  if (Record.Finding == record_finding::Short)
+  if (Record.Status == record_status::Truncated)
     return true;
   const std::size_t Checked = Record.Size != 0 ? Record.Size : RecordHeaderSize;
   return hasUnwrittenSector(Bytes, Offset, std::min(Bytes.size(), Offset + Checked));
@@ -64,59 +64,59 @@
 log_segment::log_segment(std::filesystem::path Where, log_index FirstIndex, file_handle Opened)
     : Path(std::move(Where)), First(FirstIndex), File(std::move(Opened)) {}
 
-std::optional<log_index> log_segment::firstFromName(const std::string &Name) {
+std::optional<log_index> log_segment::firstIndexFromName(const std::string &Name) {
   if (Name.compare(0, NamePrefix.size(), NamePrefix) != 0)
     return std::nullopt;
   const auto First = parseNumber<std::uint64_t>(std::string_view(Name).substr(NamePrefix.size()));
   return First ? std::optional(log_index(*First)) : std::nullopt;
 }
 
-result<log_segment, storage_error> log_segment::create(const file_system &Files,
+result<log_segment, storage_error> log_segment::create(const file_system &FileSystem,
                                                        const std::filesystem::path &Folder,
                                                        log_index First) {
-  const std::filesystem::path Path = Folder / nameOf(First);
+  const std::filesystem::path Path = Folder / fileNameOf(First);
   auto Opened = openFile(Path, O_WRONLY | O_CREAT | O_TRUNC | O_APPEND);
   if (!succeeded(Opened))
     return errorOf(Opened);
-  const auto Synced = syncFolder(Files, Folder);
+  const auto Synced = syncFolder(FileSystem, Folder);
   if (!succeeded(Synced))
     return errorOf(Synced);
   return log_segment(Path, First, std::move(valueOf(Opened)));
 }
 
-result<log_segment::opened, storage_error> log_segment::open(const file_system &Files,
-                                                             const std::filesystem::path &Path,
-                                                             log_index First, bool IsLast) {
-  auto Read = readWhole(Path);
+result<log_segment::open_result, storage_error> log_segment::open(const file_system &FileSystem,
+                                                                  const std::filesystem::path &Path,
+                                                                  log_index First, bool IsLast) {
+  auto Read = readEntireFile(Path);
   if (!succeeded(Read))
     return errorOf(Read);
   auto File = openFile(Path, O_WRONLY | O_APPEND);
   if (!succeeded(File))
     return errorOf(File);
-  opened Opened{log_segment(Path, First, std::move(valueOf(File))), {}, 0};
+  open_result Opened{log_segment(Path, First, std::move(valueOf(File))), {}, 0};
   const std::string_view Bytes = valueOf(Read);
   std::size_t Offset = 0;
   while (Offset < Bytes.size()) {
     read_record Record = readRecord(Bytes.substr(Offset));
-    if (Record.Finding != record_finding::Whole) {
+    if (Record.Status != record_status::Valid) {
       if (!IsLast || !isTorn(Bytes, Offset, Record))
-        return damaged_file{Path, Offset, "a record's checksum does not fit"};
+        return corrupt_file{Path, Offset, "a record's checksum does not fit"};
       break;
     }
     if (Record.Entry.Index != Opened.Segment.last().next())
-      return damaged_file{Path, Offset, "an index is out of order"};
+      return corrupt_file{Path, Offset, "an index is out of order"};
     Opened.Segment.Offsets.push_back(Offset);
     Opened.Entries.push_back(std::move(Record.Entry));
     Offset += Record.Size;
   }
-  Opened.CutBytes = Bytes.size() - Offset;
-  const auto Cut = Opened.Segment.cutTo(Files, Offset);
+  Opened.TruncatedBytes = Bytes.size() - Offset;
+  const auto Cut = Opened.Segment.truncateTo(FileSystem, Offset);
   if (!succeeded(Cut))
     return errorOf(Cut);
   return Opened;
 }
 
-storage_result log_segment::append(const file_system &Files, const log_entry *Begin,
+storage_result log_segment::append(const file_system &FileSystem, const log_entry *Begin,
                                    const log_entry *End) {
   std::string Bytes;
   std::vector<std::uint64_t> Starts;
@@ -124,11 +124,11 @@
     Starts.push_back(Size + Bytes.size());
     appendRecord(Bytes, *Entry, Synced);
   }
-  auto Written = writeAll(Files, File, Bytes, Path);
+  auto Written = writeAll(FileSystem, File, Bytes, Path);
   if (!succeeded(Written)) {
     // What was written of the records goes again, so that a full disk leaves a whole file behind;
     // where even that fails, the next opening cuts them as a torn tail.
-    (void)Files.Truncate(File.number(), static_cast<off_t>(Size));
+    (void)FileSystem.Truncate(File.descriptor(), static_cast<off_t>(Size));
     return Written;
   }
   Size += Bytes.size();
@@ -136,28 +136,28 @@
   return done{};
 }
 
-storage_result log_segment::sync(const file_system &Files) {
-  if (Files.SyncData(File.number()) != 0)
-    return errnoFailure("sync", Path);
+storage_result log_segment::sync(const file_system &FileSystem) {
+  if (FileSystem.SyncData(File.descriptor()) != 0)
+    return errorFromErrno("sync", Path);
   Synced = Size;
   return done{};
 }
 
-storage_result log_segment::cutTo(const file_system &Files, std::uint64_t Length) {
+storage_result log_segment::truncateTo(const file_system &FileSystem, std::uint64_t Length) {
   // Synced at once: old records behind new, unsynced ones would look like a broken middle.
-  if (Files.Truncate(File.number(), static_cast<off_t>(Length)) != 0)
-    return errnoFailure("truncate", Path);
+  if (FileSystem.Truncate(File.descriptor(), static_cast<off_t>(Length)) != 0)
+    return errorFromErrno("truncate", Path);
   Size = Length;
-  return sync(Files);
+  return sync(FileSystem);
 }
 
-storage_result log_segment::truncateFrom(const file_system &Files, log_index Index) {
+storage_result log_segment::truncateFrom(const file_system &FileSystem, log_index Index) {
   const std::size_t Kept = Index.value() - First.value();
   if (Kept >= Offsets.size())
     return done{};
   const std::uint64_t Length = Offsets[Kept];
   Offsets.resize(Kept);
-  return cutTo(Files, Length);
+  return truncateTo(FileSystem, Length);
 }
 
 } // namespace pollenstall
--- a/src/storage/record.cpp
+++ b/src/storage/record.cpp
@@ -9,27 +9,27 @@
 
 constexpr std::uint32_t CastagnoliPolynomial = 0x1EDC6F41;
 constexpr std::uint32_t AllOnes = 0xFFFFFFFF;
-constexpr std::uint32_t RecordMark = 0x31434C50; ///< "PLC1" as bytes.
-constexpr std::size_t Word = 4;
-constexpr std::size_t DoubleWord = 8;
-constexpr std::size_t CheckedHeaderSize = RecordHeaderSize - Word;
+constexpr std::uint32_t RecordMagic = 0x31434C50; ///< "PLC1" as bytes.
+constexpr std::size_t Uint32Size = 4;
+constexpr std::size_t Uint64Size = 8;
+constexpr std::size_t CheckedHeaderSize = RecordHeaderSize - Uint32Size;
 constexpr unsigned BitsPerByte = 8;
 
 /// Takes numbers off the front of checked bytes.
 class number_reader {
 public:
-  explicit number_reader(std::string_view Bytes) : Rest(Bytes) {}
+  explicit number_reader(std::string_view Bytes) : Remaining(Bytes) {}
   std::uint64_t take(std::size_t Size) {
-    const std::uint64_t Number = readNumber(Rest, Size);
-    Rest.remove_prefix(Size);
+    const std::uint64_t Number = readNumber(Remaining, Size);
+    Remaining.remove_prefix(Size);
     return Number;
   }
 
 private:
-  std::string_view Rest;
+  std::string_view Remaining;
 };
 
-bool isKind(std::uint64_t Number) {
+bool isEntryKind(std::uint64_t Number) {
   return Number <= static_cast<std::uint64_t>(entry_kind::Membership);
 }
 
@@ -57,14 +57,14 @@
 
 void appendRecord(std::string &Bytes, const log_entry &Entry, std::uint64_t SyncedTo) {
   const std::size_t Start = Bytes.size();
-  appendNumber(Bytes, RecordMark, Word);
-  appendNumber(Bytes, Entry.Payload.size(), Word);
-  appendNumber(Bytes, Entry.Index.value(), DoubleWord);
-  appendNumber(Bytes, Entry.Term.value(), DoubleWord);
-  appendNumber(Bytes, SyncedTo, DoubleWord);
-  appendNumber(Bytes, static_cast<std::uint64_t>(Entry.Kind), Word);
-  appendNumber(Bytes, checksum(Entry.Payload), Word);
-  appendNumber(Bytes, checksum(std::string_view(Bytes).substr(Start)), Word);
+  appendNumber(Bytes, RecordMagic, Uint32Size);
+  appendNumber(Bytes, Entry.Payload.size(), Uint32Size);
+  appendNumber(Bytes, Entry.Index.value(), Uint64Size);
+  appendNumber(Bytes, Entry.Term.value(), Uint64Size);
+  appendNumber(Bytes, SyncedTo, Uint64Size);
+  appendNumber(Bytes, static_cast<std::uint64_t>(Entry.Kind), Uint32Size);
+  appendNumber(Bytes, checksum(Entry.Payload), Uint32Size);
+  appendNumber(Bytes, checksum(std::string_view(Bytes).substr(Start)), Uint32Size);
   Bytes += Entry.Payload;
 }
 
@@ -72,28 +72,28 @@
   read_record Record;
   if (Bytes.size() < RecordHeaderSize)
     return Record;
-  Record.Finding = record_finding::BadHeader;
-  const std::uint64_t HeaderSum = readNumber(Bytes.substr(CheckedHeaderSize), Word);
-  if (checksum(Bytes.substr(0, CheckedHeaderSize)) != HeaderSum)
+  Record.Status = record_status::BadHeader;
+  const std::uint64_t HeaderChecksum = readNumber(Bytes.substr(CheckedHeaderSize), Uint32Size);
+  if (checksum(Bytes.substr(0, CheckedHeaderSize)) != HeaderChecksum)
     return Record;
   number_reader Reader(Bytes);
-  const std::uint64_t Mark = Reader.take(Word);
-  const std::uint64_t Length = Reader.take(Word);
-  Record.Entry.Index = log_index(Reader.take(DoubleWord));
-  Record.Entry.Term = term_number(Reader.take(DoubleWord));
-  Record.SyncedTo = Reader.take(DoubleWord);
-  const std::uint64_t Kind = Reader.take(Word);
-  const std::uint64_t PayloadSum = Reader.take(Word);
-  if (Mark != RecordMark || Length > MaxRecordPayload || !isKind(Kind))
+  const std::uint64_t Magic = Reader.take(Uint32Size);
+  const std::uint64_t Length = Reader.take(Uint32Size);
+  Record.Entry.Index = log_index(Reader.take(Uint64Size));
+  Record.Entry.Term = term_number(Reader.take(Uint64Size));
+  Record.SyncedTo = Reader.take(Uint64Size);
+  const std::uint64_t Kind = Reader.take(Uint32Size);
+  const std::uint64_t PayloadChecksum = Reader.take(Uint32Size);
+  if (Magic != RecordMagic || Length > MaxRecordPayload || !isEntryKind(Kind))
     return Record;
   Record.Entry.Kind = static_cast<entry_kind>(Kind);
   Record.Size = RecordHeaderSize + Length;
-  Record.Finding = record_finding::Short;
+  Record.Status = record_status::Truncated;
   if (Bytes.size() < Record.Size)
     return Record;
   const std::string_view Payload = Bytes.substr(RecordHeaderSize, Length);
-  const bool Right = checksum(Payload) == PayloadSum;
-  Record.Finding = Right ? record_finding::Whole : record_finding::BadPayload;
+  const bool PayloadValid = checksum(Payload) == PayloadChecksum;
+  Record.Status = PayloadValid ? record_status::Valid : record_status::BadPayload;
   Record.Entry.Payload = std::string(Payload);
   return Record;
 }
--- a/src/storage/record_type.h
+++ b/src/storage/record_type.h
@@ -15,16 +15,16 @@
 constexpr std::uint32_t MaxRecordPayload = 64U << 20U;
 
 /// What reading at one offset found.
-enum class record_finding : std::uint8_t {
-  Whole,
-  Short,      ///< The bytes end before the record does.
+enum class record_status : std::uint8_t {
+  Valid,
+  Truncated,  ///< The bytes end before the record does.
   BadHeader,  ///< The header's checksum does not fit.
   BadPayload, ///< The header is right, the payload's checksum is not.
 };
 
 /// One record as read.
 struct read_record {
-  record_finding Finding{record_finding::Short};
+  record_status Status{record_status::Truncated};
   log_entry Entry;
   std::uint64_t SyncedTo{0}; ///< Length of the segment that was synced when this was written.
   std::size_t Size{0};       ///< Header and payload; 0 unless the header is right.
--- a/src/storage/snapshot_files.cpp
+++ b/src/storage/snapshot_files.cpp
@@ -15,13 +15,13 @@
 namespace {
 
 constexpr std::string_view NamePrefix = "snapshot-";
-constexpr std::uint32_t SnapshotMark = 0x31534C50; ///< "PLS1" as bytes.
-constexpr std::size_t Word = 4;
-constexpr std::size_t DoubleWord = 8;
-constexpr std::size_t HeadSize = 2 * Word + 2 * DoubleWord;
-constexpr std::size_t KeptSnapshots = 2;
+constexpr std::uint32_t SnapshotMagic = 0x31534C50; ///< "PLS1" as bytes.
+constexpr std::size_t Uint32Size = 4;
+constexpr std::size_t Uint64Size = 8;
+constexpr std::size_t HeaderSize = 2 * Uint32Size + 2 * Uint64Size;
+constexpr std::size_t SnapshotsToKeep = 2;
 
-std::string nameOf(log_index Index) {
+std::string fileNameOf(log_index Index) {
   std::array<char, 40> Name{};
   std::snprintf(Name.data(), Name.size(), "snapshot-%020llu",
                 static_cast<unsigned long long>(Index.value()));
@@ -29,7 +29,7 @@
 }
 
 /// @return Whether a crash left this behind in the middle of store().
-bool isUnfinished(const std::string &Name) {
+bool isUnfinishedFile(const std::string &Name) {
   return Name.compare(0, NamePrefix.size(), NamePrefix) == 0;
 }
 
@@ -37,32 +37,32 @@
 std::string encode(const log_snapshot &Snapshot) {
   const std::string Members = encodeMembers(Snapshot.Members);
   std::string Bytes;
-  appendNumber(Bytes, SnapshotMark, Word);
-  appendNumber(Bytes, Snapshot.Index.value(), DoubleWord);
-  appendNumber(Bytes, Snapshot.Term.value(), DoubleWord);
-  appendNumber(Bytes, Members.size(), Word);
+  appendNumber(Bytes, SnapshotMagic, Uint32Size);
+  appendNumber(Bytes, Snapshot.Index.value(), Uint64Size);
+  appendNumber(Bytes, Snapshot.Term.value(), Uint64Size);
+  appendNumber(Bytes, Members.size(), Uint32Size);
   Bytes += Members;
   Bytes += Snapshot.State;
-  appendNumber(Bytes, checksum(Bytes), Word);
+  appendNumber(Bytes, checksum(Bytes), Uint32Size);
   return Bytes;
 }
 
 std::shared_ptr<const log_snapshot> decode(std::string_view Bytes) {
-  if (Bytes.size() < HeadSize + Word)
+  if (Bytes.size() < HeaderSize + Uint32Size)
     return nullptr;
-  const std::string_view Body = Bytes.substr(0, Bytes.size() - Word);
-  if (checksum(Body) != readNumber(Bytes.substr(Body.size()), Word))
+  const std::string_view Body = Bytes.substr(0, Bytes.size() - Uint32Size);
+  if (checksum(Body) != readNumber(Bytes.substr(Body.size()), Uint32Size))
     return nullptr;
-  const std::uint64_t MembersSize = readNumber(Body.substr(HeadSize - Word), Word);
-  if (readNumber(Body, Word) != SnapshotMark || MembersSize > Body.size() - HeadSize)
+  const std::uint64_t MembersSize = readNumber(Body.substr(HeaderSize - Uint32Size), Uint32Size);
+  if (readNumber(Body, Uint32Size) != SnapshotMagic || MembersSize > Body.size() - HeaderSize)
     return nullptr;
-  auto Members = decodeMembers(Body.substr(HeadSize, MembersSize));
+  auto Members = decodeMembers(Body.substr(HeaderSize, MembersSize));
   if (!Members)
     return nullptr;
-  const log_index Index(readNumber(Body.substr(Word), DoubleWord));
-  const term_number Term(readNumber(Body.substr(Word + DoubleWord), DoubleWord));
+  const log_index Index(readNumber(Body.substr(Uint32Size), Uint64Size));
+  const term_number Term(readNumber(Body.substr(Uint32Size + Uint64Size), Uint64Size));
   return std::make_shared<const log_snapshot>(log_snapshot{
-      Index, Term, std::move(*Members), std::string(Body.substr(HeadSize + MembersSize))});
+      Index, Term, std::move(*Members), std::string(Body.substr(HeaderSize + MembersSize))});
 }
 
 } // namespace
@@ -79,51 +79,51 @@
   for (const auto &File : std::filesystem::directory_iterator(Folder, Error)) {
     const auto Index = indexFromName(File.path().filename().string());
     if (Index)
-      Stored.push_back(*Index);
-    else if (isUnfinished(File.path().filename().string()))
+      StoredIndexes.push_back(*Index);
+    else if (isUnfinishedFile(File.path().filename().string()))
       (void)removeFile(File.path());
   }
   if (Error)
     return file_failure{"list", Folder, Error.value()};
-  std::sort(Stored.begin(), Stored.end());
-  for (auto Index = Stored.rbegin(); Index != Stored.rend() && !Newest; ++Index) {
-    const std::filesystem::path Path = Folder / nameOf(*Index);
-    auto Bytes = readWhole(Path);
+  std::sort(StoredIndexes.begin(), StoredIndexes.end());
+  for (auto Index = StoredIndexes.rbegin(); Index != StoredIndexes.rend() && !Newest; ++Index) {
+    const std::filesystem::path Path = Folder / fileNameOf(*Index);
+    auto Bytes = readEntireFile(Path);
     if (!succeeded(Bytes))
       return errorOf(Bytes);
     Newest = decode(valueOf(Bytes));
     if (!Newest)
       Repairs.push_back("passed over a damaged snapshot: " + Path.string());
   }
-  if (!Newest && !Stored.empty())
-    return damaged_file{Folder / nameOf(Stored.back()), 0, "no snapshot can be read"};
+  if (!Newest && !StoredIndexes.empty())
+    return corrupt_file{Folder / fileNameOf(StoredIndexes.back()), 0, "no snapshot can be read"};
   return done{};
 }
 
 storage_result snapshot_files::store(std::shared_ptr<const log_snapshot> Snapshot) {
-  auto Written = replaceFile(Files, Folder / nameOf(Snapshot->Index), encode(*Snapshot));
+  auto Written = replaceFile(FileSystem, Folder / fileNameOf(Snapshot->Index), encode(*Snapshot));
   if (!succeeded(Written))
     return Written;
-  if (Stored.empty() || Stored.back() != Snapshot->Index)
-    Stored.push_back(Snapshot->Index);
+  if (StoredIndexes.empty() || StoredIndexes.back() != Snapshot->Index)
+    StoredIndexes.push_back(Snapshot->Index);
   Newest = std::move(Snapshot);
-  return dropAllBut(KeptSnapshots);
+  return removeAllBut(SnapshotsToKeep);
 }
 
-storage_result snapshot_files::dropOlder() { return dropAllBut(1); }
+storage_result snapshot_files::removeOlder() { return removeAllBut(1); }
 
-storage_result snapshot_files::dropAllBut(std::size_t Kept) {
-  while (Stored.size() > Kept) {
-    auto Removed = removeFile(Folder / nameOf(Stored.front()));
+storage_result snapshot_files::removeAllBut(std::size_t Kept) {
+  while (StoredIndexes.size() > Kept) {
+    auto Removed = removeFile(Folder / fileNameOf(StoredIndexes.front()));
     if (!succeeded(Removed))
       return Removed;
-    Stored.erase(Stored.begin());
+    StoredIndexes.erase(StoredIndexes.begin());
   }
   return done{};
 }
 
-log_index snapshot_files::coveredByAll() const {
-  return Stored.size() < KeptSnapshots ? log_index() : Stored.front();
+log_index snapshot_files::compactionLimit() const {
+  return StoredIndexes.size() < SnapshotsToKeep ? log_index() : StoredIndexes.front();
 }
 
 } // namespace pollenstall
--- a/src/storage/storage_error.cpp
+++ b/src/storage/storage_error.cpp
@@ -19,9 +19,9 @@
                           std::strerror(E.Errno);
                  },
                  [](const disk_full &E) { return "no space left for " + E.Path.string(); },
-                 [](const damaged_file &E) {
+                 [](const corrupt_file &E) {
                    return E.Path.string() + " is damaged at offset " + std::to_string(E.Offset) +
-                          ": " + E.What;
+                          ": " + E.Reason;
                  }},
       Error);
 }
--- a/src/storage/storage_type.h
+++ b/src/storage/storage_type.h
@@ -24,7 +24,7 @@
   std::filesystem::path Folder; ///< Made where it is missing.
   std::string Fleet;            ///< Must equal the identity file's.
   member_id Member; ///< Must equal the identity file's; 0 takes that, or a fresh disk's number.
-  disk_identity FreshDisk;               ///< Random; taken where the folder is empty.
+  disk_identity NewDiskIdentity;         ///< Random; taken where the folder is empty.
   std::uint64_t SegmentBytes{4U << 20U}; ///< A segment is closed beyond this size.
 };
 
@@ -51,14 +51,14 @@
 };
 
 /// Bytes that were durable once do not read back: the disk has lied or decayed.
-struct damaged_file {
+struct corrupt_file {
   std::filesystem::path Path;
   std::uint64_t Offset{0};
-  std::string What;
+  std::string Reason;
 };
 
 using storage_error =
-    std::variant<folder_in_use, foreign_folder, file_failure, disk_full, damaged_file>;
+    std::variant<folder_in_use, foreign_folder, file_failure, disk_full, corrupt_file>;
 
 /// @return One line that names the file.
 std::string toText(const storage_error &Error);
--- a/tests/consensus/election_test.cpp
+++ b/tests/consensus/election_test.cpp
@@ -73,7 +73,7 @@
 /// A disk whose member has answered B, the leader of term 1, before its process ended.
 restored_log answeredLog(const member_key &Leader) {
   restored_log State = foundedLog();
-  State.Hard.Followed = {term_number(1), Leader};
+  State.Hard.FollowedLeader = {term_number(1), Leader};
   return State;
 }
 
@@ -230,12 +230,12 @@
   Sent.clear();
   const pre_vote_request Asks{term_number(10), log_index(9), term_number(9)};
   deliver(MemberC, 9, Asks);
-  EXPECT_FALSE(lastSent<pre_vote_reply>(MemberC).LeadsNoMore);
+  EXPECT_FALSE(lastSent<pre_vote_reply>(MemberC).WillNotLead);
   pass(Options.MinElectionTimeout / 2);
   EXPECT_EQ(countSent<pre_vote_request>(), 0U) << "asking would tell the same";
   pass(Options.MinElectionTimeout);
   deliver(MemberC, 9, Asks);
-  EXPECT_TRUE(lastSent<pre_vote_reply>(MemberC).LeadsNoMore);
+  EXPECT_TRUE(lastSent<pre_vote_reply>(MemberC).WillNotLead);
 }
 
 // The whole fleet waits for a leader. Asking costs nothing: whoever hears a leader refuses.
@@ -251,7 +251,7 @@
 // Until its own promise to the former leader is over it must not count its own vote either.
 TEST_F(a_candidate, CountsItselfOnlyOnceItMayVote) {
   restored_log State = foundedLog();
-  State.Hard.Followed = {term_number(1), MemberB};
+  State.Hard.FollowedLeader = {term_number(1), MemberB};
   start(State);
   pass(Options.EarlyElectionTimeout);
   ASSERT_EQ(status().Role, replica_role::PreCandidate);
--- a/tests/consensus/fake_cluster.cpp
+++ b/tests/consensus/fake_cluster.cpp
@@ -110,7 +110,7 @@
       Emptied.insert(Member.Key.Member);
   if (!SameAddresses)
     Emptied.clear();
-  const auto Wanted = memberRepair(Status, Emptied, Repair);
+  const auto Wanted = nextMemberRepair(Status, Emptied, Repair);
   if (!Wanted)
     return;
   if (const auto *Expelled = std::get_if<expel_member>(&*Wanted))
@@ -132,7 +132,7 @@
   start(Host);
   for (fake_host &Other : Hosts)
     if (Other.Process && Other.Id != Host.Id)
-      Other.Process->learnPeer(Host.Id);
+      Other.Process->addPeer(Host.Id);
 }
 
 bool fake_cluster::hasTargetVoters() {
@@ -143,7 +143,7 @@
   if (voterCount(Wanted.Members) != Options.TargetVoters || Wanted.Commit != Wanted.LastIndex)
     return false;
   for (const log_member &Member : Wanted.Members.Members) {
-    if (Member.Standing != member_standing::Voter)
+    if (Member.VotingStatus != voting_status::Voter)
       continue;
     const fake_host *Holder = holderOf(Member.Key.Member);
     const replica_status Status = Holder ? statusOf(*Holder) : replica_status{};
@@ -163,7 +163,7 @@
   replica_builder Builder({Host.Id, Host.Disk->identity()});
   Builder.options(Options).restored(Host.Disk->durable()).peers(Peers).seed(Random());
   if (Host.Id == member_id(1))
-    Builder.founder(cluster_id(Random() | 1U));
+    Builder.bootstrapCluster(cluster_id(Random() | 1U));
   Host.Process = std::make_unique<replica>(Builder.build(clockOf(Host)));
   tickLater(Host);
 }
--- a/tests/consensus/fake_cluster_base.h
+++ b/tests/consensus/fake_cluster_base.h
@@ -37,7 +37,7 @@
   mono_duration FrozenUntil{0};
   bool Syncing{false};
   log_index Applied;
-  std::set<proposal_place> Proposed; ///< Not answered yet.
+  std::set<proposal_position> Proposed; ///< Not answered yet.
   std::map<read_id, log_index> Reads;
 };
 
--- a/tests/consensus/leader_test.cpp
+++ b/tests/consensus/leader_test.cpp
@@ -1,6 +1,6 @@
 /** @file leader_test.cpp What a leader commits, serves and sends, and what a follower confirms. */
 #include "consensus/follower_progress_base.h"
-#include "consensus/persist_ledger_base.h"
+#include "consensus/persist_tracker_base.h"
 #include "consensus/replica_driver_base.h"
 
 namespace pollenstall {
@@ -46,18 +46,18 @@
 // An old write is confirmed after a later leader had it truncated. The entries that took its place
 // are not on the disk yet and must not be acknowledged.
 TEST(APersistLedger, DoesNotCountTruncatedEntriesAsDurable) {
-  persist_ledger Ledger;
+  persist_tracker PersistTracker;
   std::vector<consensus_action> Actions;
   for (std::uint64_t Index = 1; Index <= 3; ++Index)
-    Ledger.append(commandAt(Index, 1));
-  Ledger.flush(Actions);
-  Ledger.truncateFrom(log_index(2));
-  Ledger.append(commandAt(2, 2));
-  Ledger.flush(Actions);
-  Ledger.confirm(persist_number(1));
-  EXPECT_EQ(Ledger.durable(), log_index(1));
-  Ledger.confirm(persist_number(2));
-  EXPECT_EQ(Ledger.durable(), log_index(2));
+    PersistTracker.append(commandAt(Index, 1));
+  PersistTracker.flush(Actions);
+  PersistTracker.truncateFrom(log_index(2));
+  PersistTracker.append(commandAt(2, 2));
+  PersistTracker.flush(Actions);
+  PersistTracker.confirm(persist_number(1));
+  EXPECT_EQ(PersistTracker.durable(), log_index(1));
+  PersistTracker.confirm(persist_number(2));
+  EXPECT_EQ(PersistTracker.durable(), log_index(2));
 }
 
 class a_leader : public ReplicaTest {};
@@ -200,13 +200,13 @@
 // the mode back, each would set off a window of appends and the messages would multiply.
 TEST(AFollowersProgress, IgnoresAnswersFromBeforeAChangeOfMode) {
   follower_progress Progress(MemberB, log_index(10));
-  EXPECT_TRUE(Progress.matched(log_index(9), 1, 2));
+  EXPECT_TRUE(Progress.recordMatch(log_index(9), 1, 2));
   EXPECT_EQ(Progress.mode(), send_mode::Replicate);
-  EXPECT_TRUE(Progress.rejected(log_index(12), log_index(11), 3, 5));
-  EXPECT_FALSE(Progress.rejected(log_index(12), log_index(11), 4, 6));
-  Progress.matched(log_index(10), 4, 6);
+  EXPECT_TRUE(Progress.recordRejection(log_index(12), log_index(11), 3, 5));
+  EXPECT_FALSE(Progress.recordRejection(log_index(12), log_index(11), 4, 6));
+  Progress.recordMatch(log_index(10), 4, 6);
   EXPECT_EQ(Progress.mode(), send_mode::Probe);
-  Progress.matched(log_index(10), 5, 6);
+  Progress.recordMatch(log_index(10), 5, 6);
   EXPECT_EQ(Progress.mode(), send_mode::Replicate);
 }
 
--- a/tests/consensus/member_repair_test.cpp
+++ b/tests/consensus/member_repair_test.cpp
@@ -4,8 +4,8 @@
 namespace pollenstall {
 namespace {
 
-member_progress heard(std::uint64_t Id, member_standing Standing, mono_duration Since) {
-  return {{{member_id(Id), disk_identity(Id)}, Standing}, log_index(100), Since};
+member_progress heard(std::uint64_t Id, voting_status VotingStatus, mono_duration Since) {
+  return {{{member_id(Id), disk_identity(Id)}, VotingStatus}, log_index(100), Since};
 }
 
 /// Five voters, the leader among them; the test says how long the others have been silent.
@@ -20,17 +20,16 @@
     Status.LastIndex = log_index(100);
     Status.Members.Cluster = TestCluster;
     for (std::uint64_t Id = 1; Id <= 5; ++Id)
-      Status.Members.Members.push_back(
-          {{member_id(Id), disk_identity(Id)}, member_standing::Voter});
+      Status.Members.Members.push_back({{member_id(Id), disk_identity(Id)}, voting_status::Voter});
     for (std::uint64_t Id = 2; Id <= 5; ++Id)
-      Status.Progress.push_back(heard(Id, member_standing::Voter, 50ms));
+      Status.Progress.push_back(heard(Id, voting_status::Voter, 50ms));
   }
   [[nodiscard]] std::optional<member_change> repair() const {
-    return memberRepair(Status, Emptied, Options);
+    return nextMemberRepair(Status, Emptied, Options);
   }
-  void silence(std::size_t Place) { Status.Progress[Place].SinceHeard = 3s; }
+  void silence(std::size_t Place) { Status.Progress[Place].SinceLastReply = 3s; }
   void standBy(mono_duration Since = 50ms) {
-    Status.Progress.push_back(heard(9, member_standing::Learner, Since));
+    Status.Progress.push_back(heard(9, voting_status::Learner, Since));
   }
 };
 
@@ -46,7 +45,7 @@
   silence(0);
   standBy();
   EXPECT_EQ(repair(), member_change(promote_member{{member_id(9), disk_identity(9)}}));
-  Status.Progress.back().Member.Standing = member_standing::Voter;
+  Status.Progress.back().Member.VotingStatus = voting_status::Voter;
   Status.Members = withVoter(withLearner(Status.Members, {member_id(9), disk_identity(9)}),
                              {member_id(9), disk_identity(9)});
   EXPECT_EQ(repair(), member_change(expel_member{member_id(2)}));
@@ -113,7 +112,7 @@
     start({}, Bounds);
   }
   void askFrom(const member_key &From) {
-    Replica->learnPeer(From.Member);
+    Replica->addPeer(From.Member);
     Replica->receive({{}, From, MemberA, {}, admission_request{}}, Now);
     collect();
   }
--- a/tests/consensus/member_test.cpp
+++ b/tests/consensus/member_test.cpp
@@ -49,7 +49,7 @@
   askFrom(MemberB, disk_identity(99));
   pass(1s);
   EXPECT_TRUE(status().Empty);
-  EXPECT_GE(countSent<founder_probe>(), 1U);
+  EXPECT_GE(countSent<bootstrap_probe>(), 1U);
 }
 
 TEST_F(a_founder, DoesNotCountAPeerThatBelongsToALog) {
@@ -66,7 +66,7 @@
 TEST_F(an_empty_disk, AsksEveryPeerWhateverItsDisk) {
   start({});
   const member_key Gone{MemberB.Member, disk_identity(99)};
-  Replica->receive({{}, Gone, MemberA, {}, founder_probe{}}, Now);
+  Replica->receive({{}, Gone, MemberA, {}, bootstrap_probe{}}, Now);
   collect();
   EXPECT_EQ(Sent.back().To, Gone);
   Sent.clear();
@@ -87,8 +87,8 @@
 TEST_F(an_empty_disk, AsksAgainWhereItsAdmissionWasTruncated) {
   start({});
   const member_set Before{TestCluster,
-                          {{{MemberA.Member, disk_identity(99)}, member_standing::Voter},
-                           {MemberB, member_standing::Voter}}};
+                          {{{MemberA.Member, disk_identity(99)}, voting_status::Voter},
+                           {MemberB, voting_status::Voter}}};
   entriesFrom(MemberB, 2, {}, 0,
               {{log_index(1), term_number(1), entry_kind::Membership, encodeMembers(Before)}});
   Sent.clear();
--- a/tests/consensus/random_run_test.cpp
+++ b/tests/consensus/random_run_test.cpp
@@ -159,7 +159,7 @@
     std::size_t Intact = 0;
     for (const log_member &Member : Members.Members) {
       const fake_host &Holder = Cluster.hosts()[Member.Key.Member.value() - 1];
-      const bool Voter = Member.Standing == member_standing::Voter;
+      const bool Voter = Member.VotingStatus == voting_status::Voter;
       if (Voter && Holder.Id != Host.Id && Holder.Disk->identity() == Member.Key.Disk)
         ++Intact;
     }
--- a/tests/consensus/replica_driver_base.h
+++ b/tests/consensus/replica_driver_base.h
@@ -18,9 +18,9 @@
 
 inline member_set threeVoters() {
   return {TestCluster,
-          {{MemberA, member_standing::Voter},
-           {MemberB, member_standing::Voter},
-           {MemberC, member_standing::Voter}}};
+          {{MemberA, voting_status::Voter},
+           {MemberB, voting_status::Voter},
+           {MemberC, voting_status::Voter}}};
 }
 
 inline log_entry commandAt(std::uint64_t Index, std::uint64_t Term) {
@@ -45,7 +45,7 @@
         .restored(std::move(State))
         .peers({member_id(1), member_id(2), member_id(3)});
     if (Founds)
-      Builder.founder(TestCluster);
+      Builder.bootstrapCluster(TestCluster);
     Replica = std::make_unique<replica>(Builder.build(Now));
     collect();
   }
--- a/tests/storage/data_folder_test.cpp
+++ b/tests/storage/data_folder_test.cpp
@@ -29,7 +29,7 @@
 
 TEST_F(a_fresh_folder, TakesTheOfferedDiskAndKeepsIt) {
   EXPECT_EQ(Scratch.open()->identity().Key.Disk, disk_identity(9));
-  Scratch.Options.FreshDisk = disk_identity(10);
+  Scratch.Options.NewDiskIdentity = disk_identity(10);
   EXPECT_EQ(Scratch.open()->identity().Key.Disk, disk_identity(9));
 }
 
@@ -54,7 +54,7 @@
 TEST_F(a_fresh_folder, IsNotMadeAroundAnOldLog) {
   Scratch.writeOnce({writeOf(1, 1)});
   std::filesystem::remove(Scratch.Options.Folder / "identity");
-  refusal<damaged_file>();
+  refusal<corrupt_file>();
 }
 
 class a_written_folder : public DataFolderTest {};
@@ -170,7 +170,7 @@
   Scratch.writeOnce({writeOf(1, 3)});
   Scratch.writeOnce({writeOf(4, 5)});
   scratch_folder::flip(Scratch.lastSegment(), RecordMiddle);
-  const damaged_file Error = refusal<damaged_file>();
+  const corrupt_file Error = refusal<corrupt_file>();
   EXPECT_EQ(Error.Path, Scratch.lastSegment());
   EXPECT_EQ(Error.Offset, 0U);
 }
@@ -185,27 +185,27 @@
     File.seekp(512);
     File << std::string(512, '\0');
   }
-  refusal<damaged_file>();
+  refusal<corrupt_file>();
 }
 
 TEST_F(a_decayed_disk, IsRefusedByNameInTheLastRecordToo) {
   Scratch.writeOnce({writeOf(1, 3)});
   const auto Size = std::filesystem::file_size(Scratch.lastSegment());
   scratch_folder::flip(Scratch.lastSegment(), Size - 2);
-  EXPECT_GT(refusal<damaged_file>().Offset, 0U);
+  EXPECT_GT(refusal<corrupt_file>().Offset, 0U);
 }
 
 TEST_F(a_decayed_disk, IsRefusedWhereASegmentIsMissing) {
   Scratch.Options.SegmentBytes = 40;
   Scratch.writeOnce({writeOf(1, 3)});
   std::filesystem::remove(Scratch.Options.Folder / "log-00000000000000000002");
-  refusal<damaged_file>();
+  refusal<corrupt_file>();
 }
 
 TEST_F(a_decayed_disk, IsRefusedWhereTermAndVoteAreDamaged) {
   Scratch.open();
   scratch_folder::flip(Scratch.Options.Folder / "meta", 3);
-  EXPECT_EQ(refusal<damaged_file>().Path, Scratch.Options.Folder / "meta");
+  EXPECT_EQ(refusal<corrupt_file>().Path, Scratch.Options.Folder / "meta");
 }
 
 class a_failing_disk : public DataFolderTest {
--- a/tests/storage/scratch_folder_base.h
+++ b/tests/storage/scratch_folder_base.h
@@ -23,8 +23,9 @@
 
 /// The system's calls, except where Faults says otherwise.
 inline file_system faultyFiles(file_faults &Faults) {
-  file_system Files = systemFiles();
-  Files.Write = [&Faults, Write = Files.Write](int File, const void *Bytes, std::size_t Size) {
+  file_system FileSystem = osFileSystem();
+  FileSystem.Write = [&Faults, Write = FileSystem.Write](int File, const void *Bytes,
+                                                         std::size_t Size) {
     if (!Faults.BytesLeft)
       return Write(File, Bytes, Size);
     if (*Faults.BytesLeft == 0) {
@@ -35,13 +36,13 @@
     *Faults.BytesLeft -= static_cast<std::size_t>(Written);
     return Written;
   };
-  Files.SyncData = [&Faults, Sync = Files.SyncData](int File) {
+  FileSystem.SyncData = [&Faults, Sync = FileSystem.SyncData](int File) {
     if (!Faults.SyncFails)
       return Sync(File);
     errno = EIO;
     return -1;
   };
-  return Files;
+  return FileSystem;
 }
 
 inline log_entry entryAt(std::uint64_t Index, std::uint64_t Term = 1, std::string Payload = "") {
@@ -59,7 +60,7 @@
 
 inline std::shared_ptr<const log_snapshot> snapshotAt(std::uint64_t Index, std::uint64_t Term = 1) {
   const member_set Members{cluster_id(5),
-                           {{{member_id(1), disk_identity(9)}, member_standing::Voter}}};
+                           {{{member_id(1), disk_identity(9)}, voting_status::Voter}}};
   return std::make_shared<const log_snapshot>(
       log_snapshot{log_index(Index), term_number(Term), Members, "state " + std::to_string(Index)});
 }
@@ -79,8 +80,8 @@
   result<std::unique_ptr<data_folder>, storage_error> tryOpen() const {
     return data_folder::open(Options);
   }
-  std::unique_ptr<data_folder> open(file_system Files = systemFiles()) const {
-    auto Opened = data_folder::open(Options, std::move(Files));
+  std::unique_ptr<data_folder> open(file_system FileSystem = osFileSystem()) const {
+    auto Opened = data_folder::open(Options, std::move(FileSystem));
     EXPECT_TRUE(succeeded(Opened)) << toText(errorOf(Opened));
     return std::move(valueOf(Opened));
   }
