--- a/src/storage/data_folder.cpp
+++ b/src/storage/data_folder.cpp
@@ -1,4 +1,4 @@
-/** @file data_folder.cpp Opening, checking and writing the data folder of one member. */
+/** @file data_folder.cpp Opening, checking and writing a member's data folder. */
 #include "storage/data_folder_base.h"
 
 #include "storage/folder_meta_func.h"
@@ -18,8 +18,8 @@
 } // namespace
 
 struct data_folder::impl {
-  impl(const storage_options &Given, file_system SystemCalls)
-      : Options(Given), FileSystem(std::move(SystemCalls)),
+  impl(const storage_options &NewOptions, file_system SystemCalls)
+      : Options(NewOptions), FileSystem(std::move(SystemCalls)),
         Log(FileSystem, Options.Folder, Options.SegmentBytes),
         Snapshots(FileSystem, Options.Folder) {}
 
@@ -39,7 +39,7 @@
   log_files Log;
   snapshot_files Snapshots;
   std::vector<std::string> Repairs;
-  std::optional<storage_error> Failed; ///< The first failed write; nothing is written after it.
+  std::optional<storage_error> Failed; ///< The first failed write; no later write is attempted.
 };
 
 storage_result data_folder::impl::lock() {
@@ -59,12 +59,12 @@
 }
 
 storage_result data_folder::impl::loadIdentity() {
-  auto Read = readIdentity(Options.Folder);
-  if (!succeeded(Read))
-    return errorOf(Read);
-  if (!valueOf(Read))
+  auto ReadResult = readIdentity(Options.Folder);
+  if (!succeeded(ReadResult))
+    return errorOf(ReadResult);
+  if (!valueOf(ReadResult))
     return initialize();
-  Identity = *valueOf(Read);
+  Identity = *valueOf(ReadResult);
   const bool OtherMember = Options.Member != member_id() && Identity.Key.Member != Options.Member;
   if (Identity.Fleet != Options.Fleet || OtherMember)
     return foreign_folder{Identity};
@@ -76,15 +76,16 @@
   for (const auto &File : std::filesystem::directory_iterator(Options.Folder, Error)) {
     const std::string Name = File.path().filename().string();
     if (log_segment::firstIndexFromName(Name) || snapshot_files::indexFromName(Name))
-      return corrupt_file{Options.Folder / "identity", 0, "it is missing, but there is a log"};
+      return corrupt_file{Options.Folder / "identity", 0,
+                          "the file is missing, but the folder contains a log"};
   }
   auto Meta = writeHardState(FileSystem, Options.Folder, {});
   if (!succeeded(Meta))
     return Meta;
-  // The identity is written last: a folder that has one is complete.
-  const bool Drawn = Options.Member == member_id();
+  // The identity is written last, so a folder with an identity file is complete.
+  const bool MemberIdFromDisk = Options.Member == member_id();
   Identity = {Options.Fleet,
-              {Drawn ? member_id(Options.NewDiskIdentity.value()) : Options.Member,
+              {MemberIdFromDisk ? member_id(Options.NewDiskIdentity.value()) : Options.Member,
                Options.NewDiskIdentity}};
   return writeIdentity(FileSystem, Options.Folder, Identity);
 }
@@ -94,13 +95,13 @@
   if (!succeeded(Hard))
     return errorOf(Hard);
   Restored.Hard = valueOf(Hard);
-  auto Found = Snapshots.open(Repairs);
-  if (!succeeded(Found))
-    return Found;
+  auto SnapshotsOpened = Snapshots.open(Repairs);
+  if (!succeeded(SnapshotsOpened))
+    return SnapshotsOpened;
   Restored.Snapshot = Snapshots.newest();
-  auto Read = Log.open(Restored.Entries, Repairs);
-  if (!succeeded(Read))
-    return Read;
+  auto ReadResult = Log.open(Restored.Entries, Repairs);
+  if (!succeeded(ReadResult))
+    return ReadResult;
   return checkLogFitsSnapshot();
 }
 
@@ -109,18 +110,19 @@
     return Log.removeAll();
   const log_index First = Restored.Entries.front().Index;
   const log_snapshot *Snapshot = Restored.Snapshot.get();
-  const std::uint64_t Needed = Snapshot != nullptr ? Snapshot->Index.value() + 1 : FirstIndex;
-  if (First.value() > Needed)
-    return corrupt_file{Options.Folder, 0, "entries are missing between snapshot and log"};
+  const std::uint64_t FirstNeeded = Snapshot != nullptr ? Snapshot->Index.value() + 1 : FirstIndex;
+  if (First.value() > FirstNeeded)
+    return corrupt_file{Options.Folder, 0, "entries are missing between the snapshot and the log"};
   if (Snapshot == nullptr)
     return done{};
-  const std::uint64_t AtSnapshot = Snapshot->Index.value() - First.value();
-  const bool Follows = First > Snapshot->Index;
-  const bool Agrees =
-      AtSnapshot < Restored.Entries.size() && Restored.Entries[AtSnapshot].Term == Snapshot->Term;
-  if (Follows || Agrees)
+  const std::uint64_t SnapshotOffset = Snapshot->Index.value() - First.value();
+  const bool LogFollowsSnapshot = First > Snapshot->Index;
+  const bool LogMatchesSnapshot = SnapshotOffset < Restored.Entries.size() &&
+                                  Restored.Entries[SnapshotOffset].Term == Snapshot->Term;
+  if (LogFollowsSnapshot || LogMatchesSnapshot)
     return done{};
-  // The crash came between an installed snapshot and the removal of the log that it replaces.
+  // The process crashed after it stored an installed snapshot and before it removed the replaced
+  // log.
   Restored.Entries.clear();
   return Log.removeAll();
 }
@@ -180,7 +182,7 @@
   if (succeeded(Result))
     Result = Impl->Log.sync();
   // After a failed sync the kernel may have dropped the dirty pages, and a later sync would succeed
-  // without them; so this folder object never confirms anything again.
+  // without them. So this object refuses all later writes.
   if (!succeeded(Result))
     Impl->Failed = errorOf(Result);
   return Result;
@@ -196,9 +198,10 @@
     std::filesystem::create_directories(Folder, Ignored);
     auto File = openFile(Probe, O_WRONLY | O_CREAT | O_TRUNC);
     if (succeeded(File)) {
-      const int Handle = valueOf(File).descriptor();
+      const int FileDescriptor = valueOf(File).descriptor();
       const auto Size = static_cast<ssize_t>(Bytes.size());
-      Writable = ::write(Handle, Bytes.data(), Bytes.size()) == Size && ::fdatasync(Handle) == 0;
+      Writable = ::write(FileDescriptor, Bytes.data(), Bytes.size()) == Size &&
+                 ::fdatasync(FileDescriptor) == 0;
     }
   }
   std::error_code Ignored;
--- a/src/storage/data_folder_base.h
+++ b/src/storage/data_folder_base.h
@@ -11,13 +11,14 @@
 namespace pollenstall {
 
 /**
- * Holds a data folder open and locked. Used by one thread, the disk's.
- * After write() has failed, nothing more may be confirmed from this folder: the process must end
- * and open it anew (what a failed sync left in the page cache is unknown).
+ * An open and locked data folder. Not thread-safe; used by one thread only.
+ * After write() has failed, all later writes fail: the process must end and open the folder again,
+ * because the page cache is in an unknown state after a failed sync.
  */
 class data_folder {
 public:
-  /// Opens, locks, checks and repairs (a torn tail only). @param Files Calls on files.
+  /// Opens, locks and checks the folder; the only repair is to truncate a torn tail.
+  /// @param FileSystem The file operations to use.
   static result<std::unique_ptr<data_folder>, storage_error>
   open(const storage_options &Options, file_system FileSystem = osFileSystem());
 
@@ -25,18 +26,19 @@
   data_folder(const data_folder &) = delete;
   data_folder &operator=(const data_folder &) = delete;
 
-  /// @return Who this folder belongs to; its Key is what the replica is built with.
+  /// @return The owner of this folder; its Key is passed to replica_builder.
   [[nodiscard]] const folder_identity &identity() const;
 
-  /// @return What the folder held when it was opened; the caller may move it away.
+  /// @return The contents of the folder when it was opened; the caller may move from it.
   [[nodiscard]] restored_log &restored();
 
-  /// @return What opening cut off or passed over, one line each, for the log.
+  /// @return One line for the log for each truncated tail and skipped snapshot found by open().
   [[nodiscard]] const std::vector<std::string> &repairs() const;
 
   /**
-   * Carries out persist actions in order with one sync of the log for all of them.
-   * @return Success once all of them are durable: confirm the last one's number.
+   * Executes persist actions in order with one sync of the log for all of them.
+   * @return Success once all actions are durable, so that the last action's number may be
+   * confirmed.
    */
   result<done, storage_error> write(const std::vector<persist_log> &Batch);
 
@@ -47,7 +49,7 @@
   std::unique_ptr<impl> Impl;
 };
 
-/// @return Whether a file of some size can be written and synced in the folder now; it is removed.
+/// @return Whether a probe file can be written and synced in the folder. Removes the file.
 bool isWritable(const std::filesystem::path &Folder);
 
 } // namespace pollenstall
--- a/src/storage/file_handle.cpp
+++ b/src/storage/file_handle.cpp
@@ -1,4 +1,4 @@
-/** @file file_handle.cpp Files that close themselves, whole reads and atomic replacement. */
+/** @file file_handle.cpp RAII file descriptors, reads of whole files and atomic replacement. */
 #include "storage/file_handle_base.h"
 
 #include <cerrno>
@@ -66,14 +66,14 @@
   std::string Bytes;
   std::string Chunk(ReadChunk, '\0');
   while (true) {
-    const ssize_t Read = ::read(valueOf(Opened).descriptor(), Chunk.data(), Chunk.size());
-    if (Read < 0 && errno == EINTR)
+    const ssize_t BytesRead = ::read(valueOf(Opened).descriptor(), Chunk.data(), Chunk.size());
+    if (BytesRead < 0 && errno == EINTR)
       continue;
-    if (Read < 0)
+    if (BytesRead < 0)
       return errorFromErrno("read", Path);
-    if (Read == 0)
+    if (BytesRead == 0)
       return Bytes;
-    Bytes.append(Chunk, 0, static_cast<std::size_t>(Read));
+    Bytes.append(Chunk, 0, static_cast<std::size_t>(BytesRead));
   }
 }
 
--- a/src/storage/file_handle_base.h
+++ b/src/storage/file_handle_base.h
@@ -1,4 +1,4 @@
-/** @file file_handle_base.h An open file that closes itself, and errors from errno. */
+/** @file file_handle_base.h RAII file descriptors and file operations with errors. */
 #ifndef POLLENSTALL_STORAGE_FILE_HANDLE_BASE_H
 #define POLLENSTALL_STORAGE_FILE_HANDLE_BASE_H
 
@@ -15,7 +15,7 @@
 class file_handle {
 public:
   file_handle() = default;
-  explicit file_handle(int Opened) : Descriptor(Opened) {}
+  explicit file_handle(int NewDescriptor) : Descriptor(NewDescriptor) {}
   ~file_handle();
   file_handle(file_handle &&Other) noexcept;
   file_handle &operator=(file_handle &&Other) noexcept;
@@ -28,10 +28,10 @@
   int Descriptor{-1};
 };
 
-/// @return What errno says happened to Path; disk_full where no space is left.
+/// @return The error for errno after Operation on Path; disk_full if no space is left.
 storage_error errorFromErrno(std::string Operation, const std::filesystem::path &Path);
 
-/// Opens with O_CLOEXEC. @param Flags As open(2) takes them.
+/// Opens a file with O_CLOEXEC. @param Flags Flags of open(2).
 result<file_handle, storage_error> openFile(const std::filesystem::path &Path, int Flags);
 
 /// Writes all bytes at the file's position.
@@ -44,11 +44,11 @@
 /// Makes renames, creations and removals in the folder durable.
 storage_result syncFolder(const file_system &FileSystem, const std::filesystem::path &Folder);
 
-/// Replaces the file as a whole: a crash leaves the old bytes or the new ones, never a mixture.
+/// Replaces the file atomically: a crash leaves either the old or the new contents.
 storage_result replaceFile(const file_system &FileSystem, const std::filesystem::path &Path,
                            std::string_view Bytes);
 
-/// Removes a file, not yet durably. A file that is not there is no error.
+/// Removes a file without making that durable. A missing file is not an error.
 storage_result removeFile(const std::filesystem::path &Path);
 
 } // namespace pollenstall
--- a/src/storage/file_system_base.h
+++ b/src/storage/file_system_base.h
@@ -1,5 +1,4 @@
-/** @file file_system_base.h The few calls on files that storage makes, so that tests can fail them.
- */
+/** @file file_system_base.h The file operations of storage, replaceable for fault injection. */
 #ifndef POLLENSTALL_STORAGE_FILE_SYSTEM_BASE_H
 #define POLLENSTALL_STORAGE_FILE_SYSTEM_BASE_H
 
@@ -10,8 +9,8 @@
 namespace pollenstall {
 
 /**
- * Calls that change or sync a file, with the meaning and errno of the system calls they are named
- * after. Tests put in others that fail, tear or flip.
+ * Operations that change or sync a file, with the semantics and errno of the system calls of the
+ * same names. Tests substitute operations that fail, tear writes or flip bits.
  */
 struct file_system {
   std::function<ssize_t(int File, const void *Bytes, std::size_t Size)> Write;
@@ -21,7 +20,7 @@
   std::function<int(int File, off_t Size)> Truncate; ///< ftruncate
 };
 
-/// @return The operating system's calls.
+/// @return The operations of the operating system.
 file_system osFileSystem();
 
 } // namespace pollenstall
--- a/src/storage/folder_meta.cpp
+++ b/src/storage/folder_meta.cpp
@@ -1,4 +1,4 @@
-/** @file folder_meta.cpp The small files of a data folder: identity, and term with vote. */
+/** @file folder_meta.cpp Identity and hard state files of a data folder. */
 #include "storage/folder_meta_func.h"
 
 #include "storage/record_type.h"
@@ -13,10 +13,10 @@
 constexpr const char *MetaName = "meta";
 constexpr std::size_t Uint64Size = 8;
 constexpr std::size_t ChecksumSize = 4;
-constexpr std::size_t IdentityFields = 2; ///< Member and disk; the fleet's name follows.
-constexpr std::size_t MetaFields = 3;     ///< Term, vote's member, vote's disk.
-/// Behind them: the term, member and disk of the leader that was answered last. Older folders have
-/// none, which reads as one that is not known.
+constexpr std::size_t IdentityFields = 2; ///< Member and disk, followed by the fleet's name.
+constexpr std::size_t MetaFields = 3;     ///< Term, voted member, voted disk.
+/// Term, member and disk of hard_state::FollowedLeader, after the MetaFields. Folders of older
+/// versions lack them, which is read as an unknown leader.
 constexpr std::size_t FollowedLeaderFields = 3;
 
 std::string withChecksum(std::string Bytes) {
@@ -24,25 +24,25 @@
   return Bytes;
 }
 
-/// @return The bytes before the checksum, or the error that it does not fit.
+/// @return The bytes before the checksum, or an error if the checksum does not match.
 result<std::string, storage_error> readChecksummedFile(const std::filesystem::path &Path,
                                                        std::size_t MinSize) {
-  auto Read = readEntireFile(Path);
-  if (!succeeded(Read))
-    return errorOf(Read);
-  std::string &Bytes = valueOf(Read);
+  auto ReadResult = readEntireFile(Path);
+  if (!succeeded(ReadResult))
+    return errorOf(ReadResult);
+  std::string &Bytes = valueOf(ReadResult);
   if (Bytes.size() < MinSize + ChecksumSize)
-    return corrupt_file{Path, 0, "it is too short"};
+    return corrupt_file{Path, 0, "the file is too short"};
   const std::uint64_t StoredChecksum =
       readNumber(std::string_view(Bytes).substr(Bytes.size() - ChecksumSize), ChecksumSize);
   Bytes.resize(Bytes.size() - ChecksumSize);
   if (checksum(Bytes) != StoredChecksum)
-    return corrupt_file{Path, 0, "its checksum does not fit"};
+    return corrupt_file{Path, 0, "the checksum does not match"};
   return std::move(Bytes);
 }
 
-std::uint64_t fieldAt(std::string_view Bytes, std::size_t Place) {
-  return readNumber(Bytes.substr(Place * Uint64Size), Uint64Size);
+std::uint64_t fieldAt(std::string_view Bytes, std::size_t Field) {
+  return readNumber(Bytes.substr(Field * Uint64Size), Uint64Size);
 }
 
 } // namespace
@@ -52,10 +52,10 @@
   std::error_code Error;
   if (!std::filesystem::exists(Folder / IdentityName, Error))
     return std::optional<folder_identity>();
-  const auto Read = readChecksummedFile(Folder / IdentityName, IdentityFields * Uint64Size);
-  if (!succeeded(Read))
-    return errorOf(Read);
-  const std::string &Bytes = valueOf(Read);
+  const auto ReadResult = readChecksummedFile(Folder / IdentityName, IdentityFields * Uint64Size);
+  if (!succeeded(ReadResult))
+    return errorOf(ReadResult);
+  const std::string &Bytes = valueOf(ReadResult);
   const member_key Key{member_id(fieldAt(Bytes, 0)), disk_identity(fieldAt(Bytes, 1))};
   return std::optional(folder_identity{Bytes.substr(IdentityFields * Uint64Size), Key});
 }
@@ -70,10 +70,10 @@
 }
 
 result<hard_state, storage_error> readHardState(const std::filesystem::path &Folder) {
-  const auto Read = readChecksummedFile(Folder / MetaName, MetaFields * Uint64Size);
-  if (!succeeded(Read))
-    return errorOf(Read);
-  const std::string &Bytes = valueOf(Read);
+  const auto ReadResult = readChecksummedFile(Folder / MetaName, MetaFields * Uint64Size);
+  if (!succeeded(ReadResult))
+    return errorOf(ReadResult);
+  const std::string &Bytes = valueOf(ReadResult);
   const member_key Vote{member_id(fieldAt(Bytes, 1)), disk_identity(fieldAt(Bytes, 2))};
   hard_state Hard{term_number(fieldAt(Bytes, 0)), Vote};
   if (Bytes.size() >= (MetaFields + FollowedLeaderFields) * Uint64Size)
--- a/src/storage/folder_meta_func.h
+++ b/src/storage/folder_meta_func.h
@@ -1,4 +1,4 @@
-/** @file folder_meta_func.h The small files of a data folder: identity, and term with vote. */
+/** @file folder_meta_func.h Identity and hard state files of a data folder. */
 #ifndef POLLENSTALL_STORAGE_FOLDER_META_FUNC_H
 #define POLLENSTALL_STORAGE_FOLDER_META_FUNC_H
 
@@ -6,14 +6,14 @@
 
 namespace pollenstall {
 
-/// @return The identity, or nothing where the folder has none yet.
+/// @return The identity, or nothing if the folder has no identity file yet.
 result<std::optional<folder_identity>, storage_error>
 readIdentity(const std::filesystem::path &Folder);
 
 storage_result writeIdentity(const file_system &FileSystem, const std::filesystem::path &Folder,
                              const folder_identity &Identity);
 
-/// @return Term and vote; a folder with an identity always has them.
+/// @return The hard state; a folder with an identity file always has one.
 result<hard_state, storage_error> readHardState(const std::filesystem::path &Folder);
 
 storage_result writeHardState(const file_system &FileSystem, const std::filesystem::path &Folder,
--- a/src/storage/log_files.cpp
+++ b/src/storage/log_files.cpp
@@ -1,4 +1,4 @@
-/** @file log_files.cpp The log as a row of segments. */
+/** @file log_files.cpp The log as a sequence of segment files. */
 #include "storage/log_files_base.h"
 
 #include <map>
@@ -23,12 +23,12 @@
     auto Opened = log_segment::open(FileSystem, Path, First, IsLast);
     if (!succeeded(Opened))
       return errorOf(Opened);
-    log_segment::open_result &Read = valueOf(Opened);
-    if (Read.TruncatedBytes != 0)
-      Repairs.push_back("cut " + std::to_string(Read.TruncatedBytes) +
-                        " bytes of a torn tail off " + Path.string());
-    std::move(Read.Entries.begin(), Read.Entries.end(), std::back_inserter(Entries));
-    Segments.push_back(std::move(Read.Segment));
+    log_segment::open_result &ReadSegment = valueOf(Opened);
+    if (ReadSegment.TruncatedBytes != 0)
+      Repairs.push_back("truncated " + std::to_string(ReadSegment.TruncatedBytes) +
+                        " bytes of a torn tail from " + Path.string());
+    std::move(ReadSegment.Entries.begin(), ReadSegment.Entries.end(), std::back_inserter(Entries));
+    Segments.push_back(std::move(ReadSegment.Segment));
   }
   return done{};
 }
@@ -46,28 +46,28 @@
 }
 
 storage_result log_files::append(const std::vector<log_entry> &Entries) {
-  const log_entry *Next = Entries.data();
-  const log_entry *End = Next + Entries.size();
-  while (Next != End) {
+  const log_entry *NextEntry = Entries.data();
+  const log_entry *End = NextEntry + Entries.size();
+  while (NextEntry != End) {
     const bool Full = Segments.empty() || Segments.back().size() >= SegmentBytes;
     if (Full) {
-      auto Rolled = rollOver(Next->Index);
+      auto Rolled = rollOver(NextEntry->Index);
       if (!succeeded(Rolled))
         return Rolled;
     }
-    requireInvariant(Next->Index == Segments.back().last().next(),
+    requireInvariant(NextEntry->Index == Segments.back().last().next(),
                      "entries are written without gaps");
     std::uint64_t Bytes = Segments.back().size();
-    const log_entry *Stop = Next;
-    while (Stop != End && (Stop == Next || Bytes < SegmentBytes)) {
-      Bytes += RecordHeaderSize + Stop->Payload.size();
-      ++Stop;
+    const log_entry *BatchEnd = NextEntry;
+    while (BatchEnd != End && (BatchEnd == NextEntry || Bytes < SegmentBytes)) {
+      Bytes += RecordHeaderSize + BatchEnd->Payload.size();
+      ++BatchEnd;
     }
-    auto Written = Segments.back().append(FileSystem, Next, Stop);
+    auto Written = Segments.back().append(FileSystem, NextEntry, BatchEnd);
     if (!succeeded(Written))
       return Written;
     Unsynced = true;
-    Next = Stop;
+    NextEntry = BatchEnd;
   }
   return done{};
 }
@@ -98,9 +98,9 @@
 storage_result log_files::compactTo(log_index Index) {
   bool Removed = false;
   while (Segments.size() > 1 && Segments.front().last() <= Index) {
-    auto Gone = removeFile(Segments.front().path());
-    if (!succeeded(Gone))
-      return Gone;
+    auto RemoveResult = removeFile(Segments.front().path());
+    if (!succeeded(RemoveResult))
+      return RemoveResult;
     Segments.pop_front();
     Removed = true;
   }
--- a/src/storage/log_files_base.h
+++ b/src/storage/log_files_base.h
@@ -1,4 +1,4 @@
-/** @file log_files_base.h The log as a row of segments. */
+/** @file log_files_base.h The log as a sequence of segment files. */
 #ifndef POLLENSTALL_STORAGE_LOG_FILES_BASE_H
 #define POLLENSTALL_STORAGE_LOG_FILES_BASE_H
 
@@ -8,25 +8,26 @@
 
 namespace pollenstall {
 
-/// Entries without gaps over several files; the last file grows.
+/// Consecutive entries in several segment files; entries are appended to the last one.
 class log_files {
 public:
-  log_files(file_system SystemCalls, std::filesystem::path Where, std::uint64_t BytesPerSegment)
-      : FileSystem(std::move(SystemCalls)), Folder(std::move(Where)),
+  log_files(file_system SystemCalls, std::filesystem::path FolderPath,
+            std::uint64_t BytesPerSegment)
+      : FileSystem(std::move(SystemCalls)), Folder(std::move(FolderPath)),
         SegmentBytes(BytesPerSegment) {}
 
-  /// Reads all segments. @param Entries Receives what they hold. @param Repairs Receives what was
-  /// cut, for the log.
+  /// Reads all segments. @param Entries Receives their entries. @param Repairs Receives a line for
+  /// the log about a truncated tail.
   storage_result open(std::vector<log_entry> &Entries, std::vector<std::string> &Repairs);
 
-  /// Writes entries without syncing the last segment; closed ones are synced.
+  /// Writes entries without syncing the last segment; full segments are synced.
   storage_result append(const std::vector<log_entry> &Entries);
   storage_result sync();
-  /// Drops Index and what follows, durably.
+  /// Removes the entries from Index on, durably.
   storage_result truncateFrom(log_index Index);
-  /// Drops whole segments that end at or before Index.
+  /// Removes the segments that end at or before Index.
   storage_result compactTo(log_index Index);
-  /// Drops everything, last segment first: a crash leaves a log without a gap.
+  /// Removes all segments, the last one first, so that a crash leaves no gap in the log.
   storage_result removeAll();
 
 private:
--- a/src/storage/log_segment.cpp
+++ b/src/storage/log_segment.cpp
@@ -1,4 +1,4 @@
-/** @file log_segment.cpp Reading, appending to and cutting one file of the log. */
+/** @file log_segment.cpp Reading, appending to and truncating one segment file of the log. */
 #include "storage/log_segment_base.h"
 
 #include "core/core.h"
@@ -23,7 +23,7 @@
   return Name.data();
 }
 
-/// @return Whether some sector of the file, as far as it lies in [From, To), holds only zeros.
+/// @return Whether a sector, or its part within [From, To), holds only zeros.
 bool hasUnwrittenSector(std::string_view Bytes, std::size_t From, std::size_t To) {
   while (From < To) {
     const std::size_t End = std::min(To, (From / SectorSize + 1) * SectorSize);
@@ -35,10 +35,11 @@
   return false;
 }
 
-/// @return Whether a later record shows that Offset was synced once.
+/// @return Whether a later record shows that the record at Offset was synced.
 bool wasSynced(std::string_view Bytes, std::size_t Offset) {
-  for (std::size_t Place = Offset + 1; Place + RecordHeaderSize <= Bytes.size(); ++Place) {
-    const read_record Later = readRecord(Bytes.substr(Place));
+  for (std::size_t LaterOffset = Offset + 1; LaterOffset + RecordHeaderSize <= Bytes.size();
+       ++LaterOffset) {
+    const read_record Later = readRecord(Bytes.substr(LaterOffset));
     if (Later.Status == record_status::Valid && Later.SyncedTo > Offset)
       return true;
   }
@@ -46,23 +47,23 @@
 }
 
 /**
- * A crash leaves records that were never synced: the file ends early, or a sector that did not
- * reach the disk reads as zeros. Everything else was whole once and has changed since; to cut it
- * off would silently take back entries that were acknowledged.
+ * Returns whether an invalid record was torn by a crash before it was synced: the file ends early,
+ * or a sector that did not reach the disk reads as zeros. Any other invalid record was valid once
+ * and is corrupt; truncating it would silently remove acknowledged entries.
  */
 bool isTorn(std::string_view Bytes, std::size_t Offset, const read_record &Record) {
   if (wasSynced(Bytes, Offset))
     return false;
   if (Record.Status == record_status::Truncated)
     return true;
-  const std::size_t Checked = Record.Size != 0 ? Record.Size : RecordHeaderSize;
-  return hasUnwrittenSector(Bytes, Offset, std::min(Bytes.size(), Offset + Checked));
+  const std::size_t CheckedSize = Record.Size != 0 ? Record.Size : RecordHeaderSize;
+  return hasUnwrittenSector(Bytes, Offset, std::min(Bytes.size(), Offset + CheckedSize));
 }
 
 } // namespace
 
-log_segment::log_segment(std::filesystem::path Where, log_index FirstIndex, file_handle Opened)
-    : Path(std::move(Where)), First(FirstIndex), File(std::move(Opened)) {}
+log_segment::log_segment(std::filesystem::path FilePath, log_index FirstIndex, file_handle Opened)
+    : Path(std::move(FilePath)), First(FirstIndex), File(std::move(Opened)) {}
 
 std::optional<log_index> log_segment::firstIndexFromName(const std::string &Name) {
   if (Name.compare(0, NamePrefix.size(), NamePrefix) != 0)
@@ -87,20 +88,20 @@
 result<log_segment::open_result, storage_error> log_segment::open(const file_system &FileSystem,
                                                                   const std::filesystem::path &Path,
                                                                   log_index First, bool IsLast) {
-  auto Read = readEntireFile(Path);
-  if (!succeeded(Read))
-    return errorOf(Read);
+  auto Contents = readEntireFile(Path);
+  if (!succeeded(Contents))
+    return errorOf(Contents);
   auto File = openFile(Path, O_WRONLY | O_APPEND);
   if (!succeeded(File))
     return errorOf(File);
   open_result Opened{log_segment(Path, First, std::move(valueOf(File))), {}, 0};
-  const std::string_view Bytes = valueOf(Read);
+  const std::string_view Bytes = valueOf(Contents);
   std::size_t Offset = 0;
   while (Offset < Bytes.size()) {
     read_record Record = readRecord(Bytes.substr(Offset));
     if (Record.Status != record_status::Valid) {
       if (!IsLast || !isTorn(Bytes, Offset, Record))
-        return corrupt_file{Path, Offset, "a record's checksum does not fit"};
+        return corrupt_file{Path, Offset, "the checksum of a record does not match"};
       break;
     }
     if (Record.Entry.Index != Opened.Segment.last().next())
@@ -110,9 +111,9 @@
     Offset += Record.Size;
   }
   Opened.TruncatedBytes = Bytes.size() - Offset;
-  const auto Cut = Opened.Segment.truncateTo(FileSystem, Offset);
-  if (!succeeded(Cut))
-    return errorOf(Cut);
+  const auto TruncateResult = Opened.Segment.truncateTo(FileSystem, Offset);
+  if (!succeeded(TruncateResult))
+    return errorOf(TruncateResult);
   return Opened;
 }
 
@@ -126,8 +127,8 @@
   }
   auto Written = writeAll(FileSystem, File, Bytes, Path);
   if (!succeeded(Written)) {
-    // What was written of the records goes again, so that a full disk leaves a whole file behind;
-    // where even that fails, the next opening cuts them as a torn tail.
+    // Removes the partly written records, so that the file is valid after a full disk. If that
+    // fails as well, the next open() truncates them as a torn tail.
     (void)FileSystem.Truncate(File.descriptor(), static_cast<off_t>(Size));
     return Written;
   }
@@ -144,7 +145,8 @@
 }
 
 storage_result log_segment::truncateTo(const file_system &FileSystem, std::uint64_t Length) {
-  // Synced at once: old records behind new, unsynced ones would look like a broken middle.
+  // Synced immediately: after a crash, old records behind new, unsynced ones would look like
+  // corruption in the middle of the file.
   if (FileSystem.Truncate(File.descriptor(), static_cast<off_t>(Length)) != 0)
     return errorFromErrno("truncate", Path);
   Size = Length;
@@ -152,11 +154,11 @@
 }
 
 storage_result log_segment::truncateFrom(const file_system &FileSystem, log_index Index) {
-  const std::size_t Kept = Index.value() - First.value();
-  if (Kept >= Offsets.size())
+  const std::size_t KeptEntries = Index.value() - First.value();
+  if (KeptEntries >= Offsets.size())
     return done{};
-  const std::uint64_t Length = Offsets[Kept];
-  Offsets.resize(Kept);
+  const std::uint64_t Length = Offsets[KeptEntries];
+  Offsets.resize(KeptEntries);
   return truncateTo(FileSystem, Length);
 }
 
--- a/src/storage/record.cpp
+++ b/src/storage/record.cpp
@@ -15,11 +15,11 @@
 constexpr std::size_t CheckedHeaderSize = RecordHeaderSize - Uint32Size;
 constexpr unsigned BitsPerByte = 8;
 
-/// Takes numbers off the front of checked bytes.
+/// Takes numbers from the front of a header with a verified checksum.
 class number_reader {
 public:
   explicit number_reader(std::string_view Bytes) : Remaining(Bytes) {}
-  std::uint64_t take(std::size_t Size) {
+  std::uint64_t takeNumber(std::size_t Size) {
     const std::uint64_t Number = readNumber(Remaining, Size);
     Remaining.remove_prefix(Size);
     return Number;
@@ -42,7 +42,7 @@
 }
 
 void appendNumber(std::string &Bytes, std::uint64_t Number, std::size_t Size) {
-  for (std::size_t Place = 0; Place < Size; ++Place) {
+  for (std::size_t ByteIndex = 0; ByteIndex < Size; ++ByteIndex) {
     Bytes.push_back(static_cast<char>(Number & 0xFFU));
     Number >>= BitsPerByte;
   }
@@ -50,8 +50,8 @@
 
 std::uint64_t readNumber(std::string_view Bytes, std::size_t Size) {
   std::uint64_t Number = 0;
-  for (std::size_t Place = Size; Place > 0; --Place)
-    Number = (Number << BitsPerByte) | static_cast<unsigned char>(Bytes[Place - 1]);
+  for (std::size_t ByteIndex = Size; ByteIndex > 0; --ByteIndex)
+    Number = (Number << BitsPerByte) | static_cast<unsigned char>(Bytes[ByteIndex - 1]);
   return Number;
 }
 
@@ -77,13 +77,13 @@
   if (checksum(Bytes.substr(0, CheckedHeaderSize)) != HeaderChecksum)
     return Record;
   number_reader Reader(Bytes);
-  const std::uint64_t Magic = Reader.take(Uint32Size);
-  const std::uint64_t Length = Reader.take(Uint32Size);
-  Record.Entry.Index = log_index(Reader.take(Uint64Size));
-  Record.Entry.Term = term_number(Reader.take(Uint64Size));
-  Record.SyncedTo = Reader.take(Uint64Size);
-  const std::uint64_t Kind = Reader.take(Uint32Size);
-  const std::uint64_t PayloadChecksum = Reader.take(Uint32Size);
+  const std::uint64_t Magic = Reader.takeNumber(Uint32Size);
+  const std::uint64_t Length = Reader.takeNumber(Uint32Size);
+  Record.Entry.Index = log_index(Reader.takeNumber(Uint64Size));
+  Record.Entry.Term = term_number(Reader.takeNumber(Uint64Size));
+  Record.SyncedTo = Reader.takeNumber(Uint64Size);
+  const std::uint64_t Kind = Reader.takeNumber(Uint32Size);
+  const std::uint64_t PayloadChecksum = Reader.takeNumber(Uint32Size);
   if (Magic != RecordMagic || Length > MaxRecordPayload || !isEntryKind(Kind))
     return Record;
   Record.Entry.Kind = static_cast<entry_kind>(Kind);
--- a/src/storage/snapshot_files.cpp
+++ b/src/storage/snapshot_files.cpp
@@ -1,4 +1,4 @@
-/** @file snapshot_files.cpp Snapshots as files, the newest two of them kept. */
+/** @file snapshot_files.cpp Snapshot files; the two newest are kept. */
 #include "storage/snapshot_files_base.h"
 
 #include "consensus/consensus.h"
@@ -28,12 +28,13 @@
   return Name.data();
 }
 
-/// @return Whether a crash left this behind in the middle of store().
+/// @return Whether this is a temporary file left behind by a crash during store().
 bool isUnfinishedFile(const std::string &Name) {
   return Name.compare(0, NamePrefix.size(), NamePrefix) == 0;
 }
 
-/// Mark, index, term, length of the members' text, the text, the state, checksum of all before.
+/// Encodes magic number, index, term, length of the encoded members, the encoded members, the state
+/// and a checksum of all preceding bytes.
 std::string encode(const log_snapshot &Snapshot) {
   const std::string Members = encodeMembers(Snapshot.Members);
   std::string Bytes;
@@ -93,10 +94,10 @@
       return errorOf(Bytes);
     Newest = decode(valueOf(Bytes));
     if (!Newest)
-      Repairs.push_back("passed over a damaged snapshot: " + Path.string());
+      Repairs.push_back("skipped a corrupt snapshot: " + Path.string());
   }
   if (!Newest && !StoredIndexes.empty())
-    return corrupt_file{Folder / fileNameOf(StoredIndexes.back()), 0, "no snapshot can be read"};
+    return corrupt_file{Folder / fileNameOf(StoredIndexes.back()), 0, "no snapshot is readable"};
   return done{};
 }
 
@@ -112,8 +113,8 @@
 
 storage_result snapshot_files::removeOlder() { return removeAllBut(1); }
 
-storage_result snapshot_files::removeAllBut(std::size_t Kept) {
-  while (StoredIndexes.size() > Kept) {
+storage_result snapshot_files::removeAllBut(std::size_t MaxKept) {
+  while (StoredIndexes.size() > MaxKept) {
     auto Removed = removeFile(Folder / fileNameOf(StoredIndexes.front()));
     if (!succeeded(Removed))
       return Removed;
--- a/src/storage/snapshot_files_base.h
+++ b/src/storage/snapshot_files_base.h
@@ -1,4 +1,4 @@
-/** @file snapshot_files_base.h Snapshots as files, the newest two of them kept. */
+/** @file snapshot_files_base.h Snapshot files; the two newest are kept. */
 #ifndef POLLENSTALL_STORAGE_SNAPSHOT_FILES_BASE_H
 #define POLLENSTALL_STORAGE_SNAPSHOT_FILES_BASE_H
 
@@ -8,33 +8,34 @@
 
 namespace pollenstall {
 
-/// Writes and finds snapshots; the one before the newest serves where the newest has decayed.
+/// Writes and reads snapshots. The previous snapshot is used if the newest is corrupt.
 class snapshot_files {
 public:
-  snapshot_files(file_system SystemCalls, std::filesystem::path Where)
-      : FileSystem(std::move(SystemCalls)), Folder(std::move(Where)) {}
+  snapshot_files(file_system SystemCalls, std::filesystem::path FolderPath)
+      : FileSystem(std::move(SystemCalls)), Folder(std::move(FolderPath)) {}
 
   /// @return The index in a snapshot's file name, or nothing for other files.
   static std::optional<log_index> indexFromName(const std::string &Name);
 
-  /// Finds the newest readable snapshot. @param Repairs Receives what had to be passed over.
+  /// Finds the newest readable snapshot. @param Repairs Receives a line for each skipped snapshot.
   storage_result open(std::vector<std::string> &Repairs);
-  /// Stores a snapshot durably and drops all but the newest two.
+  /// Stores a snapshot durably and removes all but the newest two.
   storage_result store(std::shared_ptr<const log_snapshot> Snapshot);
-  /// Drops all but the newest: the log no longer leads from an older one to it.
+  /// Removes all snapshots but the newest, if the log no longer connects an older one to it.
   storage_result removeOlder();
 
   /// @return The newest readable snapshot, or null.
   [[nodiscard]] const std::shared_ptr<const log_snapshot> &newest() const { return Newest; }
-  /// @return Up to where the log may be dropped so that every kept snapshot still leads on.
+  /// @return The index up to which the log may be removed such that it still continues every kept
+  /// snapshot.
   [[nodiscard]] log_index compactionLimit() const;
 
 private:
-  storage_result removeAllBut(std::size_t Kept);
+  storage_result removeAllBut(std::size_t MaxKept);
 
   file_system FileSystem;
   std::filesystem::path Folder;
-  std::vector<log_index> StoredIndexes; ///< Rising.
+  std::vector<log_index> StoredIndexes; ///< Ascending.
   std::shared_ptr<const log_snapshot> Newest;
 };
 
--- a/src/storage/storage.h
+++ b/src/storage/storage.h
@@ -1,4 +1,4 @@
-/** @file storage.h Public header of storage: a member's promises, log and snapshots on a disk. */
+/** @file storage.h Public header of storage: a member's hard state, log and snapshots on disk. */
 #ifndef POLLENSTALL_STORAGE_STORAGE_H
 #define POLLENSTALL_STORAGE_STORAGE_H
 
--- a/src/storage/storage_error.cpp
+++ b/src/storage/storage_error.cpp
@@ -1,4 +1,4 @@
-/** @file storage_error.cpp Storage errors for people. */
+/** @file storage_error.cpp Error messages of storage errors. */
 #include "storage/storage_type.h"
 
 #include <cstring>
@@ -7,22 +7,23 @@
 
 std::string toText(const storage_error &Error) {
   return std::visit(
-      overloaded{[](const folder_in_use &E) {
-                   return "data folder in use by another process: " + E.Folder.string();
-                 },
-                 [](const foreign_folder &E) {
-                   return "data folder belongs to fleet " + E.Found.Fleet + ", member " +
-                          std::to_string(E.Found.Key.Member.value());
-                 },
-                 [](const file_failure &E) {
-                   return E.Operation + " failed on " + E.Path.string() + ": " +
-                          std::strerror(E.Errno);
-                 },
-                 [](const disk_full &E) { return "no space left for " + E.Path.string(); },
-                 [](const corrupt_file &E) {
-                   return E.Path.string() + " is damaged at offset " + std::to_string(E.Offset) +
-                          ": " + E.Reason;
-                 }},
+      overloaded{
+          [](const folder_in_use &Failure) {
+            return "data folder in use by another process: " + Failure.Folder.string();
+          },
+          [](const foreign_folder &Failure) {
+            return "data folder belongs to fleet " + Failure.Found.Fleet + ", member " +
+                   std::to_string(Failure.Found.Key.Member.value());
+          },
+          [](const file_failure &Failure) {
+            return Failure.Operation + " failed on " + Failure.Path.string() + ": " +
+                   std::strerror(Failure.Errno);
+          },
+          [](const disk_full &Failure) { return "no space left for " + Failure.Path.string(); },
+          [](const corrupt_file &Failure) {
+            return Failure.Path.string() + " is corrupt at offset " +
+                   std::to_string(Failure.Offset) + ": " + Failure.Reason;
+          }},
       Error);
 }
 
--- a/src/storage/storage_type.h
+++ b/src/storage/storage_type.h
@@ -11,7 +11,7 @@
 
 namespace pollenstall {
 
-/// What the identity file says; written once when the folder is made.
+/// Contents of the identity file, which is written once when the folder is created.
 struct folder_identity {
   std::string Fleet;
   member_key Key;
@@ -19,12 +19,13 @@
   bool operator==(const folder_identity &) const = default;
 };
 
-/// How a data folder is opened.
+/// Options for opening a data folder.
 struct storage_options {
-  std::filesystem::path Folder; ///< Made where it is missing.
-  std::string Fleet;            ///< Must equal the identity file's.
-  member_id Member; ///< Must equal the identity file's; 0 takes that, or a fresh disk's number.
-  disk_identity NewDiskIdentity;         ///< Random; taken where the folder is empty.
+  std::filesystem::path Folder; ///< Created if it is missing.
+  std::string Fleet;            ///< Must equal the fleet in the identity file.
+  member_id Member; ///< Must equal the member in the identity file. 0 accepts any; in an empty
+                    ///< folder it makes the value of NewDiskIdentity the member's id.
+  disk_identity NewDiskIdentity;         ///< Random; used if the folder is empty.
   std::uint64_t SegmentBytes{4U << 20U}; ///< A segment is closed beyond this size.
 };
 
@@ -38,19 +39,19 @@
   folder_identity Found;
 };
 
-/// The operating system refused something.
+/// A system call failed.
 struct file_failure {
   std::string Operation; ///< "open", "write", "sync", ...
   std::filesystem::path Path;
   int Errno{0};
 };
 
-/// No space left; what was durable before is undamaged.
+/// No space is left; data that was durable before is intact.
 struct disk_full {
   std::filesystem::path Path;
 };
 
-/// Bytes that were durable once do not read back: the disk has lied or decayed.
+/// Durable data cannot be read back: the disk did not honor a sync or the data has decayed.
 struct corrupt_file {
   std::filesystem::path Path;
   std::uint64_t Offset{0};
--- a/tests/consensus/fake_cluster.cpp
+++ b/tests/consensus/fake_cluster.cpp
@@ -1,4 +1,4 @@
-/** @file fake_cluster.cpp Replicas over a network and disks that misbehave, in simulated time. */
+/** @file fake_cluster.cpp A simulated cluster with faulty network, disks and clocks. */
 #include "consensus/fake_cluster_base.h"
 
 #include <algorithm>
@@ -7,18 +7,18 @@
 
 namespace {
 constexpr mono_duration TickInterval = 50ms;
-constexpr std::uint64_t MaxSteps = 1000000; ///< Ten times what the longest schedule needs.
+constexpr std::uint64_t MaxSteps = 1000000; ///< Ten times the steps of the longest schedule.
 } // namespace
 
 fake_cluster::fake_cluster(std::size_t Size, std::uint64_t Seed, const replica_options &Bounds)
     : Random(Seed), Options(Bounds), Hosts(Size) {
   const double Skew = static_cast<double>(Options.ClockSkewPermille) / 1000;
-  for (std::size_t Place = 0; Place < Size; ++Place) {
-    fake_host &Host = Hosts[Place];
+  for (std::size_t HostIndex = 0; HostIndex < Size; ++HostIndex) {
+    fake_host &Host = Hosts[HostIndex];
     Host.Id = member_id(++LastId);
     Host.Disk = std::make_unique<fake_disk>(disk_identity(Random() | 1U));
     Host.ClockRate = 1 - Skew + 2 * Skew * Random.uniform();
-    Host.ClockOffset += upTo(10s);
+    Host.ClockOffset += randomDuration(10s);
   }
   for (fake_host &Host : Hosts)
     start(Host);
@@ -33,10 +33,10 @@
   return Host.Process ? Host.Process->status(clockOf(Host)) : replica_status{};
 }
 
-void fake_cluster::later(mono_duration Delay, fake_host &Host,
-                         std::function<void(fake_host &)> Run) {
-  const auto Place = static_cast<std::size_t>(&Host - Hosts.data());
-  Events.push({Time + Delay, Order++, Place, Host.Incarnation, std::move(Run)});
+void fake_cluster::scheduleEvent(mono_duration Delay, fake_host &Host,
+                                 std::function<void(fake_host &)> Handler) {
+  const auto HostIndex = static_cast<std::size_t>(&Host - Hosts.data());
+  Events.push({Time + Delay, Order++, HostIndex, Host.Incarnation, std::move(Handler)});
 }
 
 void fake_cluster::run(mono_duration Span) {
@@ -46,9 +46,9 @@
   Time = End;
 }
 
-bool fake_cluster::runUntil(const std::function<bool()> &Holds, mono_duration Limit) {
+bool fake_cluster::runUntil(const std::function<bool()> &Condition, mono_duration Limit) {
   const mono_duration End = Time + Limit;
-  while (!Holds()) {
+  while (!Condition()) {
     if (Time >= End)
       return false;
     run(20ms);
@@ -69,14 +69,14 @@
     return;
   }
   ++Steps;
-  requireInvariant(Steps < MaxSteps, "answers do not multiply without end",
-                   [this] { return dumps(); });
-  Event.Run(Host);
-  carryOut(Host);
+  requireInvariant(Steps < MaxSteps, "replies do not multiply without bound",
+                   [this] { return dumpReplicas(); });
+  Event.Handler(Host);
+  executeActions(Host);
   checkLeases();
 }
 
-std::string fake_cluster::dumps() const {
+std::string fake_cluster::dumpReplicas() const {
   std::string Text = "at " + std::to_string(Time / 1ms) + " ms\n";
   for (const fake_host &Host : Hosts)
     Text += Host.Process ? Host.Process->dump() : std::string("down\n");
@@ -86,40 +86,41 @@
 void fake_cluster::checkLeases() const {
   for (const fake_host &Host : Hosts)
     if (Host.Process && Host.Process->leaseValid(clockOf(Host)))
-      Checker.leaseHeld(statusOf(Host).Term);
+      Checker.checkLease(statusOf(Host).Term);
 }
 
-void fake_cluster::tickLater(fake_host &Host) {
-  later(TickInterval / 2 + upTo(TickInterval / 2), Host, [this](fake_host &Ticked) {
-    Ticked.Process->tick(clockOf(Ticked));
-    replaceLost(Ticked);
-    tickLater(Ticked);
-  });
+void fake_cluster::scheduleTick(fake_host &Host) {
+  scheduleEvent(TickInterval / 2 + randomDuration(TickInterval / 2), Host,
+                [this](fake_host &TickedHost) {
+                  TickedHost.Process->tick(clockOf(TickedHost));
+                  replaceLostMembers(TickedHost);
+                  scheduleTick(TickedHost);
+                });
 }
 
-void fake_cluster::replaceLost(fake_host &Host) {
+void fake_cluster::replaceLostMembers(fake_host &Host) {
   if (!SelfManaged)
     return;
-  member_repair_options Repair;
-  Repair.TargetVoters = Options.TargetVoters;
-  Repair.CaughtUpWithin = Options.CaughtUpWithin;
-  std::set<member_id> Emptied;
+  member_repair_options RepairOptions;
+  RepairOptions.TargetVoters = Options.TargetVoters;
+  RepairOptions.CaughtUpWithin = Options.CaughtUpWithin;
+  std::set<member_id> MembersWithoutDisk;
   const replica_status Status = statusOf(Host);
   for (const log_member &Member : Status.Members.Members)
-    if (holderOf(Member.Key.Member) == nullptr)
-      Emptied.insert(Member.Key.Member);
+    if (hostWithId(Member.Key.Member) == nullptr)
+      MembersWithoutDisk.insert(Member.Key.Member);
   if (!SameAddresses)
-    Emptied.clear();
-  const auto Wanted = nextMemberRepair(Status, Emptied, Repair);
-  if (!Wanted)
+    MembersWithoutDisk.clear();
+  const auto Change = nextMemberRepair(Status, MembersWithoutDisk, RepairOptions);
+  if (!Change)
     return;
-  if (const auto *Expelled = std::get_if<expel_member>(&*Wanted))
+  if (const auto *Expelled = std::get_if<expel_member>(&*Change))
     Host.Process->expel(Expelled->Member, clockOf(Host));
   else
-    Host.Process->promote(std::get<promote_member>(*Wanted).Member, clockOf(Host));
+    Host.Process->promote(std::get<promote_member>(*Change).Member, clockOf(Host));
 }
 
-fake_host *fake_cluster::holderOf(member_id Id) {
+fake_host *fake_cluster::hostWithId(member_id Id) {
   const auto Found = std::find_if(Hosts.begin(), Hosts.end(),
                                   [Id](const fake_host &Host) { return Host.Id == Id; });
   return Found == Hosts.end() ? nullptr : &*Found;
@@ -136,18 +137,19 @@
 }
 
 bool fake_cluster::hasTargetVoters() {
-  const fake_host *Leading = leader();
-  if (Leading == nullptr)
+  const fake_host *LeaderHost = leader();
+  if (LeaderHost == nullptr)
     return false;
-  const replica_status Wanted = statusOf(*Leading);
-  if (voterCount(Wanted.Members) != Options.TargetVoters || Wanted.Commit != Wanted.LastIndex)
+  const replica_status LeaderStatus = statusOf(*LeaderHost);
+  if (voterCount(LeaderStatus.Members) != Options.TargetVoters ||
+      LeaderStatus.Commit != LeaderStatus.LastIndex)
     return false;
-  for (const log_member &Member : Wanted.Members.Members) {
+  for (const log_member &Member : LeaderStatus.Members.Members) {
     if (Member.VotingStatus != voting_status::Voter)
       continue;
-    const fake_host *Holder = holderOf(Member.Key.Member);
+    const fake_host *Holder = hostWithId(Member.Key.Member);
     const replica_status Status = Holder ? statusOf(*Holder) : replica_status{};
-    if (Status.Applied != Wanted.LastIndex || Status.Leader != Wanted.Self)
+    if (Status.Applied != LeaderStatus.LastIndex || Status.Leader != LeaderStatus.Self)
       return false;
   }
   return true;
@@ -165,13 +167,13 @@
   if (Host.Id == member_id(1))
     Builder.bootstrapCluster(cluster_id(Random() | 1U));
   Host.Process = std::make_unique<replica>(Builder.build(clockOf(Host)));
-  tickLater(Host);
+  scheduleTick(Host);
 }
 
 void fake_cluster::crash(fake_host &Host) {
   Host.Process.reset();
-  Host.Proposed.clear();
-  Host.Reads.clear();
+  Host.PendingProposals.clear();
+  Host.PendingReads.clear();
   Host.Disk->crash(Random);
 }
 
@@ -187,15 +189,15 @@
   run(TickInterval);
 }
 
-void fake_cluster::cutOff(std::size_t Place) {
+void fake_cluster::isolate(std::size_t HostIndex) {
   for (std::size_t Other = 0; Other < Hosts.size(); ++Other) {
-    cut(Place, Other);
-    cut(Other, Place);
+    cutLink(HostIndex, Other);
+    cutLink(Other, HostIndex);
   }
 }
 
 void fake_cluster::heal() {
-  Cuts.clear();
+  CutLinks.clear();
   Rates = {};
   for (fake_host &Host : Hosts) {
     Host.FrozenUntil = {};
@@ -210,8 +212,8 @@
   const std::string Payload = "p" + std::to_string(NextPayload++);
   const auto Result = Host.Process->propose(Payload, clockOf(Host));
   if (succeeded(Result))
-    Host.Proposed.insert(valueOf(Result));
-  carryOut(Host);
+    Host.PendingProposals.insert(valueOf(Result));
+  executeActions(Host);
   return succeeded(Result);
 }
 
@@ -219,9 +221,9 @@
   if (!Host.Process)
     return;
   const read_id Read(NextRead++);
-  Host.Reads.emplace(Read, Checker.acknowledged());
+  Host.PendingReads.emplace(Read, Checker.acknowledged());
   Host.Process->readIndex(Read, clockOf(Host));
-  carryOut(Host);
+  executeActions(Host);
 }
 
 fake_host *fake_cluster::leader() {
@@ -231,106 +233,111 @@
   return nullptr;
 }
 
-bool fake_cluster::isWhole() {
-  const fake_host *Leading = leader();
-  if (Leading == nullptr)
+bool fake_cluster::hasConverged() {
+  const fake_host *LeaderHost = leader();
+  if (LeaderHost == nullptr)
     return false;
-  const replica_status Wanted = statusOf(*Leading);
+  const replica_status LeaderStatus = statusOf(*LeaderHost);
   for (const fake_host &Host : Hosts) {
     const replica_status Status = statusOf(Host);
-    const bool Same = Status.Applied == Wanted.LastIndex && Status.Leader == Wanted.Self;
-    if (!Same || !isVoter(Wanted.Members, Status.Self))
+    const bool SameAsLeader =
+        Status.Applied == LeaderStatus.LastIndex && Status.Leader == LeaderStatus.Self;
+    if (!SameAsLeader || !isVoter(LeaderStatus.Members, Status.Self))
       return false;
   }
   return true;
 }
 
-void fake_cluster::carryOut(fake_host &Host) {
+void fake_cluster::executeActions(fake_host &Host) {
   for (consensus_action &Action : Host.Process->takeActions(clockOf(Host)))
-    std::visit([this, &Host](auto &Typed) { doAction(Host, Typed); }, Action);
+    std::visit([this, &Host](auto &TypedAction) { execute(Host, TypedAction); }, Action);
 }
 
-void fake_cluster::doAction(fake_host &, send_to_member &Action) {
+void fake_cluster::execute(fake_host &, send_to_member &Action) {
   if (OnSend)
     OnSend(Action.Message);
-  if (Cuts.count({Action.Message.From.Member, Action.Message.To.Member}) != 0)
+  if (CutLinks.count({Action.Message.From.Member, Action.Message.To.Member}) != 0)
     return;
   if (Random.chance(Rates.Drop))
     return;
-  deliverLater(Action.Message);
+  scheduleDelivery(Action.Message);
   if (Random.chance(Rates.Duplicate))
-    deliverLater(Action.Message);
+    scheduleDelivery(Action.Message);
 }
 
-void fake_cluster::deliverLater(const consensus_message &Message) {
-  fake_host *Receiver = holderOf(Message.To.Member);
+void fake_cluster::scheduleDelivery(const consensus_message &Message) {
+  fake_host *Receiver = hostWithId(Message.To.Member);
   if (Receiver == nullptr)
     return;
-  const bool Long = Random.chance(Rates.LongDelay);
-  later(upTo(Long ? Rates.LongDelayMax : Rates.MaxDelay), *Receiver,
-        [this, Message](fake_host &To) { To.Process->receive(Message, clockOf(To)); });
+  const bool IsLongDelay = Random.chance(Rates.LongDelay);
+  scheduleEvent(
+      randomDuration(IsLongDelay ? Rates.LongDelayMax : Rates.MaxDelay), *Receiver,
+      [this, Message](fake_host &ToHost) { ToHost.Process->receive(Message, clockOf(ToHost)); });
 }
 
-void fake_cluster::syncLater(fake_host &Host) {
+void fake_cluster::scheduleSync(fake_host &Host) {
   if (Host.Syncing || Host.Disk->isIdle())
     return;
   Host.Syncing = true;
-  later(upTo(Rates.MaxSync), Host, [this](fake_host &Synced) {
-    Synced.Syncing = false;
-    Synced.Process->persisted(Synced.Disk->syncOldest(), clockOf(Synced));
-    syncLater(Synced);
+  scheduleEvent(randomDuration(Rates.MaxSync), Host, [this](fake_host &SyncedHost) {
+    SyncedHost.Syncing = false;
+    SyncedHost.Process->persisted(SyncedHost.Disk->syncOldest(), clockOf(SyncedHost));
+    scheduleSync(SyncedHost);
   });
 }
 
-void fake_cluster::doAction(fake_host &Host, persist_log &Action) {
+void fake_cluster::execute(fake_host &Host, persist_log &Action) {
   Host.Disk->write(std::move(Action));
-  syncLater(Host);
+  scheduleSync(Host);
 }
 
-void fake_cluster::doAction(fake_host &Host, apply_entry &Action) {
-  Checker.applied(Action.Entry, Host.Applied);
+void fake_cluster::execute(fake_host &Host, apply_entry &Action) {
+  Checker.recordApplied(Action.Entry, Host.Applied);
   Host.Applied = Action.Entry.Index;
-  if (Host.Proposed.erase({Action.Entry.Index, Action.Entry.Term}) != 0)
-    Checker.acknowledged(Action.Entry.Index);
+  if (Host.PendingProposals.erase({Action.Entry.Index, Action.Entry.Term}) != 0)
+    Checker.recordAcknowledged(Action.Entry.Index);
 }
 
-void fake_cluster::doAction(fake_host &Host, install_snapshot &Action) {
-  Checker.installed(Action.Snapshot->Index);
+void fake_cluster::execute(fake_host &Host, install_snapshot &Action) {
+  Checker.recordInstalled(Action.Snapshot->Index);
   requireInvariant(Action.Snapshot->State == std::to_string(Action.Snapshot->Index.value()),
-                   "a snapshot arrives as it was taken");
-  requireInvariant(Action.Snapshot->Index > Host.Applied, "a snapshot never goes back");
+                   "a snapshot arrives unchanged");
+  requireInvariant(Action.Snapshot->Index > Host.Applied,
+                   "an installed snapshot is newer than the applied state");
   Host.Applied = Action.Snapshot->Index;
 }
 
-void fake_cluster::doAction(fake_host &Host, became_leader &Action) {
-  Checker.led({Host.Id, Host.Disk->identity()}, Action.Term);
+void fake_cluster::execute(fake_host &Host, became_leader &Action) {
+  Checker.recordLeader({Host.Id, Host.Disk->identity()}, Action.Term);
 }
 
-void fake_cluster::doAction(fake_host &Host, stepped_down &) { Host.Proposed.clear(); }
+void fake_cluster::execute(fake_host &Host, stepped_down &) { Host.PendingProposals.clear(); }
 
-void fake_cluster::doAction(fake_host &Host, read_ready &Action) {
-  history_checker::readServed(Host.Reads.at(Action.Read), Host.Applied);
-  Host.Reads.erase(Action.Read);
+void fake_cluster::execute(fake_host &Host, read_ready &Action) {
+  history_checker::checkRead(Host.PendingReads.at(Action.Read), Host.Applied);
+  Host.PendingReads.erase(Action.Read);
   ++ReadsServed;
 }
 
-void fake_cluster::doAction(fake_host &Host, read_refused &Action) {
-  Host.Reads.erase(Action.Read);
+void fake_cluster::execute(fake_host &Host, read_refused &Action) {
+  Host.PendingReads.erase(Action.Read);
 }
 
-void fake_cluster::doAction(fake_host &Host, take_snapshot &Action) {
-  const mono_duration Work = upTo(20ms);
-  later(Work, Host, [this, Index = Action.Index](fake_host &Taken) {
-    Taken.Process->snapshotTaken(Index, std::to_string(Index.value()), clockOf(Taken));
+void fake_cluster::execute(fake_host &Host, take_snapshot &Action) {
+  const mono_duration SnapshotTime = randomDuration(20ms);
+  scheduleEvent(SnapshotTime, Host, [this, Index = Action.Index](fake_host &SnapshotHost) {
+    SnapshotHost.Process->snapshotTaken(Index, std::to_string(Index.value()),
+                                        clockOf(SnapshotHost));
   });
 }
 
-void fake_cluster::doAction(fake_host &Host, admission_requested &Action) {
-  // Answered with the next event: this one's actions are still being carried out.
-  later(1ms, Host,
-        [this, Key = Action.Key](fake_host &Asked) { Asked.Process->admit(Key, clockOf(Asked)); });
+void fake_cluster::execute(fake_host &Host, admission_requested &Action) {
+  // Admitted in a later event, because the actions of this event are still being executed.
+  scheduleEvent(1ms, Host, [this, Key = Action.Key](fake_host &AskedHost) {
+    AskedHost.Process->admit(Key, clockOf(AskedHost));
+  });
 }
 
-void fake_cluster::doAction(fake_host &, members_changed &) {}
+void fake_cluster::execute(fake_host &, members_changed &) {}
 
 } // namespace pollenstall
--- a/tests/consensus/fake_cluster_base.h
+++ b/tests/consensus/fake_cluster_base.h
@@ -1,5 +1,4 @@
-/** @file fake_cluster_base.h Replicas over a network and disks that misbehave, in simulated time.
- */
+/** @file fake_cluster_base.h A simulated cluster with faulty network, disks and clocks. */
 #ifndef POLLENSTALL_TESTS_CONSENSUS_FAKE_CLUSTER_BASE_H
 #define POLLENSTALL_TESTS_CONSENSUS_FAKE_CLUSTER_BASE_H
 
@@ -16,7 +15,7 @@
 
 using namespace std::chrono_literals;
 
-/// How bad network and disks are.
+/// Fault probabilities and maximum delays of the network and the disks.
 struct fault_rates {
   double Drop{0};
   double Duplicate{0};
@@ -26,46 +25,49 @@
   mono_duration MaxSync{3ms};
 };
 
-/// A host: a disk, a clock of its own, and a process that may be down or stopped.
+/// A host with a disk, a clock and a process, which may be down or stopped.
 struct fake_host {
   member_id Id;
   std::unique_ptr<fake_disk> Disk;
-  std::unique_ptr<replica> Process; ///< Null while it is down.
-  std::uint64_t Incarnation{0};     ///< Events of an earlier life are void.
+  std::unique_ptr<replica> Process; ///< Null while the process is down.
+  std::uint64_t Incarnation{0};     ///< Events of an earlier incarnation are discarded.
   double ClockRate{1};
   mono_duration ClockOffset{1h};
   mono_duration FrozenUntil{0};
   bool Syncing{false};
   log_index Applied;
-  std::set<proposal_position> Proposed; ///< Not answered yet.
-  std::map<read_id, log_index> Reads;
+  std::set<proposal_position> PendingProposals;
+  std::map<read_id, log_index> PendingReads;
 };
 
-/// Runs replicas event by event and asks the checker after each one.
+/// Runs replicas event by event and checks their history after each event.
 class fake_cluster {
 public:
   fake_cluster(std::size_t Size, std::uint64_t Seed, const replica_options &Bounds);
 
-  /// Handles events until this much more time has passed.
+  /// Handles the events of the next Span of simulated time.
   void run(mono_duration Span);
-  /// Handles events until Holds is true. @return False where Limit passed before.
-  bool runUntil(const std::function<bool()> &Holds, mono_duration Limit = 60s);
+  /// Handles events until Condition is true. @return False if Limit passed first.
+  bool runUntil(const std::function<bool()> &Condition, mono_duration Limit = 60s);
 
   void crash(fake_host &Host);
   void start(fake_host &Host);
   void loseDisk(fake_host &Host);
-  /// The host comes back with an empty disk as another member, as a host whose id is drawn does.
+  /// Restarts the host with an empty disk and a new id, as a host with a random id would.
   void replace(fake_host &Host);
-  /// Stops a process as SIGSTOP does: messages wait, the clock goes on.
+  /// Stops a process like SIGSTOP: messages are queued and the clock continues.
   void freeze(fake_host &Host, mono_duration Span) { Host.FrozenUntil = Time + Span; }
   /**
-   * Sets a running host's clock. It sees that at its next tick, which comes before anything else
-   * happens: a clock that loses time while its process is stopped looks like a shorter stop, which
-   * the replica cannot tell (docs/design/consensus.md, Limits) and CLOCK_BOOTTIME does not do.
+   * Sets the clock of a running host and runs the cluster until the host's next tick, so that the
+   * replica notices the jump before the next fault. If a clock lost time while its process was
+   * stopped, the replica could not tell that from a shorter stop (docs/design/consensus.md,
+   * Limits), but CLOCK_BOOTTIME does not do that.
    */
   void jumpClock(fake_host &Host, mono_duration By);
-  void cut(std::size_t From, std::size_t To) { Cuts.insert({hosts()[From].Id, hosts()[To].Id}); }
-  void cutOff(std::size_t Place);
+  void cutLink(std::size_t From, std::size_t To) {
+    CutLinks.insert({hosts()[From].Id, hosts()[To].Id});
+  }
+  void isolate(std::size_t HostIndex);
   void heal();
 
   bool propose(fake_host &Host);
@@ -76,22 +78,25 @@
   [[nodiscard]] random_source &random() { return Random; }
   [[nodiscard]] mono_time clockOf(const fake_host &Host) const;
   [[nodiscard]] replica_status statusOf(const fake_host &Host) const;
-  /// @return Who leads with a committed entry of its term, or null.
+  /// @return A leader with a valid lease, and so with a committed entry of its term, or null.
   [[nodiscard]] fake_host *leader();
-  /// @return Whether as many as are to vote do, all of them there, behind one leader and equal.
+  /// @return Whether the target number of voters are running, follow one leader and have applied
+  /// all its entries.
   [[nodiscard]] bool hasTargetVoters();
-  /// @return Whether all hosts vote, follow one leader and have applied the same entries.
-  [[nodiscard]] bool isWhole();
-  [[nodiscard]] std::string dumps() const;
+  /// @return Whether all hosts are voters, follow one leader and have applied the same entries.
+  [[nodiscard]] bool hasConverged();
+  [[nodiscard]] std::string dumpReplicas() const;
   [[nodiscard]] std::uint64_t steps() const { return Steps; }
   [[nodiscard]] std::size_t readsServed() const { return ReadsServed; }
 
-  /// Who leads lets everybody in and replaces lost members; needs replica_options::TargetVoters.
+  /// Leaders replace lost members, besides admitting all applicants; needs
+  /// replica_options::TargetVoters.
   bool SelfManaged{false};
-  /// Hosts come back where they were, so that the leader knows whose disk is gone.
+  /// Replaced hosts keep their addresses, so the leader knows which members lost their disks.
   bool SameAddresses{true};
   fault_rates Rates;
-  std::function<void(const consensus_message &)> OnSend; ///< Sees every message, also lost ones.
+  std::function<void(const consensus_message &)>
+      OnSend; ///< Called for every message, also for lost ones.
 
 private:
   struct event {
@@ -99,40 +104,43 @@
     std::uint64_t Order;
     std::size_t Host;
     std::uint64_t Incarnation;
-    std::function<void(fake_host &)> Run;
+    std::function<void(fake_host &)> Handler;
     bool operator<(const event &Other) const {
       return At != Other.At ? At > Other.At : Order > Other.Order;
     }
   };
 
-  void later(mono_duration Delay, fake_host &Host, std::function<void(fake_host &)> Run);
+  void scheduleEvent(mono_duration Delay, fake_host &Host,
+                     std::function<void(fake_host &)> Handler);
   void step();
-  void tickLater(fake_host &Host);
-  void replaceLost(fake_host &Host);
-  fake_host *holderOf(member_id Id);
-  void carryOut(fake_host &Host);
-  void deliverLater(const consensus_message &Message);
-  void syncLater(fake_host &Host);
+  void scheduleTick(fake_host &Host);
+  void replaceLostMembers(fake_host &Host);
+  fake_host *hostWithId(member_id Id);
+  void executeActions(fake_host &Host);
+  void scheduleDelivery(const consensus_message &Message);
+  void scheduleSync(fake_host &Host);
   void checkLeases() const;
-  mono_duration upTo(mono_duration Max) { return mono_duration(1 + Random.below(Max.count())); }
-
-  void doAction(fake_host &Host, send_to_member &Action);
-  void doAction(fake_host &Host, persist_log &Action);
-  void doAction(fake_host &Host, apply_entry &Action);
-  void doAction(fake_host &Host, install_snapshot &Action);
-  void doAction(fake_host &Host, became_leader &Action);
-  void doAction(fake_host &Host, stepped_down &Action);
-  void doAction(fake_host &Host, read_ready &Action);
-  void doAction(fake_host &Host, read_refused &Action);
-  void doAction(fake_host &Host, take_snapshot &Action);
-  void doAction(fake_host &Host, admission_requested &Action);
-  void doAction(fake_host &Host, members_changed &Action);
+  mono_duration randomDuration(mono_duration Max) {
+    return mono_duration(1 + Random.below(Max.count()));
+  }
+
+  void execute(fake_host &Host, send_to_member &Action);
+  void execute(fake_host &Host, persist_log &Action);
+  void execute(fake_host &Host, apply_entry &Action);
+  void execute(fake_host &Host, install_snapshot &Action);
+  void execute(fake_host &Host, became_leader &Action);
+  void execute(fake_host &Host, stepped_down &Action);
+  void execute(fake_host &Host, read_ready &Action);
+  void execute(fake_host &Host, read_refused &Action);
+  void execute(fake_host &Host, take_snapshot &Action);
+  void execute(fake_host &Host, admission_requested &Action);
+  void execute(fake_host &Host, members_changed &Action);
 
   random_source Random;
   replica_options Options;
   std::vector<fake_host> Hosts;
   std::priority_queue<event> Events;
-  std::set<std::pair<member_id, member_id>> Cuts;
+  std::set<std::pair<member_id, member_id>> CutLinks;
   history_checker Checker;
   mono_duration Time{0};
   std::uint64_t Order{0};
--- a/tests/consensus/fake_disk_base.h
+++ b/tests/consensus/fake_disk_base.h
@@ -1,4 +1,4 @@
-/** @file fake_disk_base.h A disk that takes time to sync and loses what was not synced. */
+/** @file fake_disk_base.h A simulated disk that loses unsynced writes in a crash. */
 #ifndef POLLENSTALL_TESTS_CONSENSUS_FAKE_DISK_BASE_H
 #define POLLENSTALL_TESTS_CONSENSUS_FAKE_DISK_BASE_H
 
@@ -8,34 +8,33 @@
 
 namespace pollenstall {
 
-/// Keeps what storage would keep after a crash.
+/// Keeps the data that storage would keep after a crash.
 class fake_disk {
 public:
-  explicit fake_disk(disk_identity Made) : Identity(Made) {}
+  explicit fake_disk(disk_identity NewIdentity) : Identity(NewIdentity) {}
 
   [[nodiscard]] disk_identity identity() const { return Identity; }
   [[nodiscard]] const restored_log &durable() const { return Durable; }
-  [[nodiscard]] bool isIdle() const { return Writing.empty(); }
+  [[nodiscard]] bool isIdle() const { return PendingWrites.empty(); }
 
-  void write(persist_log Write) { Writing.push_back(std::move(Write)); }
+  void write(persist_log Write) { PendingWrites.push_back(std::move(Write)); }
 
-  /// The oldest write is synced. @return Its number.
+  /// Syncs the oldest pending write. @return Its number.
   persist_number syncOldest() {
-    const persist_log Write = std::move(Writing.front());
-    Writing.pop_front();
+    const persist_log Write = std::move(PendingWrites.front());
+    PendingWrites.pop_front();
     apply(Write, Write.Entries.size());
     return Write.Number;
   }
 
-  /// The process ends: any first part of what was not synced may have reached the disk all the
-  /// same.
+  /// Ends the process. A random prefix of the unsynced writes reaches the disk.
   void crash(random_source &Random) {
-    std::uint64_t Reached = Random.below(Writing.size() + 1);
-    for (; Reached > 0; --Reached)
+    std::uint64_t SyncedWrites = Random.below(PendingWrites.size() + 1);
+    for (; SyncedWrites > 0; --SyncedWrites)
       syncOldest();
-    if (!Writing.empty() && Random.chance(0.5))
-      apply(Writing.front(), Random.below(Writing.front().Entries.size() + 1));
-    Writing.clear();
+    if (!PendingWrites.empty() && Random.chance(0.5))
+      apply(PendingWrites.front(), Random.below(PendingWrites.front().Entries.size() + 1));
+    PendingWrites.clear();
   }
 
 private:
@@ -45,22 +44,23 @@
     if (Write.Snapshot)
       applySnapshot(Write);
     if (Write.TruncateFrom)
-      std::erase_if(Durable.Entries,
-                    [&Write](const log_entry &E) { return E.Index >= *Write.TruncateFrom; });
-    for (std::size_t Place = 0; Place < EntryCount; ++Place)
-      Durable.Entries.push_back(Write.Entries[Place]);
+      std::erase_if(Durable.Entries, [&Write](const log_entry &Entry) {
+        return Entry.Index >= *Write.TruncateFrom;
+      });
+    for (std::size_t Position = 0; Position < EntryCount; ++Position)
+      Durable.Entries.push_back(Write.Entries[Position]);
   }
 
   void applySnapshot(const persist_log &Write) {
     Durable.Snapshot = Write.Snapshot;
-    std::erase_if(Durable.Entries, [&Write](const log_entry &E) {
-      return Write.ResetLog || E.Index <= Write.CompactTo;
+    std::erase_if(Durable.Entries, [&Write](const log_entry &Entry) {
+      return Write.ResetLog || Entry.Index <= Write.CompactTo;
     });
   }
 
   disk_identity Identity;
   restored_log Durable;
-  std::deque<persist_log> Writing;
+  std::deque<persist_log> PendingWrites;
 };
 
 } // namespace pollenstall
--- a/tests/consensus/history_checker_base.h
+++ b/tests/consensus/history_checker_base.h
@@ -1,4 +1,4 @@
-/** @file history_checker_base.h What must hold over all members of a log, whatever happens. */
+/** @file history_checker_base.h Checks the invariants over all members of a cluster. */
 #ifndef POLLENSTALL_TESTS_CONSENSUS_HISTORY_CHECKER_BASE_H
 #define POLLENSTALL_TESTS_CONSENSUS_HISTORY_CHECKER_BASE_H
 
@@ -9,48 +9,51 @@
 
 namespace pollenstall {
 
-/// Sees what a real observer of all members at once would see; each broken promise ends the run.
+/// Receives the events of all members; a violated invariant aborts the run.
 class history_checker {
 public:
-  /// A member reports that it leads.
-  void led(member_key Who, term_number Term) {
-    const bool First = LeaderOf.emplace(Term, Who).second;
-    requireInvariant(First, "at most one leader in a term",
-                     [&] { return toText(LeaderOf.at(Term)) + " and " + toText(Who); });
+  /// Records that a member became leader.
+  void recordLeader(member_key Member, term_number Term) {
+    const bool IsFirstLeader = LeaderOf.emplace(Term, Member).second;
+    requireInvariant(IsFirstLeader, "at most one leader in a term",
+                     [&] { return toText(LeaderOf.at(Term)) + " and " + toText(Member); });
     NewestTerm = std::max(NewestTerm, Term);
   }
 
-  /// A member applies an entry. @param Before What it had applied last.
-  void applied(const log_entry &Entry, log_index Before) {
-    requireInvariant(Entry.Index == Before.next(), "each index is applied once, in order");
-    const auto [Place, New] = Committed.emplace(Entry.Index, Entry);
-    requireInvariant(Place->second == Entry, "committed entries are the same everywhere");
-    if (!New)
+  /// Records that a member applies an entry. @param LastApplied Index of the entry before.
+  void recordApplied(const log_entry &Entry, log_index LastApplied) {
+    requireInvariant(Entry.Index == LastApplied.next(), "each index is applied once, in order");
+    const auto [Position, IsNew] = Committed.emplace(Entry.Index, Entry);
+    requireInvariant(Position->second == Entry, "committed entries are the same on all members");
+    if (!IsNew)
       return;
-    const bool Fresh = Entry.Kind != entry_kind::Command || Payloads.insert(Entry.Payload).second;
-    requireInvariant(Fresh, "a proposal is committed at one index only");
+    const bool IsUnique =
+        Entry.Kind != entry_kind::Command || Payloads.insert(Entry.Payload).second;
+    requireInvariant(IsUnique, "a proposal is committed at one index only");
     if (Entry.Kind == entry_kind::Membership)
       Members = *decodeMembers(Entry.Payload);
   }
 
-  /// A member's state was replaced by a snapshot.
-  void installed(log_index Index) const {
-    const bool Known = !Committed.empty() && Committed.rbegin()->first >= Index;
-    requireInvariant(Known, "a snapshot holds committed entries only");
+  /// Records that a snapshot replaced a member's state.
+  void recordInstalled(log_index Index) const {
+    const bool IsCommitted = !Committed.empty() && Committed.rbegin()->first >= Index;
+    requireInvariant(IsCommitted, "a snapshot holds committed entries only");
   }
 
-  /// The proposer was told that its entry was accepted.
-  void acknowledged(log_index Index) { Acknowledged = std::max(Acknowledged, Index); }
+  /// Records that the proposer was notified that its entry is committed.
+  void recordAcknowledged(log_index Index) { Acknowledged = std::max(Acknowledged, Index); }
   [[nodiscard]] log_index acknowledged() const { return Acknowledged; }
 
-  /// A read asked for when Promised was acknowledged is served by a member at Applied.
-  static void readServed(log_index Promised, log_index Applied) {
-    requireInvariant(Applied >= Promised, "a read sees every change acknowledged before it");
+  /// Checks a read that is served by a member at Applied. @param AcknowledgedIndex The acknowledged
+  /// index when the read was requested.
+  static void checkRead(log_index AcknowledgedIndex, log_index Applied) {
+    requireInvariant(Applied >= AcknowledgedIndex,
+                     "a read sees every change acknowledged before it");
   }
 
-  /// A member holds a valid lease now.
-  void leaseHeld(term_number Term) const {
-    requireInvariant(Term == NewestTerm, "nobody is elected while a lease is valid");
+  /// Checks the term of a member that holds a valid lease now.
+  void checkLease(term_number Term) const {
+    requireInvariant(Term == NewestTerm, "no leader is elected while a lease is valid");
   }
 
   [[nodiscard]] const member_set &members() const { return Members; }
--- a/tests/consensus/member_repair_test.cpp
+++ b/tests/consensus/member_repair_test.cpp
@@ -1,18 +1,19 @@
-/** @file member_repair_test.cpp Who is replaced, and who is not. */
+/** @file member_repair_test.cpp Tests of the automatic replacement of lost members. */
 #include "consensus/replica_driver_base.h"
 
 namespace pollenstall {
 namespace {
 
-member_progress heard(std::uint64_t Id, voting_status VotingStatus, mono_duration Since) {
-  return {{{member_id(Id), disk_identity(Id)}, VotingStatus}, log_index(100), Since};
+member_progress makeProgress(std::uint64_t Id, voting_status VotingStatus,
+                             mono_duration SinceReply) {
+  return {{{member_id(Id), disk_identity(Id)}, VotingStatus}, log_index(100), SinceReply};
 }
 
-/// Five voters, the leader among them; the test says how long the others have been silent.
+/// Five voters including the leader; the test sets the times since their last replies.
 struct a_leader_of_five : testing::Test {
   member_repair_options Options{.TargetVoters = 5};
   replica_status Status;
-  std::set<member_id> Emptied;
+  std::set<member_id> MembersWithoutDisk;
 
   void SetUp() override {
     Status.Role = replica_role::Leader;
@@ -22,119 +23,120 @@
     for (std::uint64_t Id = 1; Id <= 5; ++Id)
       Status.Members.Members.push_back({{member_id(Id), disk_identity(Id)}, voting_status::Voter});
     for (std::uint64_t Id = 2; Id <= 5; ++Id)
-      Status.Progress.push_back(heard(Id, voting_status::Voter, 50ms));
+      Status.Progress.push_back(makeProgress(Id, voting_status::Voter, 50ms));
   }
-  [[nodiscard]] std::optional<member_change> repair() const {
-    return nextMemberRepair(Status, Emptied, Options);
+  [[nodiscard]] std::optional<member_change> nextRepair() const {
+    return nextMemberRepair(Status, MembersWithoutDisk, Options);
   }
-  void silence(std::size_t Place) { Status.Progress[Place].SinceLastReply = 3s; }
-  void standBy(mono_duration Since = 50ms) {
-    Status.Progress.push_back(heard(9, voting_status::Learner, Since));
+  void makeUnresponsive(std::size_t Index) { Status.Progress[Index].SinceLastReply = 3s; }
+  void addLearner(mono_duration SinceReply = 50ms) {
+    Status.Progress.push_back(makeProgress(9, voting_status::Learner, SinceReply));
   }
 };
 
-TEST_F(a_leader_of_five, KeepsALostVoterWhileNobodyStandsBy) {
-  silence(0);
-  EXPECT_EQ(repair(), std::nullopt);
+TEST_F(a_leader_of_five, KeepsALostVoterWithoutACaughtUpLearner) {
+  makeUnresponsive(0);
+  EXPECT_EQ(nextRepair(), std::nullopt);
 }
 
-// The silent voter may only be cut off, with its disk and all that it has promised. Were it
-// expelled first, two lost disks among the four that are left would end the log for good, although
-// three of the five disks are there.
-TEST_F(a_leader_of_five, PromotesAnotherBeforeItGivesASilentVoterUp) {
-  silence(0);
-  standBy();
-  EXPECT_EQ(repair(), member_change(promote_member{{member_id(9), disk_identity(9)}}));
+// The unresponsive voter may only be partitioned and still have its disk. If it were expelled
+// first, the loss of two disks among the remaining four would destroy the quorum, although three of
+// the five disks still exist.
+TEST_F(a_leader_of_five, PromotesALearnerBeforeItExpelsAnUnresponsiveVoter) {
+  makeUnresponsive(0);
+  addLearner();
+  EXPECT_EQ(nextRepair(), member_change(promote_member{{member_id(9), disk_identity(9)}}));
   Status.Progress.back().Member.VotingStatus = voting_status::Voter;
   Status.Members = withVoter(withLearner(Status.Members, {member_id(9), disk_identity(9)}),
                              {member_id(9), disk_identity(9)});
-  EXPECT_EQ(repair(), member_change(expel_member{member_id(2)}));
+  EXPECT_EQ(nextRepair(), member_change(expel_member{member_id(2)}));
 }
 
-// Two disks are known to be gone: the other three are the quorum of five. A sixth voter would ask
-// for a fourth that has only just come.
-TEST_F(a_leader_of_five, ExpelsFirstWhereTheDiskIsKnownToBeGone) {
-  silence(0);
-  silence(1);
-  standBy();
-  Emptied = {member_id(2), member_id(3)};
-  EXPECT_EQ(repair(), member_change(expel_member{member_id(2)}));
+// Two disks are known to be lost; the other three are the quorum of five. A sixth voter would raise
+// the quorum to four, including the voter that was just promoted.
+TEST_F(a_leader_of_five, ExpelsFirstIfTheDiskIsKnownToBeLost) {
+  makeUnresponsive(0);
+  makeUnresponsive(1);
+  addLearner();
+  MembersWithoutDisk = {member_id(2), member_id(3)};
+  EXPECT_EQ(nextRepair(), member_change(expel_member{member_id(2)}));
 }
 
-TEST_F(a_leader_of_five, LetsNobodyVoteThatHasNotCaughtUp) {
-  silence(0);
-  standBy();
+TEST_F(a_leader_of_five, PromotesNoLearnerThatHasNotCaughtUp) {
+  makeUnresponsive(0);
+  addLearner();
   Status.Progress.back().Match = log_index(1);
-  EXPECT_EQ(repair(), std::nullopt);
+  EXPECT_EQ(nextRepair(), std::nullopt);
 }
 
-TEST_F(a_leader_of_five, ReplacesNobodyThatAnswers) {
-  standBy();
-  EXPECT_EQ(repair(), std::nullopt);
+TEST_F(a_leader_of_five, ReplacesNoResponsiveVoter) {
+  addLearner();
+  EXPECT_EQ(nextRepair(), std::nullopt);
 }
 
-// Three voters are silent: with the leader two answer, and no change of members could be committed.
-TEST_F(a_leader_of_five, ChangesNothingThatNoQuorumCouldCommit) {
-  silence(0);
-  silence(1);
-  silence(2);
-  standBy();
-  EXPECT_EQ(repair(), std::nullopt);
+// Three voters are unresponsive. With the leader only two remain, so no membership change could be
+// committed.
+TEST_F(a_leader_of_five, ProposesNoChangeThatNoQuorumCouldCommit) {
+  makeUnresponsive(0);
+  makeUnresponsive(1);
+  makeUnresponsive(2);
+  addLearner();
+  EXPECT_EQ(nextRepair(), std::nullopt);
 }
 
-TEST_F(a_leader_of_five, WaitsForThePromotionBeforeItReplacesASecondOne) {
-  silence(0);
-  silence(1);
-  standBy();
-  Emptied = {member_id(2), member_id(3)};
+TEST_F(a_leader_of_five, WaitsForThePromotionBeforeItReplacesASecondVoter) {
+  makeUnresponsive(0);
+  makeUnresponsive(1);
+  addLearner();
+  MembersWithoutDisk = {member_id(2), member_id(3)};
   Status.Members = withoutMember(Status.Members, member_id(2));
   Status.Progress.erase(Status.Progress.begin());
-  EXPECT_EQ(repair(), std::nullopt);
+  EXPECT_EQ(nextRepair(), std::nullopt);
 }
 
-TEST_F(a_leader_of_five, ForgetsALearnerThatIsGone) {
-  standBy(11s);
-  EXPECT_EQ(repair(), member_change(expel_member{member_id(9)}));
+TEST_F(a_leader_of_five, ExpelsAnUnresponsiveLearner) {
+  addLearner(11s);
+  EXPECT_EQ(nextRepair(), member_change(expel_member{member_id(9)}));
 }
 
 TEST_F(a_leader_of_five, DoesNothingWithoutItsLease) {
-  silence(0);
-  standBy();
+  makeUnresponsive(0);
+  addLearner();
   Status.LeaseValid = false;
-  EXPECT_EQ(repair(), std::nullopt);
+  EXPECT_EQ(nextRepair(), std::nullopt);
 }
 
-struct a_founder_with_a_target : ReplicaTest {
+struct a_bootstrapping_host_with_a_voter_target : ReplicaTest {
   void SetUp() override {
-    Founds = true;
+    MayBootstrap = true;
     replica_options Bounds;
     Bounds.TargetVoters = 3;
     start({}, Bounds);
   }
-  void askFrom(const member_key &From) {
+  void requestAdmissionFrom(const member_key &From) {
     Replica->addPeer(From.Member);
     Replica->receive({{}, From, MemberA, {}, admission_request{}}, Now);
-    collect();
+    collectActions();
   }
 };
 
-// The first change may be accepted only by as many disks as outlive the loss that is to be borne,
-// so the log is not founded by fewer.
-TEST_F(a_founder_with_a_target, WaitsForSoManyEmptyDisks) {
-  askFrom(MemberB);
-  pass(5s);
+// The first change must be accepted by enough disks to survive the number of losses that the
+// cluster must tolerate, so the cluster is not bootstrapped with fewer.
+TEST_F(a_bootstrapping_host_with_a_voter_target, WaitsForTheTargetNumberOfEmptyDisks) {
+  requestAdmissionFrom(MemberB);
+  advanceTime(5s);
   EXPECT_TRUE(status().Empty);
-  askFrom(MemberC);
-  pass(100ms);
+  requestAdmissionFrom(MemberC);
+  advanceTime(100ms);
   EXPECT_EQ(status().Members, threeVoters());
 }
 
-TEST_F(a_founder_with_a_target, LetsNoMoreVoteThanTheTarget) {
-  const member_key More{member_id(4), disk_identity(14)};
-  askFrom(MemberB);
-  askFrom(More);
-  askFrom(MemberC);
-  pass(100ms);
+TEST_F(a_bootstrapping_host_with_a_voter_target, CreatesNoMoreVotersThanTheTarget) {
+  const member_key AnotherMember{member_id(4), disk_identity(14)};
+  requestAdmissionFrom(MemberB);
+  requestAdmissionFrom(AnotherMember);
+  requestAdmissionFrom(MemberC);
+  advanceTime(100ms);
   EXPECT_EQ(voterCount(status().Members), 3U);
 }
 
--- a/tests/consensus/member_test.cpp
+++ b/tests/consensus/member_test.cpp
@@ -1,4 +1,5 @@
-/** @file member_test.cpp Founding, admission, promotion and the changes that are refused. */
+/** @file member_test.cpp Tests of bootstrap, admission, promotion and refused membership changes.
+ */
 #include "consensus/replica_driver_base.h"
 
 namespace pollenstall {
@@ -11,7 +12,7 @@
   return errorOf(Result).Reason;
 }
 
-TEST(AMemberSet, ReadsBackWhatItWrote) {
+TEST(AMemberSet, DecodesItsOwnEncoding) {
   const member_set Set = withLearner(threeVoters(), NewB);
   EXPECT_EQ(decodeMembers(encodeMembers(Set)), Set);
   EXPECT_EQ(voterCount(Set), 2U);
@@ -20,136 +21,138 @@
     EXPECT_EQ(decodeMembers(Text), std::nullopt) << Text;
 }
 
-class a_founder : public ReplicaTest {
+class a_bootstrapping_host : public ReplicaTest {
 protected:
   void SetUp() override {
-    Founds = true;
+    MayBootstrap = true;
     start({});
   }
-  void askFrom(const member_key &From, disk_identity Named, cluster_id Cluster = {}) {
-    Replica->receive({Cluster, From, {MemberA.Member, Named}, {}, admission_request{}}, Now);
-    collect();
+  void requestAdmissionFrom(const member_key &From, disk_identity NamedDisk,
+                            cluster_id Cluster = {}) {
+    Replica->receive({Cluster, From, {MemberA.Member, NamedDisk}, {}, admission_request{}}, Now);
+    collectActions();
   }
 };
 
-TEST_F(a_founder, FoundsOnceEveryPeerHasSaidThatItIsEmpty) {
-  askFrom(MemberB, MemberA.Disk);
-  pass(1s);
+TEST_F(a_bootstrapping_host, BootstrapsOnceEveryPeerHasReportedAnEmptyDisk) {
+  requestAdmissionFrom(MemberB, MemberA.Disk);
+  advanceTime(1s);
   EXPECT_TRUE(status().Empty);
-  askFrom(MemberC, MemberA.Disk);
-  pass(100ms);
+  requestAdmissionFrom(MemberC, MemberA.Disk);
+  advanceTime(100ms);
   EXPECT_EQ(status().Members, threeVoters());
 }
 
-// This host founded the log, lost its disk, and a request that B had sent before the founding comes
-// late. B is not empty any more; a second log beside the first would lose all that was accepted.
-TEST_F(a_founder, DoesNotBelieveAPeerThatDidNotNameThisDisk) {
-  askFrom(MemberC, MemberA.Disk);
-  askFrom(MemberB, disk_identity());
-  askFrom(MemberB, disk_identity(99));
-  pass(1s);
+// This host bootstrapped the cluster and lost its disk. A request that B sent before the bootstrap
+// arrives late, although B is no longer empty. A second bootstrap would lose all committed entries.
+TEST_F(a_bootstrapping_host, IgnoresAPeerThatDidNotNameItsDisk) {
+  requestAdmissionFrom(MemberC, MemberA.Disk);
+  requestAdmissionFrom(MemberB, disk_identity());
+  requestAdmissionFrom(MemberB, disk_identity(99));
+  advanceTime(1s);
   EXPECT_TRUE(status().Empty);
   EXPECT_GE(countSent<bootstrap_probe>(), 1U);
 }
 
-TEST_F(a_founder, DoesNotCountAPeerThatBelongsToALog) {
-  askFrom(MemberB, MemberA.Disk, TestCluster);
-  askFrom(MemberC, MemberA.Disk);
-  pass(1s);
+TEST_F(a_bootstrapping_host, DoesNotCountAPeerThatBelongsToACluster) {
+  requestAdmissionFrom(MemberB, MemberA.Disk, TestCluster);
+  requestAdmissionFrom(MemberC, MemberA.Disk);
+  advanceTime(1s);
   EXPECT_TRUE(status().Empty);
 }
 
 class an_empty_disk : public ReplicaTest {};
 
-// A founder's disk is replaced while it collects answers. Who remembered the first disk would send
-// all later requests to a disk that is gone.
-TEST_F(an_empty_disk, AsksEveryPeerWhateverItsDisk) {
+// The disk of the bootstrapping host is replaced while that host collects replies. If this member
+// remembered the first disk, it would send all later requests to a disk that is lost.
+TEST_F(an_empty_disk, RequestsAdmissionFromEveryPeerWithAnyDisk) {
   start({});
-  const member_key Gone{MemberB.Member, disk_identity(99)};
-  Replica->receive({{}, Gone, MemberA, {}, bootstrap_probe{}}, Now);
-  collect();
-  EXPECT_EQ(Sent.back().To, Gone);
+  const member_key LostDisk{MemberB.Member, disk_identity(99)};
+  Replica->receive({{}, LostDisk, MemberA, {}, bootstrap_probe{}}, Now);
+  collectActions();
+  EXPECT_EQ(Sent.back().To, LostDisk);
   Sent.clear();
-  pass(1s);
+  advanceTime(1s);
   for (const consensus_message &Message : Sent)
     EXPECT_EQ(Message.To.Disk, disk_identity());
   EXPECT_GE(countSent<admission_request>(), 2U);
 }
 
-TEST_F(an_empty_disk, NeverStands) {
+TEST_F(an_empty_disk, NeverStartsAnElection) {
   start({});
-  pass(10s);
+  advanceTime(10s);
   EXPECT_EQ(countSent<pre_vote_request>(), 0U);
 }
 
-// A leader admits a disk and falls before the admission is committed; its successor does not know
-// the disk and sends it nothing. It must ask again, or the repair never ends.
-TEST_F(an_empty_disk, AsksAgainWhereItsAdmissionWasTruncated) {
+// A leader admits a disk and fails before the admission is committed. Its successor does not know
+// the disk and sends it nothing, so the disk must request admission again or the repair never
+// completes.
+TEST_F(an_empty_disk, RequestsAdmissionAgainIfItsAdmissionWasTruncated) {
   start({});
-  const member_set Before{TestCluster,
-                          {{{MemberA.Member, disk_identity(99)}, voting_status::Voter},
-                           {MemberB, voting_status::Voter}}};
+  const member_set OldMembers{TestCluster,
+                              {{{MemberA.Member, disk_identity(99)}, voting_status::Voter},
+                               {MemberB, voting_status::Voter}}};
   entriesFrom(MemberB, 2, {}, 0,
-              {{log_index(1), term_number(1), entry_kind::Membership, encodeMembers(Before)}});
+              {{log_index(1), term_number(1), entry_kind::Membership, encodeMembers(OldMembers)}});
   Sent.clear();
-  pass(1s);
+  advanceTime(1s);
   EXPECT_EQ(countSent<admission_request>(), 0U);
-  pass(2s);
+  advanceTime(2s);
   EXPECT_GE(countSent<admission_request>(), 2U);
 }
 
-class a_leaders_set : public ReplicaTest {};
+class a_membership_change : public ReplicaTest {};
 
-TEST_F(a_leaders_set, PutsAnEmptyDiskInTheOldOnesPlaceAndPromotesItOnceCaughtUp) {
+TEST_F(a_membership_change, ReplacesTheOldDiskAndPromotesTheNewOneOnceCaughtUp) {
   replica_options Bounds;
   Bounds.CaughtUpWithin = 0;
-  start(foundedLog(), Bounds);
-  leadAndCommit();
-  const auto BothAnswer = [this] {
+  start(bootstrappedLog(), Bounds);
+  becomeLeaderAndCommit();
+  const auto BothReply = [this] {
     ack(MemberC, status().LastIndex);
-    pass(100ms);
+    advanceTime(100ms);
   };
   for (int Count = 0; Count < 25; ++Count)
-    BothAnswer();
+    BothReply();
   ASSERT_TRUE(succeeded(Replica->admit(NewB, Now)));
-  collect();
+  collectActions();
   EXPECT_EQ(voterCount(status().Members), 2U);
-  BothAnswer();
+  BothReply();
   ASSERT_EQ(status().Commit, status().LastIndex);
-  EXPECT_EQ(voterCount(status().Members), 2U) << "it has answered nothing yet";
+  EXPECT_EQ(voterCount(status().Members), 2U) << "it has not replied yet";
   ack(NewB, status().LastIndex);
-  BothAnswer();
-  BothAnswer();
+  BothReply();
+  BothReply();
   EXPECT_TRUE(isVoter(status().Members, NewB));
 }
 
-// Two hosts were given the same id. Each asks to be let in, and if each replaced the other the log
-// would lose a voter with every change.
-TEST_F(a_leaders_set, RefusesToReplaceADiskThatAnswers) {
-  start(foundedLog());
-  leadAndCommit();
+// Two hosts run with the same id by mistake. If each replaced the other, the cluster would lose a
+// voter with every change.
+TEST_F(a_membership_change, IsRefusedForADiskThatReplies) {
+  start(bootstrappedLog());
+  becomeLeaderAndCommit();
   EXPECT_EQ(reasonOf(Replica->admit(NewB, Now)), proposal_error::MemberActive);
   EXPECT_EQ(reasonOf(Replica->admit(MemberB, Now)), proposal_error::AlreadyMember);
 }
 
-// Two changes under way at once, or one on top of a predecessor's that may yet be overwritten, give
-// quorums that do not meet.
-TEST_F(a_leaders_set, ChangesOneAtATimeAndOnlyAfterAnEntryOfItsTerm) {
-  start(foundedLog());
-  lead();
+// Two concurrent changes, or a change on top of a predecessor's that may still be overwritten,
+// could lead to quorums that do not intersect.
+TEST_F(a_membership_change, IsRefusedDuringAnotherOneAndBeforeAnEntryOfTheTerm) {
+  start(bootstrappedLog());
+  becomeLeader();
   EXPECT_EQ(reasonOf(Replica->expel(MemberC.Member, Now)), proposal_error::NotReady);
   ack(MemberB, log_index(2));
   EXPECT_TRUE(succeeded(Replica->expel(MemberC.Member, Now)));
   EXPECT_EQ(reasonOf(Replica->expel(MemberB.Member, Now)), proposal_error::ChangeInProgress);
 }
 
-TEST_F(a_leaders_set, LetsTheLeaderTakeItselfOut) {
-  start(foundedLog());
-  leadAndCommit();
+TEST_F(a_membership_change, CanExpelTheLeader) {
+  start(bootstrappedLog());
+  becomeLeaderAndCommit();
   ASSERT_TRUE(succeeded(Replica->expel(MemberA.Member, Now)));
-  collect();
+  collectActions();
   ack(MemberC, log_index(3));
-  EXPECT_EQ(status().Role, replica_role::Leader) << "one of the two that are left is no quorum";
+  EXPECT_EQ(status().Role, replica_role::Leader) << "one of the two remaining voters is no quorum";
   ack(MemberB, log_index(3));
   EXPECT_EQ(status().Role, replica_role::Learner);
 }
--- a/tests/consensus/random_run_test.cpp
+++ b/tests/consensus/random_run_test.cpp
@@ -1,4 +1,4 @@
-/** @file random_run_test.cpp Long randomised runs of whole clusters with every promise checked. */
+/** @file random_run_test.cpp Randomized runs of whole clusters with all invariants checked. */
 #include "consensus/fake_cluster_base.h"
 
 #include <gtest/gtest.h>
@@ -15,20 +15,20 @@
 constexpr std::uint64_t FirstSeedInCi = 1;
 volatile std::sig_atomic_t RunningSeed = 0;
 
-/// A broken invariant aborts; the seed must be known all the same.
-void tellSeed(int) {
+/// Prints the current seed when a violated invariant aborts the process.
+void printSeed(int) {
   std::array<char, 64> Line{};
   const int Size = std::snprintf(Line.data(), Line.size(), "failing seed: %ld\n",
                                  static_cast<long>(RunningSeed));
   (void)!write(STDERR_FILENO, Line.data(), static_cast<std::size_t>(Size));
 }
 
-std::uint64_t fromEnvironment(const char *Name, std::uint64_t Otherwise) {
+std::uint64_t fromEnvironment(const char *Name, std::uint64_t DefaultValue) {
   const char *Text = std::getenv(Name);
-  return Text == nullptr ? Otherwise : std::strtoull(Text, nullptr, 10);
+  return Text == nullptr ? DefaultValue : std::strtoull(Text, nullptr, 10);
 }
 
-replica_options drawOptions(random_source &Random) {
+replica_options randomOptions(random_source &Random) {
   replica_options Options;
   Options.MaxBatchEntries = 1 + Random.below(8);
   Options.MaxInFlight = 1 + Random.below(4);
@@ -38,7 +38,7 @@
   return Options;
 }
 
-fault_rates drawRates(random_source &Random) {
+fault_rates randomRates(random_source &Random) {
   fault_rates Rates;
   Rates.Drop = Random.chance(0.5) ? Random.uniform() * 0.3 : 0;
   Rates.Duplicate = Random.chance(0.5) ? Random.uniform() * 0.3 : 0;
@@ -49,40 +49,42 @@
   return Rates;
 }
 
-/// One schedule: faults at random for a while, then peace, then everything must be whole again.
-class schedule {
+/// One random schedule of faults. After the faults end, the cluster must converge again.
+class random_schedule {
 public:
-  schedule(std::size_t Size, std::uint64_t Seed)
-      : Faults(Seed ^ 0x5EED), Cluster(Size, Seed, drawOptions(Faults)) {}
+  random_schedule(std::size_t Size, std::uint64_t Seed)
+      : Faults(Seed ^ 0x5EED), Cluster(Size, Seed, randomOptions(Faults)) {}
 
   void run() {
     Cluster.run(mono_duration(Faults.below((5s / 1ns))));
     const std::uint64_t Rounds = 20 + Faults.below(60);
     for (std::uint64_t Round = 0; Round < Rounds; ++Round) {
-      doFault();
-      repairSeen();
+      injectFault();
+      loseDiskAfterRepair();
       const std::uint64_t Calls = Faults.below(12);
       for (std::uint64_t Call = 0; Call < Calls; ++Call)
-        doCall();
+        sendRequest();
       Cluster.run(mono_duration(Faults.below(800ms / 1ns)));
     }
     Cluster.heal();
-    ASSERT_TRUE(Cluster.runUntil([this] { return Cluster.isWhole(); }, 120s)) << Cluster.dumps();
-    const std::size_t Before = Cluster.checker().committedCount();
+    ASSERT_TRUE(Cluster.runUntil([this] { return Cluster.hasConverged(); }, 120s))
+        << Cluster.dumpReplicas();
+    const std::size_t CommittedBefore = Cluster.checker().committedCount();
     ASSERT_TRUE(Cluster.propose(*Cluster.leader()));
-    ASSERT_TRUE(Cluster.runUntil([this] { return Cluster.isWhole(); }, 120s)) << Cluster.dumps();
-    ASSERT_GT(Cluster.checker().committedCount(), Before);
+    ASSERT_TRUE(Cluster.runUntil([this] { return Cluster.hasConverged(); }, 120s))
+        << Cluster.dumpReplicas();
+    ASSERT_GT(Cluster.checker().committedCount(), CommittedBefore);
   }
 
   [[nodiscard]] const fake_cluster &cluster() const { return Cluster; }
   [[nodiscard]] std::uint64_t disksLost() const { return DisksLost; }
 
 private:
-  fake_host &anyHost() { return Cluster.hosts()[Faults.below(Cluster.hosts().size())]; }
+  fake_host &randomHost() { return Cluster.hosts()[Faults.below(Cluster.hosts().size())]; }
 
-  void doCall() {
+  void sendRequest() {
     fake_host &Host =
-        Faults.chance(0.7) && Cluster.leader() != nullptr ? *Cluster.leader() : anyHost();
+        Faults.chance(0.7) && Cluster.leader() != nullptr ? *Cluster.leader() : randomHost();
     if (Host.FrozenUntil.count() != 0 && Host.Process && Faults.chance(0.5))
       return;
     if (Faults.chance(0.7))
@@ -92,7 +94,7 @@
     Cluster.run(mono_duration(Faults.below(20ms / 1ns)));
   }
 
-  void doFault() {
+  void injectFault() {
     const std::size_t Size = Cluster.hosts().size();
     switch (Faults.below(12)) {
     case 0:
@@ -100,27 +102,27 @@
       Cluster.heal();
       return;
     case 2:
-      Cluster.Rates = drawRates(Faults);
+      Cluster.Rates = randomRates(Faults);
       return;
     case 3:
-      Cluster.cut(Faults.below(Size), Faults.below(Size));
+      Cluster.cutLink(Faults.below(Size), Faults.below(Size));
       return;
     case 4:
-      Cluster.cutOff(Faults.below(Size));
+      Cluster.isolate(Faults.below(Size));
       return;
     case 5:
-      Cluster.freeze(anyHost(), mono_duration(Faults.below(4s / 1ns)));
+      Cluster.freeze(randomHost(), mono_duration(Faults.below(4s / 1ns)));
       return;
     case 6:
     case 7:
-      restart(anyHost());
+      restart(randomHost());
       return;
     case 8:
-      loseDiskIfAllowed(anyHost());
+      loseDiskIfAllowed(randomHost());
       return;
     case 9:
       if (Faults.chance(0.3))
-        Cluster.jumpClock(anyHost(), Faults.chance(0.5) ? -3s : 2s);
+        Cluster.jumpClock(randomHost(), Faults.chance(0.5) ? -3s : 2s);
       return;
     case 10:
       if (Faults.chance(0.3))
@@ -131,7 +133,7 @@
     }
   }
 
-  /// All processes end in one moment and are back one after the other.
+  /// Ends all processes at the same time and restarts them one after the other.
   void restartAll() {
     for (fake_host &Host : Cluster.hosts())
       if (Host.Process)
@@ -152,8 +154,8 @@
       Cluster.start(Host);
   }
 
-  /// More lost disks than the voters can spare would lose data or the quorum under any protocol. A
-  /// learner may be a voter already, in an entry that is not committed yet.
+  /// Loses the disk of Host unless the quorum depends on it: then any protocol would lose data or
+  /// the quorum. A learner may already be a voter in an entry that is not committed yet.
   void loseDiskIfAllowed(fake_host &Host) {
     const member_set &Members = Cluster.checker().members();
     std::size_t Intact = 0;
@@ -172,13 +174,13 @@
     Cluster.start(Host);
   }
 
-  /// The moment a repair is committed is the one at which a second loss hurts most.
-  void repairSeen() {
+  /// Loses another disk right after a repair is committed, when a second loss is most dangerous.
+  void loseDiskAfterRepair() {
     const member_set &Members = Cluster.checker().members();
     const bool Repaired = voterCount(Members) > LastVoters && LastVoters != 0;
     LastVoters = voterCount(Members);
     if (Repaired && Faults.chance(0.7))
-      loseDiskIfAllowed(anyHost());
+      loseDiskIfAllowed(randomHost());
   }
 
   random_source Faults;
@@ -187,17 +189,17 @@
   std::uint64_t DisksLost{0};
 };
 
-TEST(RandomRun, KeepsEveryPromiseUnderFaults) {
+TEST(RandomRun, KeepsAllInvariantsUnderFaults) {
   const std::uint64_t Seeds = fromEnvironment("POLLENSTALL_SEEDS", SeedsInCi);
   const std::uint64_t First = fromEnvironment("POLLENSTALL_FIRST_SEED", FirstSeedInCi);
-  const auto Before = std::signal(SIGABRT, tellSeed);
+  const auto PreviousHandler = std::signal(SIGABRT, printSeed);
   std::uint64_t Steps = 0;
   std::uint64_t Committed = 0;
   std::uint64_t Reads = 0;
   std::uint64_t DisksLost = 0;
   for (std::uint64_t Seed = First; Seed < First + Seeds; ++Seed) {
     RunningSeed = static_cast<std::sig_atomic_t>(Seed);
-    schedule Schedule(Seed % 3 == 0 ? 5 : 3, Seed);
+    random_schedule Schedule(Seed % 3 == 0 ? 5 : 3, Seed);
     Schedule.run();
     Steps += Schedule.cluster().steps();
     Committed += Schedule.cluster().checker().committedCount();
@@ -205,7 +207,7 @@
     DisksLost += Schedule.disksLost();
     ASSERT_FALSE(HasFatalFailure()) << "failing seed: " << Seed;
   }
-  std::signal(SIGABRT, Before);
+  std::signal(SIGABRT, PreviousHandler);
   std::printf("consensus random run: schedules %llu first_seed %llu steps %llu committed %llu "
               "reads %llu disks_lost %llu\n",
               static_cast<unsigned long long>(Seeds), static_cast<unsigned long long>(First),
--- a/tests/consensus/replica_driver_base.h
+++ b/tests/consensus/replica_driver_base.h
@@ -1,4 +1,4 @@
-/** @file replica_driver_base.h One replica whose peers, disk and clock are played by the test. */
+/** @file replica_driver_base.h One replica with peers, disk and clock simulated by the test. */
 #ifndef POLLENSTALL_TESTS_CONSENSUS_REPLICA_DRIVER_BASE_H
 #define POLLENSTALL_TESTS_CONSENSUS_REPLICA_DRIVER_BASE_H
 
@@ -27,8 +27,8 @@
   return {log_index(Index), term_number(Term), entry_kind::Command, "c" + std::to_string(Index)};
 }
 
-/// A disk on which the log was founded by three voters, in term 1.
-inline restored_log foundedLog() {
+/// A log that was bootstrapped with three voters in term 1.
+inline restored_log bootstrappedLog() {
   restored_log State;
   State.Hard = {term_number(1), {}};
   State.Entries.push_back(
@@ -38,20 +38,20 @@
 
 class ReplicaTest : public testing::Test {
 protected:
-  void start(restored_log State, replica_options Bounds = {}) {
-    Options = Bounds;
+  void start(restored_log State, replica_options TestOptions = {}) {
+    Options = TestOptions;
     replica_builder Builder(MemberA);
     Builder.options(Options)
         .restored(std::move(State))
         .peers({member_id(1), member_id(2), member_id(3)});
-    if (Founds)
+    if (MayBootstrap)
       Builder.bootstrapCluster(TestCluster);
     Replica = std::make_unique<replica>(Builder.build(Now));
-    collect();
+    collectActions();
   }
 
-  /// Takes the actions; while SyncsAtOnce everything to be written is durable at once.
-  void collect() {
+  /// Collects the actions. If SyncImmediately is set, all writes are confirmed immediately.
+  void collectActions() {
     bool Again = true;
     while (Again) {
       Again = false;
@@ -63,35 +63,35 @@
         else
           Actions.push_back(std::move(Action));
       }
-      if (SyncsAtOnce && !Unsynced.empty()) {
-        sync();
+      if (SyncImmediately && !Unsynced.empty()) {
+        syncWrites();
         Again = true;
       }
     }
   }
-  void sync() {
+  void syncWrites() {
     for (const persist_number Number : Unsynced)
       Replica->persisted(Number, Now);
     Unsynced.clear();
   }
   void syncAndCollect() {
-    sync();
-    collect();
+    syncWrites();
+    collectActions();
   }
 
-  void pass(mono_duration Span) {
-    const mono_time End = Now + Span;
+  void advanceTime(mono_duration Duration) {
+    const mono_time End = Now + Duration;
     while (Now < End) {
       Now = std::min(End, Now + 50ms);
       Replica->tick(Now);
-      collect();
+      collectActions();
     }
   }
 
   void deliver(const member_key &From, std::uint64_t Term, consensus_body Body,
                const member_key &To = MemberA) {
     Replica->receive({TestCluster, From, To, term_number(Term), std::move(Body)}, Now);
-    collect();
+    collectActions();
   }
   void heartbeatFrom(const member_key &From, std::uint64_t Term) {
     append_request Request;
@@ -102,7 +102,7 @@
                    std::uint64_t PrevTerm, std::vector<log_entry> Entries) {
     deliver(From, Term, append_request{Prev, term_number(PrevTerm), {}, 1, 0, std::move(Entries)});
   }
-  /// The peer answers the last message with a round that it was sent.
+  /// The peer replies to the last append sent to it.
   void ack(const member_key &From, log_index Match) {
     const append_request Last = lastSent<append_request>(From);
     deliver(From, status().Term.value(),
@@ -116,47 +116,47 @@
     return Count;
   }
   template <typename Body> Body lastSent(const member_key &To) const {
-    Body Found{};
+    Body LastMessage{};
     for (const consensus_message &Message : Sent)
       if (Message.To == To && std::holds_alternative<Body>(Message.Body))
-        Found = std::get<Body>(Message.Body);
-    return Found;
+        LastMessage = std::get<Body>(Message.Body);
+    return LastMessage;
   }
-  template <typename Kind> std::size_t countActions() const {
+  template <typename ActionType> std::size_t countActions() const {
     std::size_t Count = 0;
     for (const consensus_action &Action : Actions)
-      Count += std::holds_alternative<Kind>(Action) ? 1 : 0;
+      Count += std::holds_alternative<ActionType>(Action) ? 1 : 0;
     return Count;
   }
 
   [[nodiscard]] replica_status status() const { return Replica->status(Now); }
 
-  /// Time passes until A stands and may vote for itself.
-  void standWithItsOwnVote() {
-    pass(Options.MinElectionTimeout);
+  /// Advances the time until A starts a pre-vote and may vote for itself.
+  void startPreVoteWithOwnVote() {
+    advanceTime(Options.MinElectionTimeout);
     while (status().Role != replica_role::PreCandidate)
-      pass(50ms);
+      advanceTime(50ms);
   }
 
-  /// Time passes, B grants everything, and A leads; its no-op is not committed yet.
-  void lead() {
-    standWithItsOwnVote();
-    const std::uint64_t Next = status().Term.value() + 1;
-    deliver(MemberB, Next - 1, pre_vote_reply{term_number(Next), true});
-    deliver(MemberB, Next, vote_reply{true});
+  /// Makes A leader with the votes of A and B; its no-op is not committed yet.
+  void becomeLeader() {
+    startPreVoteWithOwnVote();
+    const std::uint64_t NextTerm = status().Term.value() + 1;
+    deliver(MemberB, NextTerm - 1, pre_vote_reply{term_number(NextTerm), true});
+    deliver(MemberB, NextTerm, vote_reply{true});
     ASSERT_EQ(status().Role, replica_role::Leader);
   }
-  /// The same, and B has acknowledged everything.
-  void leadAndCommit() {
-    lead();
+  /// Makes A leader; B acknowledges all entries.
+  void becomeLeaderAndCommit() {
+    becomeLeader();
     ack(MemberB, status().LastIndex);
     ASSERT_EQ(status().Commit, status().LastIndex);
   }
 
   mono_time Now{1h};
   replica_options Options;
-  bool SyncsAtOnce{true};
-  bool Founds{false};
+  bool SyncImmediately{true};
+  bool MayBootstrap{false};
   std::unique_ptr<replica> Replica;
   std::vector<consensus_message> Sent;
   std::vector<consensus_action> Actions;
--- a/tests/consensus/self_managed_run_test.cpp
+++ b/tests/consensus/self_managed_run_test.cpp
@@ -1,5 +1,4 @@
-/** @file self_managed_run_test.cpp Random runs in which hosts come back as other members and nobody
- * repairs by hand. */
+/** @file self_managed_run_test.cpp Randomized runs with automatic replacement of lost members. */
 #include "consensus/fake_cluster_base.h"
 
 #include <gtest/gtest.h>
@@ -13,11 +12,11 @@
 
 constexpr std::uint64_t SeedsInCi = 600;
 constexpr std::size_t Target = 5;
-constexpr std::size_t Tolerated = 2;
+constexpr std::size_t MaxLostDisks = 2;
 
-std::uint64_t fromEnvironment(const char *Name, std::uint64_t Otherwise) {
+std::uint64_t fromEnvironment(const char *Name, std::uint64_t DefaultValue) {
   const char *Text = std::getenv(Name);
-  return Text == nullptr ? Otherwise : std::strtoull(Text, nullptr, 10);
+  return Text == nullptr ? DefaultValue : std::strtoull(Text, nullptr, 10);
 }
 
 replica_options selfManaged(random_source &Random) {
@@ -29,8 +28,8 @@
   return Options;
 }
 
-/// Disks are lost, two at once at most and never more than leave a quorum, while the others crash,
-/// freeze and are cut off.
+/// Loses at most two disks at a time, so that a quorum remains, while other hosts crash, freeze and
+/// are partitioned.
 class replacement_run {
 public:
   replacement_run(std::size_t Hosts, std::uint64_t Seed, bool SameAddresses)
@@ -40,37 +39,37 @@
   }
 
   void run() {
-    ASSERT_TRUE(settles()) << "not founded\n" << Cluster.dumps();
+    ASSERT_TRUE(reachesTargetVoters()) << "not bootstrapped\n" << Cluster.dumpReplicas();
     for (int Round = 0; Round < 12; ++Round) {
-      disturb();
+      injectFaults();
       for (std::uint64_t Call = 0; Call < 6; ++Call)
-        call();
+        sendRequest();
       if (Faults.chance(0.4))
         loseDisks();
       Cluster.run(mono_duration(Faults.below(3s / 1ns)));
       if (Faults.chance(0.5)) {
         Cluster.heal();
-        ASSERT_TRUE(settles()) << Cluster.dumps();
+        ASSERT_TRUE(reachesTargetVoters()) << Cluster.dumpReplicas();
       }
     }
     Cluster.heal();
-    ASSERT_TRUE(settles()) << Cluster.dumps();
-    const std::size_t Before = Cluster.checker().committedCount();
+    ASSERT_TRUE(reachesTargetVoters()) << Cluster.dumpReplicas();
+    const std::size_t CommittedBefore = Cluster.checker().committedCount();
     ASSERT_TRUE(Cluster.propose(*Cluster.leader()));
-    ASSERT_TRUE(settles()) << Cluster.dumps();
-    ASSERT_GT(Cluster.checker().committedCount(), Before);
+    ASSERT_TRUE(reachesTargetVoters()) << Cluster.dumpReplicas();
+    ASSERT_GT(Cluster.checker().committedCount(), CommittedBefore);
   }
 
-  [[nodiscard]] std::uint64_t replaced() const { return Replaced; }
+  [[nodiscard]] std::uint64_t replaced() const { return ReplacedHosts; }
 
 private:
-  bool settles() {
+  bool reachesTargetVoters() {
     return Cluster.runUntil([this] { return Cluster.hasTargetVoters(); }, 120s);
   }
-  fake_host &anyHost() { return Cluster.hosts()[Faults.below(Cluster.hosts().size())]; }
+  fake_host &randomHost() { return Cluster.hosts()[Faults.below(Cluster.hosts().size())]; }
 
-  void call() {
-    fake_host &Host = Cluster.leader() != nullptr ? *Cluster.leader() : anyHost();
+  void sendRequest() {
+    fake_host &Host = Cluster.leader() != nullptr ? *Cluster.leader() : randomHost();
     if (Faults.chance(0.7))
       Cluster.propose(Host);
     else
@@ -78,14 +77,14 @@
     Cluster.run(mono_duration(Faults.below(30ms / 1ns)));
   }
 
-  void disturb() {
+  void injectFaults() {
     switch (Faults.below(6)) {
     case 0:
-      return Cluster.freeze(anyHost(), mono_duration(Faults.below(4s / 1ns)));
+      return Cluster.freeze(randomHost(), mono_duration(Faults.below(4s / 1ns)));
     case 1:
-      return Cluster.cutOff(Faults.below(Cluster.hosts().size()));
+      return Cluster.isolate(Faults.below(Cluster.hosts().size()));
     case 2: {
-      // All lose power in one moment and are back in another.
+      // All hosts lose power at the same time and restart at the same time.
       for (fake_host &Host : Cluster.hosts())
         if (Host.Process)
           Cluster.crash(Host);
@@ -95,7 +94,7 @@
       return;
     }
     case 3: {
-      fake_host &Host = anyHost();
+      fake_host &Host = randomHost();
       if (Host.Process)
         Cluster.crash(Host);
       Cluster.start(Host);
@@ -107,67 +106,68 @@
   }
 
   void loseDisks() {
-    // A host at a new address and the one that it stands for both count as lost until it votes.
+    // A host at a new address and the host that it replaces both count as lost until it is a voter.
     if (!Cluster.SameAddresses && !Cluster.hasTargetVoters())
       return;
     if (!Cluster.SameAddresses)
-      return loseDiskIfAllowed(anyHost());
+      return loseDiskIfAllowed(randomHost());
     const std::uint64_t Count = 1 + Faults.below(2);
-    for (std::uint64_t Lost = 0; Lost < Count; ++Lost)
-      loseDiskIfAllowed(anyHost());
+    for (std::uint64_t DisksLost = 0; DisksLost < Count; ++DisksLost)
+      loseDiskIfAllowed(randomHost());
   }
 
-  /// Two hosts may be without their disks at once, whether they vote, are about to, or stand by;
-  /// one that lost its disk counts until the log has all its voters again.
+  /// At most two hosts may be without their disks at a time, be they voters or learners. A host
+  /// counts until the cluster has its target number of voters again.
   void loseDiskIfAllowed(fake_host &Host) {
     if (Cluster.hasTargetVoters())
-      Emptied.clear();
-    const auto Place = static_cast<std::size_t>(&Host - Cluster.hosts().data());
-    const std::size_t Others = Emptied.size() - Emptied.count(Place);
-    if (Others >= Tolerated)
+      HostsWithoutDisk.clear();
+    const auto HostIndex = static_cast<std::size_t>(&Host - Cluster.hosts().data());
+    const std::size_t Others = HostsWithoutDisk.size() - HostsWithoutDisk.count(HostIndex);
+    if (Others >= MaxLostDisks)
       return;
-    Emptied.insert(Place);
-    ++Replaced;
+    HostsWithoutDisk.insert(HostIndex);
+    ++ReplacedHosts;
     Cluster.replace(Host);
   }
 
   random_source Faults;
   fake_cluster Cluster;
-  std::set<std::size_t> Emptied; ///< Hosts, by their places.
-  std::uint64_t Replaced{0};
+  std::set<std::size_t> HostsWithoutDisk; ///< Indexes in hosts().
+  std::uint64_t ReplacedHosts{0};
 };
 
 void runAll(bool SameAddresses) {
   const std::uint64_t Seeds = fromEnvironment("POLLENSTALL_SEEDS", SeedsInCi);
   const std::uint64_t First = fromEnvironment("POLLENSTALL_FIRST_SEED", 1);
-  std::uint64_t Replaced = 0;
+  std::uint64_t ReplacedHosts = 0;
   for (std::uint64_t Seed = First; Seed < First + Seeds; ++Seed) {
     replacement_run Run(Seed % 2 == 0 ? Target : Target + 1, Seed, SameAddresses);
     Run.run();
-    Replaced += Run.replaced();
+    ReplacedHosts += Run.replaced();
     ASSERT_FALSE(testing::Test::HasFatalFailure()) << "failing seed: " << Seed;
   }
   std::printf("self-managed random run: schedules %llu replaced %llu\n",
-              static_cast<unsigned long long>(Seeds), static_cast<unsigned long long>(Replaced));
+              static_cast<unsigned long long>(Seeds),
+              static_cast<unsigned long long>(ReplacedHosts));
 }
 
-TEST(SelfManagedRun, LosesNothingWhileEmptiedHostsComeBackWhereTheyWere) { runAll(true); }
-TEST(SelfManagedRun, LosesNothingWhileHostsAreReplacedAtOtherAddresses) { runAll(false); }
+TEST(SelfManagedRun, LosesNothingIfHostsReturnEmptyAtTheSameAddresses) { runAll(true); }
+TEST(SelfManagedRun, LosesNothingIfHostsAreReplacedAtOtherAddresses) { runAll(false); }
 
-/// Hosts that start one after the other, each a moment after the one before.
-void expectOneLog(const std::vector<std::size_t> &Order, mono_duration Apart) {
+/// Starts the hosts in the given order and expects that they bootstrap one cluster.
+void expectOneCluster(const std::vector<std::size_t> &Order, mono_duration StartInterval) {
   random_source Options(1);
   fake_cluster Cluster(Target, 1 + Order[0], selfManaged(Options));
   Cluster.SelfManaged = true;
   for (fake_host &Host : Cluster.hosts())
     Cluster.crash(Host);
-  for (const std::size_t Place : Order) {
+  for (const std::size_t HostIndex : Order) {
     EXPECT_EQ(Cluster.leader(), nullptr) << "a change could be accepted by too few disks";
-    Cluster.start(Cluster.hosts()[Place]);
-    Cluster.run(Apart);
+    Cluster.start(Cluster.hosts()[HostIndex]);
+    Cluster.run(StartInterval);
   }
   ASSERT_TRUE(Cluster.runUntil([&Cluster] { return Cluster.hasTargetVoters(); }, 30s))
-      << Cluster.dumps();
+      << Cluster.dumpReplicas();
   std::set<cluster_id> Logs;
   for (const fake_host &Host : Cluster.hosts())
     Logs.insert(Cluster.statusOf(Host).Members.Cluster);
@@ -175,14 +175,15 @@
   EXPECT_EQ(*Logs.begin(), Cluster.statusOf(Cluster.hosts()[0]).Members.Cluster);
 }
 
-// Five hosts with empty disks start within a second in any order; the others are not listening yet.
-// Whatever the order, one log is founded, by all five, and nothing is accepted before.
-TEST(SelfManagedStart, FoundsOneLogInEveryOrderOfStarts) {
+// Five hosts with empty disks start shortly after each other in any order, and a host that is not
+// started yet does not listen. In each order all five must bootstrap one cluster, and no change may
+// be committed before.
+TEST(SelfManagedStart, BootstrapsOneClusterInEveryStartOrder) {
   std::vector<std::size_t> Order{0, 1, 2, 3, 4};
   std::size_t Orders = 0;
   do {
-    expectOneLog(Order, 50ms);
-    expectOneLog(Order, 700ms);
+    expectOneCluster(Order, 50ms);
+    expectOneCluster(Order, 700ms);
     ASSERT_FALSE(testing::Test::HasFailure()) << "order " << Orders;
     ++Orders;
   } while (std::next_permutation(Order.begin(), Order.end()));
--- a/tests/consensus/total_loss_test.cpp
+++ b/tests/consensus/total_loss_test.cpp
@@ -1,4 +1,4 @@
-/** @file total_loss_test.cpp How soon a log has a leader again after all processes ended. */
+/** @file total_loss_test.cpp Time to a new leader after a restart of all processes. */
 #include "consensus/fake_cluster_base.h"
 
 #include <gtest/gtest.h>
@@ -23,36 +23,38 @@
   return Options;
 }
 
-/// A fleet whose control hosts all lost their processes, a while after a leader was elected.
-struct a_log_without_processes {
-  explicit a_log_without_processes(std::uint64_t Seed) : Cluster(Voters, Seed, shortTimeouts()) {
+/// A cluster in which all processes were killed some time after a leader was elected.
+struct a_cluster_without_processes {
+  explicit a_cluster_without_processes(std::uint64_t Seed)
+      : Cluster(Voters, Seed, shortTimeouts()) {
     Cluster.Rates.MaxDelay = 2ms;
     Cluster.Rates.MaxSync = 10ms;
-    EXPECT_TRUE(Cluster.runUntil([this] { return Cluster.isWhole(); }));
+    EXPECT_TRUE(Cluster.runUntil([this] { return Cluster.hasConverged(); }));
     EXPECT_TRUE(Cluster.propose(*Cluster.leader()));
     Cluster.run(200ms);
-    Former = Cluster.leader()->Id;
+    FormerLeader = Cluster.leader()->Id;
     for (fake_host &Host : Cluster.hosts())
       Cluster.crash(Host);
   }
 
-  /// Starts all but one within 60 ms. @return From the last start until a leader has committed.
+  /// Starts all hosts but Missing within 60 ms. @return The time from the last start until a leader
+  /// has committed an entry.
   mono_duration timeToLeader(std::optional<member_id> Missing) {
     for (fake_host &Host : Cluster.hosts()) {
       Cluster.run(mono_duration(Cluster.random().below(15ms / 1ns)));
       if (Host.Id != Missing)
         Cluster.start(Host);
     }
-    mono_duration Took{0};
-    while (Cluster.leader() == nullptr && Took < 5s) {
+    mono_duration Elapsed{0};
+    while (Cluster.leader() == nullptr && Elapsed < 5s) {
       Cluster.run(1ms);
-      Took += 1ms;
+      Elapsed += 1ms;
     }
-    return Took;
+    return Elapsed;
   }
 
   fake_cluster Cluster;
-  member_id Former;
+  member_id FormerLeader;
 };
 
 mono_duration percentile(std::vector<mono_duration> Times, std::size_t Percent) {
@@ -60,31 +62,32 @@
   return Times[Times.size() * Percent / 100];
 }
 
-// All control hosts are killed and are back within a second. Requests wait at the entries until a
-// leader has told the declaration in force. The former leader answers, so no lease is left that
-// voters would have to let pass: what remains is a vote's way and its syncs.
-TEST(AfterALossOfAllProcesses, ALeaderIsElectedWithoutAnElectionTimeout) {
+// All control hosts are killed and restart within a second. Requests wait at the entries until a
+// leader has sent the declaration in force. The former leader replies, so voters need not wait for
+// a lease. The remaining time is that of the vote messages and their syncs.
+TEST(AfterARestartOfAllProcesses, ALeaderIsElectedWithoutAnElectionTimeout) {
   std::vector<mono_duration> Times;
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed)
-    Times.push_back(a_log_without_processes(Seed).timeToLeader(std::nullopt));
+    Times.push_back(a_cluster_without_processes(Seed).timeToLeader(std::nullopt));
   EXPECT_LT(percentile(Times, 50), 100ms);
-  // Two that ask in the same moment may share the votes: then a timeout passes, seldom.
+  // Rarely, two candidates that start at the same time split the votes and another timeout passes.
   EXPECT_LT(percentile(Times, 90), 150ms);
   EXPECT_LT(percentile(Times, 99), 1500ms);
-  std::printf("a leader after a loss of all: p50 %ld ms, p90 %ld ms, most %ld ms\n",
-              static_cast<long>(percentile(Times, 50) / 1ms),
-              static_cast<long>(percentile(Times, 90) / 1ms),
-              static_cast<long>(percentile(Times, 99) / 1ms));
+  std::printf(
+      "time to a leader after a restart of all processes: p50 %ld ms, p90 %ld ms, max %ld ms\n",
+      static_cast<long>(percentile(Times, 50) / 1ms),
+      static_cast<long>(percentile(Times, 90) / 1ms),
+      static_cast<long>(percentile(Times, 99) / 1ms));
 }
 
-// The same, but the former leader's host stays away. Its process may run still, cut off, and hold
-// its lease: the others let the minimum timeout pass.
-TEST(AfterALossOfAllProcesses, TheLeaseOfALeaderThatIsNotHeardIsWaitedFor) {
+// The former leader's host does not return. Its process may still run behind a partition and hold
+// its lease, so the others wait for the minimum election timeout.
+TEST(AfterARestartOfAllProcesses, VotersWaitForTheLeaseOfAnAbsentLeader) {
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
-    a_log_without_processes Log(Seed);
-    const mono_duration Took = Log.timeToLeader(Log.Former);
-    EXPECT_GE(Took, 225ms) << "seed " << Seed << ": 300 ms from the start of three of them";
-    EXPECT_LT(Took, 2s) << "seed " << Seed;
+    a_cluster_without_processes Log(Seed);
+    const mono_duration Elapsed = Log.timeToLeader(Log.FormerLeader);
+    EXPECT_GE(Elapsed, 225ms) << "seed " << Seed << ": 300 ms from the start of three of them";
+    EXPECT_LT(Elapsed, 2s) << "seed " << Seed;
   }
 }
 
--- a/tests/storage/data_folder_test.cpp
+++ b/tests/storage/data_folder_test.cpp
@@ -1,5 +1,4 @@
-/** @file data_folder_test.cpp What a data folder holds after it was closed, cut, flipped or filled.
- */
+/** @file data_folder_test.cpp Tests of data folders after crashes, corruption and disk failures. */
 #include "storage/scratch_folder_base.h"
 
 #include <rapidcheck.h>
@@ -8,14 +7,14 @@
 namespace pollenstall {
 namespace {
 
-constexpr std::uint64_t RecordMiddle = 46; ///< In the payload of a first record.
+constexpr std::uint64_t RecordMiddle = 46; ///< Offset in the payload of the first record.
 
 class DataFolderTest : public testing::Test {
 protected:
   [[nodiscard]] std::vector<log_entry> readEntries() const {
     return Scratch.open()->restored().Entries;
   }
-  template <typename Error> Error refusal() const {
+  template <typename Error> Error openError() const {
     const auto Opened = Scratch.tryOpen();
     EXPECT_FALSE(succeeded(Opened));
     EXPECT_TRUE(std::holds_alternative<Error>(errorOf(Opened))) << toText(errorOf(Opened));
@@ -25,41 +24,42 @@
   scratch_folder Scratch;
 };
 
-class a_fresh_folder : public DataFolderTest {};
+class a_new_folder : public DataFolderTest {};
 
-TEST_F(a_fresh_folder, TakesTheOfferedDiskAndKeepsIt) {
+TEST_F(a_new_folder, StoresTheGivenDiskIdentity) {
   EXPECT_EQ(Scratch.open()->identity().Key.Disk, disk_identity(9));
   Scratch.Options.NewDiskIdentity = disk_identity(10);
   EXPECT_EQ(Scratch.open()->identity().Key.Disk, disk_identity(9));
 }
 
-TEST_F(a_fresh_folder, IsRefusedToASecondProcess) {
-  const auto Holder = Scratch.open();
-  EXPECT_EQ(refusal<folder_in_use>().Folder, Scratch.Options.Folder);
+TEST_F(a_new_folder, CannotBeOpenedByASecondProcess) {
+  const auto OtherProcess = Scratch.open();
+  EXPECT_EQ(openError<folder_in_use>().Folder, Scratch.Options.Folder);
 }
 
-// Two hosts' folders are mixed up at a repair. Under the other's promises a member could vote
-// twice in a term, so the folder names whose it is and does not open.
-TEST_F(a_fresh_folder, IsRefusedToAnotherMemberOrFleet) {
+// The folders of two hosts are swapped by mistake during a repair. With the hard state of the
+// other, a member could vote twice in a term, so the folder does not open and the error names its
+// owner.
+TEST_F(a_new_folder, CannotBeOpenedForAnotherMemberOrFleet) {
   Scratch.open();
   Scratch.Options.Member = member_id(2);
-  EXPECT_EQ(refusal<foreign_folder>().Found.Key.Member, member_id(1));
+  EXPECT_EQ(openError<foreign_folder>().Found.Key.Member, member_id(1));
   Scratch.Options.Member = member_id(1);
   Scratch.Options.Fleet = "sognebrev";
-  EXPECT_EQ(refusal<foreign_folder>().Found.Fleet, "accra");
+  EXPECT_EQ(openError<foreign_folder>().Found.Fleet, "accra");
 }
 
-// An operator restores a backup without the identity. A new identity over an old log would let a
-// disk that gave votes pass for one that never did.
-TEST_F(a_fresh_folder, IsNotMadeAroundAnOldLog) {
+// An operator restores a backup without the identity file. With a new identity over an old log, a
+// disk that has voted would be treated as one that never has.
+TEST_F(a_new_folder, IsNotCreatedOverAnExistingLog) {
   Scratch.writeOnce({writeOf(1, 1)});
   std::filesystem::remove(Scratch.Options.Folder / "identity");
-  refusal<corrupt_file>();
+  openError<corrupt_file>();
 }
 
 class a_written_folder : public DataFolderTest {};
 
-TEST_F(a_written_folder, GivesBackTermVoteAndEntries) {
+TEST_F(a_written_folder, RestoresTermVoteAndEntries) {
   persist_log Write = writeOf(1, 3);
   Write.Hard = hard_state{term_number(4), {member_id(2), disk_identity(7)}};
   Scratch.writeOnce({Write, writeOf(4, 5)});
@@ -70,17 +70,17 @@
   EXPECT_TRUE(Folder->repairs().empty());
 }
 
-TEST_F(a_written_folder, ForgetsWhatWasTruncatedOverSeveralSegments) {
+TEST_F(a_written_folder, RemovesEntriesTruncatedAcrossSeveralSegments) {
   Scratch.Options.SegmentBytes = 100;
-  persist_log Cut = writeOf(4, 4, 2);
-  Cut.TruncateFrom = log_index(4);
-  Scratch.writeOnce({writeOf(1, 9), Cut});
+  persist_log Truncation = writeOf(4, 4, 2);
+  Truncation.TruncateFrom = log_index(4);
+  Scratch.writeOnce({writeOf(1, 9), Truncation});
   const std::vector<log_entry> Entries = readEntries();
   ASSERT_EQ(Entries.size(), 4U);
   EXPECT_EQ(Entries[3], entryAt(4, 2));
 }
 
-TEST_F(a_written_folder, DropsSegmentsThatTheOlderSnapshotCovers) {
+TEST_F(a_written_folder, RemovesSegmentsCoveredByTheOlderSnapshot) {
   Scratch.Options.SegmentBytes = 100;
   persist_log First;
   First.Snapshot = snapshotAt(6);
@@ -95,9 +95,9 @@
   EXPECT_LE(Folder->restored().Entries.front().Index, log_index(7));
 }
 
-// The newest snapshot decays. The one before it and the log after that lead to the same state, so
-// the member starts and says what it passed over.
-TEST_F(a_written_folder, StartsFromTheOlderSnapshotWhereTheNewestIsDamaged) {
+// The newest snapshot is corrupt. The previous one and the log after it lead to the same state, so
+// the folder opens and reports the skipped snapshot.
+TEST_F(a_written_folder, OpensWithTheOlderSnapshotIfTheNewestIsCorrupt) {
   persist_log First;
   First.Snapshot = snapshotAt(2);
   First.CompactTo = log_index(2);
@@ -105,24 +105,25 @@
   Second.Snapshot = snapshotAt(4);
   Second.CompactTo = log_index(4);
   Scratch.writeOnce({writeOf(1, 6), First, Second});
-  scratch_folder::flip(Scratch.Options.Folder / "snapshot-00000000000000000004", 30);
+  scratch_folder::flipByte(Scratch.Options.Folder / "snapshot-00000000000000000004", 30);
   const auto Folder = Scratch.open();
   EXPECT_EQ(Folder->restored().Snapshot->Index, log_index(2));
   EXPECT_EQ(Folder->restored().Entries.back().Index, log_index(6));
   EXPECT_EQ(Folder->repairs().size(), 1U);
 }
 
-// A snapshot is installed in place of a log that differs, and the process dies before the log's
-// files are gone. At the start the old entries must not be taken for what follows the snapshot.
-TEST_F(a_written_folder, DropsALogThatASnapshotHasReplaced) {
+// A snapshot is installed in place of a log that differs, and the process crashes before the files
+// of that log are removed. After a restart the old entries must not be used as the continuation of
+// the snapshot.
+TEST_F(a_written_folder, RemovesALogThatASnapshotHasReplaced) {
   Scratch.writeOnce({writeOf(1, 9)});
-  const std::filesystem::path Old = Scratch.lastSegment();
-  std::filesystem::copy_file(Old, Scratch.Path / "kept");
-  persist_log Install;
-  Install.Snapshot = snapshotAt(7, 3);
-  Install.ResetLog = true;
-  Scratch.writeOnce({Install});
-  std::filesystem::copy_file(Scratch.Path / "kept", Old);
+  const std::filesystem::path OldSegment = Scratch.lastSegment();
+  std::filesystem::copy_file(OldSegment, Scratch.Path / "kept");
+  persist_log InstalledSnapshot;
+  InstalledSnapshot.Snapshot = snapshotAt(7, 3);
+  InstalledSnapshot.ResetLog = true;
+  Scratch.writeOnce({InstalledSnapshot});
+  std::filesystem::copy_file(Scratch.Path / "kept", OldSegment);
   EXPECT_TRUE(readEntries().empty());
   Scratch.writeOnce({writeOf(8, 8, 3)});
   EXPECT_EQ(readEntries(), (std::vector<log_entry>{entryAt(8, 3)}));
@@ -130,9 +131,9 @@
 
 class a_crash : public DataFolderTest {};
 
-// The power fails in the middle of a write that nobody was told of. The start cuts the torn record
-// off, keeps all before it, and goes on writing there.
-TEST_F(a_crash, LeavesATornTailThatIsCut) {
+// The power fails during an unconfirmed write. Opening the folder truncates the torn record and
+// keeps all records before it, and new records are appended there.
+TEST_F(a_crash, LeavesATornTailThatIsTruncated) {
   Scratch.writeOnce({writeOf(1, 3)});
   const auto Size = std::filesystem::file_size(Scratch.lastSegment());
   std::filesystem::resize_file(Scratch.lastSegment(), Size - 1);
@@ -145,11 +146,11 @@
   EXPECT_EQ(readEntries().size(), 4U);
 }
 
-// Sectors of one unsynced batch reach the disk out of order: a hole of zeros, then whole records.
-// That is a torn tail as well, as the later records say that nothing here was synced.
-TEST_F(a_crash, LeavesAHoleInAnUnsyncedBatchThatIsCut) {
+// Sectors of an unsynced batch reach the disk out of order: zeros, followed by valid records. That
+// is a torn tail as well, because the later records show that this part was not synced.
+TEST_F(a_crash, LeavesAHoleInAnUnsyncedBatchThatIsTruncated) {
   Scratch.writeOnce({writeOf(1, 1)});
-  const auto Synced = std::filesystem::file_size(Scratch.lastSegment());
+  const auto SyncedSize = std::filesystem::file_size(Scratch.lastSegment());
   Scratch.writeOnce({writeOf(2, 60)});
   {
     std::fstream File(Scratch.lastSegment(), std::ios::in | std::ios::out | std::ios::binary);
@@ -159,25 +160,26 @@
   const auto Entries = readEntries();
   EXPECT_GE(Entries.size(), 1U);
   EXPECT_LT(Entries.size(), 60U);
-  EXPECT_GE(std::filesystem::file_size(Scratch.lastSegment()), Synced);
+  EXPECT_GE(std::filesystem::file_size(Scratch.lastSegment()), SyncedSize);
 }
 
-class a_decayed_disk : public DataFolderTest {};
+class a_corrupt_folder : public DataFolderTest {};
 
-// A byte changes in an entry that was synced and acknowledged. Cutting the log there would take
-// back committed entries without a word, so the folder does not open and says where.
-TEST_F(a_decayed_disk, IsRefusedByNameInTheMiddle) {
+// A byte changes in an entry that was synced and acknowledged. Truncating the log there would
+// silently remove committed entries, so the folder does not open and the error names the file and
+// offset.
+TEST_F(a_corrupt_folder, IsRefusedIfARecordInTheMiddleIsCorrupt) {
   Scratch.writeOnce({writeOf(1, 3)});
   Scratch.writeOnce({writeOf(4, 5)});
-  scratch_folder::flip(Scratch.lastSegment(), RecordMiddle);
-  const corrupt_file Error = refusal<corrupt_file>();
+  scratch_folder::flipByte(Scratch.lastSegment(), RecordMiddle);
+  const corrupt_file Error = openError<corrupt_file>();
   EXPECT_EQ(Error.Path, Scratch.lastSegment());
   EXPECT_EQ(Error.Offset, 0U);
 }
 
-// A sector of synced records reads as zeros, as a torn one would. A later record says that this
-// part was synced before it was written itself.
-TEST_F(a_decayed_disk, IsRefusedWhereASyncedSectorReadsAsZeros) {
+// A sector of synced records reads as zeros, like a torn one, but a later record shows that this
+// part was synced.
+TEST_F(a_corrupt_folder, IsRefusedIfASyncedSectorReadsAsZeros) {
   Scratch.writeOnce({writeOf(1, 60)});
   Scratch.writeOnce({writeOf(61, 61)});
   {
@@ -185,27 +187,27 @@
     File.seekp(512);
     File << std::string(512, '\0');
   }
-  refusal<corrupt_file>();
+  openError<corrupt_file>();
 }
 
-TEST_F(a_decayed_disk, IsRefusedByNameInTheLastRecordToo) {
+TEST_F(a_corrupt_folder, IsRefusedIfTheLastRecordIsCorrupt) {
   Scratch.writeOnce({writeOf(1, 3)});
   const auto Size = std::filesystem::file_size(Scratch.lastSegment());
-  scratch_folder::flip(Scratch.lastSegment(), Size - 2);
-  EXPECT_GT(refusal<corrupt_file>().Offset, 0U);
+  scratch_folder::flipByte(Scratch.lastSegment(), Size - 2);
+  EXPECT_GT(openError<corrupt_file>().Offset, 0U);
 }
 
-TEST_F(a_decayed_disk, IsRefusedWhereASegmentIsMissing) {
+TEST_F(a_corrupt_folder, IsRefusedIfASegmentIsMissing) {
   Scratch.Options.SegmentBytes = 40;
   Scratch.writeOnce({writeOf(1, 3)});
   std::filesystem::remove(Scratch.Options.Folder / "log-00000000000000000002");
-  refusal<corrupt_file>();
+  openError<corrupt_file>();
 }
 
-TEST_F(a_decayed_disk, IsRefusedWhereTermAndVoteAreDamaged) {
+TEST_F(a_corrupt_folder, IsRefusedIfTermAndVoteAreCorrupt) {
   Scratch.open();
-  scratch_folder::flip(Scratch.Options.Folder / "meta", 3);
-  EXPECT_EQ(refusal<corrupt_file>().Path, Scratch.Options.Folder / "meta");
+  scratch_folder::flipByte(Scratch.Options.Folder / "meta", 3);
+  EXPECT_EQ(openError<corrupt_file>().Path, Scratch.Options.Folder / "meta");
 }
 
 class a_failing_disk : public DataFolderTest {
@@ -213,11 +215,11 @@
   file_faults Faults;
 };
 
-// The disk fills up in the middle of a batch. The writer is told so by name, nothing is confirmed,
-// and after space was made everything that had been confirmed is there.
-TEST_F(a_failing_disk, IsFullWithoutDamage) {
+// The disk becomes full during a batch. The write returns disk_full and is not confirmed, and all
+// confirmed entries are still there when the folder is opened again.
+TEST_F(a_failing_disk, DoesNotCorruptTheLogWhenFull) {
   {
-    const auto Folder = Scratch.open(faultyFiles(Faults));
+    const auto Folder = Scratch.open(faultyFileSystem(Faults));
     ASSERT_TRUE(succeeded(Folder->write({writeOf(1, 3)})));
     Faults.BytesLeft = 70;
     const auto Written = Folder->write({writeOf(4, 6)});
@@ -227,12 +229,12 @@
   EXPECT_EQ(readEntries().size(), 3U);
 }
 
-TEST_F(a_failing_disk, IsFullForTermAndVoteWithoutDamage) {
+TEST_F(a_failing_disk, DoesNotCorruptTermAndVoteWhenFull) {
   persist_log Write;
   Write.Hard = hard_state{term_number(4), {}};
   Scratch.writeOnce({Write});
   {
-    const auto Folder = Scratch.open(faultyFiles(Faults));
+    const auto Folder = Scratch.open(faultyFileSystem(Faults));
     Faults.BytesLeft = 5;
     Write.Hard->Term = term_number(5);
     EXPECT_FALSE(succeeded(Folder->write({Write})));
@@ -240,17 +242,17 @@
   EXPECT_EQ(Scratch.open()->restored().Hard.Term, term_number(4));
 }
 
-// A sync fails once and would succeed when it is tried again, because the kernel has dropped the
-// pages that it could not write. The second success would confirm what is not on the disk.
-TEST_F(a_failing_disk, IsNotTrustedAfterAFailedSync) {
-  const auto Folder = Scratch.open(faultyFiles(Faults));
+// A sync fails once, and a retry would succeed because the kernel has dropped the pages that it
+// could not write. Success of the retry would confirm data that is not on the disk.
+TEST_F(a_failing_disk, ConfirmsNoWriteAfterAFailedSync) {
+  const auto Folder = Scratch.open(faultyFileSystem(Faults));
   Faults.SyncFails = true;
   EXPECT_FALSE(succeeded(Folder->write({writeOf(1, 1)})));
   Faults.SyncFails = false;
   EXPECT_FALSE(succeeded(Folder->write({writeOf(2, 2)})));
 }
 
-/// Bytes that a property's next write adds or changes.
+/// Returns a random write that may truncate the log and appends up to four entries.
 persist_log arbitraryWrite(std::uint64_t &Last, std::uint64_t &Term) {
   persist_log Write;
   if (Last > 0 && *rc::gen::inRange(0, 4) == 0) {
@@ -259,12 +261,12 @@
     Last = Write.TruncateFrom->value() - 1;
   }
   const auto Count = *rc::gen::inRange(0, 5);
-  for (int Place = 0; Place < Count; ++Place)
+  for (int EntryNumber = 0; EntryNumber < Count; ++EntryNumber)
     Write.Entries.push_back(entryAt(++Last, Term, *rc::gen::arbitrary<std::string>() + "."));
   return Write;
 }
 
-RC_GTEST_PROP(DataFolderProperty, KeepsWhatWasConfirmedWhereverTheTailIsTorn, ()) {
+RC_GTEST_PROP(DataFolderProperty, KeepsConfirmedEntriesWhereverTheTailIsTorn, ()) {
   scratch_folder Scratch;
   Scratch.Options.SegmentBytes = *rc::gen::inRange<std::uint64_t>(1, 600);
   std::vector<log_entry> Confirmed;
@@ -284,13 +286,13 @@
   RC_ASSERT(Scratch.open()->restored().Entries == Confirmed);
   if (Confirmed.empty())
     return;
-  const std::filesystem::path Tail = Scratch.lastSegment();
-  const auto Synced = std::filesystem::file_size(Tail);
-  const log_entry More = entryAt(Last + 1, Term, "not confirmed");
+  const std::filesystem::path LastSegment = Scratch.lastSegment();
+  const auto SyncedSize = std::filesystem::file_size(LastSegment);
+  const log_entry UnconfirmedEntry = entryAt(Last + 1, Term, "not confirmed");
   Scratch.Options.SegmentBytes = 1U << 20U;
-  Scratch.writeOnce({{{}, {}, {}, false, {}, {}, {More}}});
-  const auto Whole = std::filesystem::file_size(Tail);
-  std::filesystem::resize_file(Tail, *rc::gen::inRange(Synced, Whole));
+  Scratch.writeOnce({{{}, {}, {}, false, {}, {}, {UnconfirmedEntry}}});
+  const auto FullSize = std::filesystem::file_size(LastSegment);
+  std::filesystem::resize_file(LastSegment, *rc::gen::inRange(SyncedSize, FullSize));
   RC_ASSERT(Scratch.open()->restored().Entries == Confirmed);
 }
 
--- a/tests/storage/scratch_folder_base.h
+++ b/tests/storage/scratch_folder_base.h
@@ -1,5 +1,4 @@
-/** @file scratch_folder_base.h A data folder for one test, and calls on files that fail on demand.
- */
+/** @file scratch_folder_base.h A temporary data folder and a file system with injected faults. */
 #ifndef POLLENSTALL_TESTS_STORAGE_SCRATCH_FOLDER_BASE_H
 #define POLLENSTALL_TESTS_STORAGE_SCRATCH_FOLDER_BASE_H
 
@@ -15,14 +14,14 @@
 
 namespace pollenstall {
 
-/// Which calls fail from now on.
+/// The file operations that fail from now on.
 struct file_faults {
   bool SyncFails{false};
-  std::optional<std::size_t> BytesLeft; ///< Writes beyond this many bytes meet a full disk.
+  std::optional<std::size_t> BytesLeft; ///< Writes beyond this number of bytes fail with ENOSPC.
 };
 
-/// The system's calls, except where Faults says otherwise.
-inline file_system faultyFiles(file_faults &Faults) {
+/// Returns the operations of the operating system with the faults of Faults.
+inline file_system faultyFileSystem(file_faults &Faults) {
   file_system FileSystem = osFileSystem();
   FileSystem.Write = [&Faults, Write = FileSystem.Write](int File, const void *Bytes,
                                                          std::size_t Size) {
@@ -65,7 +64,7 @@
       log_snapshot{log_index(Index), term_number(Term), Members, "state " + std::to_string(Index)});
 }
 
-/// A folder of its own under the system's temporary folder, removed at the end.
+/// A temporary data folder, removed by the destructor.
 class scratch_folder {
 public:
   scratch_folder() {
@@ -86,7 +85,7 @@
     return std::move(valueOf(Opened));
   }
 
-  /// Opens, writes one batch, closes.
+  /// Opens the folder, writes one batch and closes the folder.
   void writeOnce(const std::vector<persist_log> &Batch) const {
     const auto Written = open()->write(Batch);
     ASSERT_TRUE(succeeded(Written)) << toText(errorOf(Written));
@@ -102,7 +101,7 @@
   }
 
   /// Changes one byte of a file.
-  static void flip(const std::filesystem::path &Path, std::uint64_t Offset) {
+  static void flipByte(const std::filesystem::path &Path, std::uint64_t Offset) {
     std::fstream File(Path, std::ios::in | std::ios::out | std::ios::binary);
     File.seekg(static_cast<std::streamoff>(Offset));
     const int Byte = File.get();
