--- a/src/consensus/consensus_type.h
+++ b/src/consensus/consensus_type.h
@@ -35,8 +35,8 @@
  */
 struct member_key {
   member_id Member;
-  disk_identity
-      Disk; ///< 0 only in an admission_request, if the sender does not know the receiver's disk.
+  /// 0 only in an admission_request, if the sender does not know the receiver's disk.
+  disk_identity Disk;
 
   auto operator<=>(const member_key &) const = default;
 };
@@ -148,8 +148,7 @@
   term_number PrevTerm;
   log_index Commit;
   std::uint64_t Round{0}; ///< Increases with every message of a leader; echoed in the reply.
-  std::int64_t SentAt{
-      0}; ///< Clock of the leader in ns; echoed in the reply, used only by the leader.
+  std::int64_t SentAt{0}; ///< Leader's clock in ns; echoed in the reply, read only by the leader.
   std::vector<log_entry> Entries;
 };
 
--- a/src/consensus/replica_core_base.h
+++ b/src/consensus/replica_core_base.h
@@ -87,7 +87,7 @@
   void randomizeElectionDeadline(mono_time Now);
   void randomizeEarlyDeadline(mono_time Now, mono_duration Delay);
   void recordFollowedLeader(const member_key &Member);
-  void noteWillNotLead(const consensus_message &Message, mono_time Now);
+  void handleWillNotLead(const consensus_message &Message, mono_time Now);
   void startPreVote(mono_time Now);
   void becomeCandidate(mono_time Now);
   void countOwnVote();
--- a/src/consensus/replica_core_election.cpp
+++ b/src/consensus/replica_core_election.cpp
@@ -36,7 +36,7 @@
  * cluster would commit nothing for 0.4 s. The release is safe because a member leads a term at most
  * once, and not after it has reported in that term, as a follower, that it does not lead.
  */
-void replica_core::noteWillNotLead(const consensus_message &Message, mono_time Now) {
+void replica_core::handleWillNotLead(const consensus_message &Message, mono_time Now) {
   const bool FromReleasedLeader =
       Message.From == Hard.FollowedLeader.Member && Message.Term >= Hard.FollowedLeader.Term;
   if (!FromReleasedLeader || LeaseReleased || role() == replica_role::Leader)
@@ -129,8 +129,8 @@
 
 void replica_core::receiveBody(const consensus_message &Message, const pre_vote_request &Request,
                                mono_time Now) {
-  noteWillNotLead(Message,
-                  Now); // The sender of a pre-vote request neither leads nor is a candidate.
+  handleWillNotLead(Message,
+                    Now); // The sender of a pre-vote request neither leads nor is a candidate.
   const bool Granted = Request.ForTerm > Hard.Term && mayVote(Now) &&
                        Log.isUpToDate(Request.LastIndex, Request.LastTerm);
   // If several members start together, only the first requester continues: two candidates would
@@ -148,7 +148,7 @@
   if (findMember(members(), Message.From) == nullptr)
     return;
   if (Reply.WillNotLead)
-    noteWillNotLead(Message, Now);
+    handleWillNotLead(Message, Now);
   if (Message.Term > Hard.Term && !Reply.Granted) {
     adoptTerm(Message.Term);
     return;
--- a/src/consensus/replica_core_member.cpp
+++ b/src/consensus/replica_core_member.cpp
@@ -6,7 +6,7 @@
 namespace pollenstall {
 
 namespace {
-constexpr term_number BootstrapTerm{1}; ///< No election can be won in it.
+constexpr term_number BootstrapTerm{1}; ///< No leader is elected in this term.
 } // namespace
 
 void replica_core::adoptMembers(log_index Index, member_set Set) {
--- a/src/storage/folder_meta.cpp
+++ b/src/storage/folder_meta.cpp
@@ -77,8 +77,8 @@
   const member_key Vote{member_id(fieldAt(Bytes, 1)), disk_identity(fieldAt(Bytes, 2))};
   hard_state Hard{term_number(fieldAt(Bytes, 0)), Vote};
   if (Bytes.size() >= (MetaFields + FollowedLeaderFields) * Uint64Size)
-    Hard.Followed = {term_number(fieldAt(Bytes, 3)),
-                     {member_id(fieldAt(Bytes, 4)), disk_identity(fieldAt(Bytes, 5))}};
+    Hard.FollowedLeader = {term_number(fieldAt(Bytes, 3)),
+                           {member_id(fieldAt(Bytes, 4)), disk_identity(fieldAt(Bytes, 5))}};
   return Hard;
 }
 
@@ -88,9 +88,9 @@
   appendNumber(Bytes, Hard.Term.value(), Uint64Size);
   appendNumber(Bytes, Hard.Vote.Member.value(), Uint64Size);
   appendNumber(Bytes, Hard.Vote.Disk.value(), Uint64Size);
-  appendNumber(Bytes, Hard.Followed.Term.value(), Uint64Size);
-  appendNumber(Bytes, Hard.Followed.Member.Member.value(), Uint64Size);
-  appendNumber(Bytes, Hard.Followed.Member.Disk.value(), Uint64Size);
+  appendNumber(Bytes, Hard.FollowedLeader.Term.value(), Uint64Size);
+  appendNumber(Bytes, Hard.FollowedLeader.Member.Member.value(), Uint64Size);
+  appendNumber(Bytes, Hard.FollowedLeader.Member.Disk.value(), Uint64Size);
   return replaceFile(FileSystem, Folder / MetaName, withChecksum(std::move(Bytes)));
 }
 
--- a/src/storage/log_segment.cpp
+++ b/src/storage/log_segment.cpp
@@ -62,8 +62,8 @@
 
 } // namespace
 
-log_segment::log_segment(std::filesystem::path FilePath, log_index FirstIndex, file_handle Opened)
-    : Path(std::move(FilePath)), First(FirstIndex), File(std::move(Opened)) {}
+log_segment::log_segment(std::filesystem::path FilePath, log_index FirstIndex, file_handle NewFile)
+    : Path(std::move(FilePath)), First(FirstIndex), File(std::move(NewFile)) {}
 
 std::optional<log_index> log_segment::firstIndexFromName(const std::string &Name) {
   if (Name.compare(0, NamePrefix.size(), NamePrefix) != 0)
@@ -76,13 +76,13 @@
                                                        const std::filesystem::path &Folder,
                                                        log_index First) {
   const std::filesystem::path Path = Folder / fileNameOf(First);
-  auto Opened = openFile(Path, O_WRONLY | O_CREAT | O_TRUNC | O_APPEND);
-  if (!succeeded(Opened))
-    return errorOf(Opened);
+  auto NewFile = openFile(Path, O_WRONLY | O_CREAT | O_TRUNC | O_APPEND);
+  if (!succeeded(NewFile))
+    return errorOf(NewFile);
   const auto Synced = syncFolder(FileSystem, Folder);
   if (!succeeded(Synced))
     return errorOf(Synced);
-  return log_segment(Path, First, std::move(valueOf(Opened)));
+  return log_segment(Path, First, std::move(valueOf(NewFile)));
 }
 
 result<log_segment::open_result, storage_error> log_segment::open(const file_system &FileSystem,
@@ -94,7 +94,7 @@
   auto File = openFile(Path, O_WRONLY | O_APPEND);
   if (!succeeded(File))
     return errorOf(File);
-  open_result Opened{log_segment(Path, First, std::move(valueOf(File))), {}, 0};
+  open_result Result{log_segment(Path, First, std::move(valueOf(File))), {}, 0};
   const std::string_view Bytes = valueOf(Contents);
   std::size_t Offset = 0;
   while (Offset < Bytes.size()) {
@@ -104,17 +104,17 @@
         return corrupt_file{Path, Offset, "the checksum of a record does not match"};
       break;
     }
-    if (Record.Entry.Index != Opened.Segment.last().next())
+    if (Record.Entry.Index != Result.Segment.last().next())
       return corrupt_file{Path, Offset, "an index is out of order"};
-    Opened.Segment.Offsets.push_back(Offset);
-    Opened.Entries.push_back(std::move(Record.Entry));
+    Result.Segment.Offsets.push_back(Offset);
+    Result.Entries.push_back(std::move(Record.Entry));
     Offset += Record.Size;
   }
-  Opened.TruncatedBytes = Bytes.size() - Offset;
-  const auto TruncateResult = Opened.Segment.truncateTo(FileSystem, Offset);
+  Result.TruncatedBytes = Bytes.size() - Offset;
+  const auto TruncateResult = Result.Segment.truncateTo(FileSystem, Offset);
   if (!succeeded(TruncateResult))
     return errorOf(TruncateResult);
-  return Opened;
+  return Result;
 }
 
 storage_result log_segment::append(const file_system &FileSystem, const log_entry *Begin,
--- a/tests/consensus/fake_cluster.cpp
+++ b/tests/consensus/fake_cluster.cpp
@@ -10,8 +10,8 @@
 constexpr std::uint64_t MaxSteps = 1000000; ///< Ten times the steps of the longest schedule.
 } // namespace
 
-fake_cluster::fake_cluster(std::size_t Size, std::uint64_t Seed, const replica_options &Bounds)
-    : Random(Seed), Options(Bounds), Hosts(Size) {
+fake_cluster::fake_cluster(std::size_t Size, std::uint64_t Seed, const replica_options &NewOptions)
+    : Random(Seed), Options(NewOptions), Hosts(Size) {
   const double Skew = static_cast<double>(Options.ClockSkewPermille) / 1000;
   for (std::size_t HostIndex = 0; HostIndex < Size; ++HostIndex) {
     fake_host &Host = Hosts[HostIndex];
--- a/tests/consensus/fake_cluster_base.h
+++ b/tests/consensus/fake_cluster_base.h
@@ -43,7 +43,7 @@
 /// Runs replicas event by event and checks their history after each event.
 class fake_cluster {
 public:
-  fake_cluster(std::size_t Size, std::uint64_t Seed, const replica_options &Bounds);
+  fake_cluster(std::size_t Size, std::uint64_t Seed, const replica_options &NewOptions);
 
   /// Handles the events of the next Span of simulated time.
   void run(mono_duration Span);
--- a/tests/consensus/leader_test.cpp
+++ b/tests/consensus/leader_test.cpp
@@ -144,10 +144,10 @@
 }
 
 TEST_F(a_leader, SendsNoMoreThanTheWindow) {
-  replica_options Bounds;
-  Bounds.MaxBatchEntries = 1;
-  Bounds.MaxInFlight = 3;
-  start(bootstrappedLog(), Bounds);
+  replica_options TestOptions;
+  TestOptions.MaxBatchEntries = 1;
+  TestOptions.MaxInFlight = 3;
+  start(bootstrappedLog(), TestOptions);
   becomeLeaderAndCommit();
   Sent.clear();
   for (int Count = 0; Count < 20; ++Count)
@@ -159,10 +159,10 @@
 // All appends in a full window are lost, and their entries are then compacted into a snapshot. No
 // reply can empty that window any more, so without a snapshot the follower would never catch up.
 TEST_F(a_leader, SendsASnapshotIfAFullWindowWasCompacted) {
-  replica_options Bounds;
-  Bounds.MaxInFlight = 1;
-  Bounds.KeepAfterSnapshot = 0;
-  start(bootstrappedLog(), Bounds);
+  replica_options TestOptions;
+  TestOptions.MaxInFlight = 1;
+  TestOptions.KeepAfterSnapshot = 0;
+  start(bootstrappedLog(), TestOptions);
   becomeLeaderAndCommit();
   ack(MemberC, log_index(2));
   Replica->propose("x", Now);
@@ -179,10 +179,10 @@
 // If the heartbeat during a snapshot transfer sent the newest commit index without recording it,
 // each reply would trigger the next heartbeat immediately.
 TEST_F(a_leader, SendsNoHeartbeatInResponseToAReply) {
-  replica_options Bounds;
-  Bounds.MaxInFlight = 1;
-  Bounds.KeepAfterSnapshot = 0;
-  start(bootstrappedLog(), Bounds);
+  replica_options TestOptions;
+  TestOptions.MaxInFlight = 1;
+  TestOptions.KeepAfterSnapshot = 0;
+  start(bootstrappedLog(), TestOptions);
   becomeLeaderAndCommit();
   ack(MemberC, log_index(2));
   for (std::uint64_t Index = 3; Index <= 4; ++Index) {
--- a/tests/consensus/member_repair_test.cpp
+++ b/tests/consensus/member_repair_test.cpp
@@ -109,9 +109,9 @@
 struct a_bootstrapping_host_with_a_voter_target : ReplicaTest {
   void SetUp() override {
     MayBootstrap = true;
-    replica_options Bounds;
-    Bounds.TargetVoters = 3;
-    start({}, Bounds);
+    replica_options TestOptions;
+    TestOptions.TargetVoters = 3;
+    start({}, TestOptions);
   }
   void requestAdmissionFrom(const member_key &From) {
     Replica->addPeer(From.Member);
--- a/tests/consensus/member_test.cpp
+++ b/tests/consensus/member_test.cpp
@@ -104,9 +104,9 @@
 class a_membership_change : public ReplicaTest {};
 
 TEST_F(a_membership_change, ReplacesTheOldDiskAndPromotesTheNewOneOnceCaughtUp) {
-  replica_options Bounds;
-  Bounds.CaughtUpWithin = 0;
-  start(bootstrappedLog(), Bounds);
+  replica_options TestOptions;
+  TestOptions.CaughtUpWithin = 0;
+  start(bootstrappedLog(), TestOptions);
   becomeLeaderAndCommit();
   const auto BothReply = [this] {
     ack(MemberC, status().LastIndex);
