--- a/src/consensus/replica_base.h
+++ b/src/consensus/replica_base.h
@@ -31,8 +31,7 @@
   log_index LastIndex;
   log_index SnapshotIndex;
   bool LeaseValid{false};
-  bool Empty{
-      true}; ///< The log is empty: the cluster is not bootstrapped or this disk not admitted.
+  bool Empty{true}; ///< The cluster is not bootstrapped here, or this disk is not admitted yet.
   member_set Members;
   std::vector<member_progress> Progress; ///< On a leader only.
 };
--- a/src/consensus/replica_core_lease.cpp
+++ b/src/consensus/replica_core_lease.cpp
@@ -31,8 +31,8 @@
   if (!ContactTime)
     return {};
   // The lease starts at the send time, which is before the follower's timeout starts. The
-  // follower's clock may run fast and this one slow, so twice the skew is deducted: (1 - s) / (1 +
-  // s) > 1 - 2s.
+  // follower's clock may run fast and this one slow, so twice the skew is deducted:
+  // (1 - s) / (1 + s) > 1 - 2s.
   const std::int64_t LeasePermille = Permille - 2 * std::int64_t{Options.ClockSkewPermille};
   return *ContactTime + Options.MinElectionTimeout * LeasePermille / Permille;
 }
