--- a/tests/consensus/total_loss_test.cpp
+++ b/tests/consensus/total_loss_test.cpp
@@ -84,8 +84,8 @@
 // its lease, so the others wait for the minimum election timeout.
 TEST(AfterARestartOfAllProcesses, VotersWaitForTheLeaseOfAnAbsentLeader) {
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
-    a_cluster_without_processes Log(Seed);
-    const mono_duration Elapsed = Log.timeToLeader(Log.FormerLeader);
+    a_cluster_without_processes StoppedCluster(Seed);
+    const mono_duration Elapsed = StoppedCluster.timeToLeader(StoppedCluster.FormerLeader);
     EXPECT_GE(Elapsed, 225ms) << "seed " << Seed << ": 300 ms from the start of three of them";
     EXPECT_LT(Elapsed, 2s) << "seed " << Seed;
   }
