--- a/src/claim/claim.cpp
+++ b/src/claim/claim.cpp
@@ -1,15 +1,15 @@
-/** @file claim.cpp The rows of the table of claims and their two indexes by expiry. */
+/** @file claim.cpp Rows of the claim table and their two indexes by expiry time. */
 #include "claim/claim_base.h"
 
 namespace pollenstall {
 
-const claim_record *claim_table::lookUp(claim_key_hash Key) const {
+const claim_record *claim_table::findRecord(claim_key_hash Key) const {
   const auto Found = Claims.find(Key);
   return Found == Claims.end() ? nullptr : &Found->second;
 }
 
 std::optional<claim_record> claim_table::find(claim_key_hash Key) const {
-  const claim_record *Found = lookUp(Key);
+  const claim_record *Found = findRecord(Key);
   return Found == nullptr ? std::nullopt : std::optional<claim_record>(*Found);
 }
 
@@ -19,13 +19,13 @@
   return ByExpiry.begin()->first;
 }
 
-bool claim_table::hasRoom() const { return Claims.size() < Limit || !Released.empty(); }
+bool claim_table::hasRoom() const { return Claims.size() < Capacity || !ReleasedByExpiry.empty(); }
 
 void claim_table::insert(const claim_record &Record) {
   Claims.emplace(Record.Key, Record);
   ByExpiry.emplace(Record.ExpiresAt, Record.Key);
   if (Record.Standing == claim_standing::Released)
-    Released.emplace(Record.ExpiresAt, Record.Key);
+    ReleasedByExpiry.emplace(Record.ExpiresAt, Record.Key);
 }
 
 void claim_table::erase(claim_key_hash Key) {
@@ -34,19 +34,19 @@
     return;
   const std::pair<unix_millis, claim_key_hash> Index{Found->second.ExpiresAt, Key};
   ByExpiry.erase(Index);
-  Released.erase(Index);
+  ReleasedByExpiry.erase(Index);
   Claims.erase(Found);
 }
 
-void claim_table::evictOneReleased() {
-  // A released row only guards against a late copy of its own acquire; a live claim matters more.
-  if (Claims.size() >= Limit && !Released.empty())
-    erase(Released.begin()->second);
+void claim_table::evictReleasedIfFull() {
+  // A released row only rejects a late copy of its own acquire, so a new claim takes its place.
+  if (Claims.size() >= Capacity && !ReleasedByExpiry.empty())
+    erase(ReleasedByExpiry.begin()->second);
 }
 
 void claim_table::requireConsistent() const {
-  requireInvariant(Claims.size() <= Limit, "the table of claims stays within its bound");
-  requireInvariant(ByExpiry.size() == Claims.size(), "every claim is in the index by expiry");
+  requireInvariant(Claims.size() <= Capacity, "the claim table stays within its capacity");
+  requireInvariant(ByExpiry.size() == Claims.size(), "every claim is in the expiry index");
 }
 
 } // namespace pollenstall
--- a/src/claim/claim.h
+++ b/src/claim/claim.h
@@ -1,4 +1,4 @@
-/** @file claim.h Public header of claim: the replicated table of idempotency keys. */
+/** @file claim.h Public header of claim: the replicated table of claimed idempotency keys. */
 #ifndef POLLENSTALL_CLAIM_CLAIM_H
 #define POLLENSTALL_CLAIM_CLAIM_H
 
--- a/src/claim/claim_base.h
+++ b/src/claim/claim_base.h
@@ -1,4 +1,4 @@
-/** @file claim_base.h The table of claims, the same on every replica of the control log. */
+/** @file claim_base.h The claim table, identical on every replica of the control log. */
 #ifndef POLLENSTALL_CLAIM_CLAIM_BASE_H
 #define POLLENSTALL_CLAIM_CLAIM_BASE_H
 
@@ -13,19 +13,21 @@
 namespace pollenstall {
 
 /**
- * Who may run the work behind each idempotency key.
- * A key is granted to one send only; every other send is told the standing. The claim of a dead
- * owner stays Running until it expires, since nobody can prove that its work never ran.
+ * Records which request may run the work of each idempotency key.
+ * A key is granted to one request only; every other request with the key gets its standing. The
+ * claim of a dead owner stays Running until it expires, since nobody can prove that its work never
+ * ran.
  *
- * A command is checked without effect by check() and carried out by execute(), which checks again:
- * a refused command changes nothing, on every replica alike.
+ * check() validates a command without changing the table. execute() validates it again and applies
+ * it; a refused command changes nothing on any replica.
  */
 class claim_table {
 public:
-  /// @param MaxClaims Claims held at most, the same on every replica.
-  explicit claim_table(std::size_t MaxClaims) : Limit(MaxClaims) {}
+  /// @param MaxClaims Maximum number of claims; the same on every replica.
+  explicit claim_table(std::size_t MaxClaims) : Capacity(MaxClaims) {}
 
-  /// @return The verdict that execute() would give. The same send asking again gets the same one.
+  /// @return The verdict that execute() would return. A request that repeats its acquire gets the
+  /// same verdict.
   [[nodiscard]] result<claim_verdict, claim_error> check(const claim_acquire &Command) const;
   [[nodiscard]] result<done, claim_error> check(const claim_settle &Command) const;
   [[nodiscard]] result<done, claim_error> check(const claim_expire &Command) const;
@@ -34,37 +36,39 @@
   result<done, claim_error> execute(const claim_settle &Command);
   result<done, claim_error> execute(const claim_expire &Command);
 
-  /// @return The claim on a key, or nothing.
+  /// @return The claim on the key, or nothing if there is none.
   [[nodiscard]] std::optional<claim_record> find(claim_key_hash Key) const;
 
-  /// @return When the earliest claim expires, or nothing; the leader proposes claim_expire then.
+  /// @return The time at which the earliest claim expires, or nothing if the table is empty. The
+  /// leader proposes claim_expire at that time.
   [[nodiscard]] std::optional<unix_millis> nextExpiry() const;
 
-  /// @return Claims held, released ones included.
+  /// @return The number of claims, including released ones.
   [[nodiscard]] std::size_t size() const { return Claims.size(); }
 
-  /// @return The table as plain values. Defined in claim_sl.cpp.
+  /// Returns the table as plain values. Defined in claim_sl.cpp.
   [[nodiscard]] claim_snapshot snapshot() const;
 
-  /// @return The table that a snapshot describes, or InvalidSnapshot. Defined in claim_sl.cpp.
+  /// Rebuilds the table from a snapshot. Defined in claim_sl.cpp. @return The table, or
+  /// InvalidSnapshot.
   static result<claim_table, claim_error> restore(const claim_snapshot &Snapshot,
                                                   std::size_t MaxClaims);
 
 private:
   using expiry_index = std::set<std::pair<unix_millis, claim_key_hash>>;
 
-  [[nodiscard]] const claim_record *lookUp(claim_key_hash Key) const;
+  [[nodiscard]] const claim_record *findRecord(claim_key_hash Key) const;
   [[nodiscard]] bool hasRoom() const;
   void insert(const claim_record &Record);
   void erase(claim_key_hash Key);
-  void evictOneReleased();
+  void evictReleasedIfFull();
   void requireConsistent() const;
 
-  std::size_t Limit;
+  std::size_t Capacity;
   unix_millis ExpiredUntil{0};
   std::map<claim_key_hash, claim_record> Claims;
-  expiry_index ByExpiry; ///< Every claim.
-  expiry_index Released; ///< Those that make room when the table is full.
+  expiry_index ByExpiry;         ///< All claims.
+  expiry_index ReleasedByExpiry; ///< Released claims, which are evicted when the table is full.
 };
 
 } // namespace pollenstall
--- a/src/claim/claim_cmd.cpp
+++ b/src/claim/claim_cmd.cpp
@@ -1,40 +1,40 @@
-/** @file claim_cmd.cpp The commands on the table of claims: check without effect, then execute. */
+/** @file claim_cmd.cpp Commands on the claim table: check() without effect, then execute(). */
 #include "claim/claim_base.h"
 
 namespace pollenstall {
 
 namespace {
 
-/// Claims forgotten by one command; more at once would hold up the log's other commands.
-constexpr std::size_t MostExpiredAtOnce = 10'000;
+/// Claims that one command removes at most; more would delay the other commands of the log.
+constexpr std::size_t MaxExpiredPerCommand = 10'000;
 
-claim_verdict verdictFor(const claim_record &Record, const claim_holder &Asking) {
+claim_verdict verdictFor(const claim_record &Record, const claim_holder &Requester) {
   if (Record.Standing == claim_standing::Complete)
     return claim_verdict::Complete;
-  const bool Same = Record.Holder == Asking;
-  if (Same && Record.Standing == claim_standing::Running)
+  const bool SameHolder = Record.Holder == Requester;
+  if (SameHolder && Record.Standing == claim_standing::Running)
     return claim_verdict::Granted;
-  // Another send's work, or this one's with an unknown end: it may have run, so it never runs
-  // again.
+  // Another request holds the key, or this one holds it and its outcome is unknown. The work may
+  // have run, so it must not run again.
   return claim_verdict::Running;
 }
 
-bool mayBecome(claim_standing From, claim_standing Next) {
+bool isValidTransition(claim_standing From, claim_standing To) {
   if (From == claim_standing::Running)
     return true;
-  // The whole answer may arrive after the caller was told "unknown"; then the standing gets better.
-  return From == claim_standing::Unknown && Next == claim_standing::Complete;
+  // The complete answer may still arrive after the caller got the outcome "unknown".
+  return From == claim_standing::Unknown && To == claim_standing::Complete;
 }
 
 } // namespace
 
 result<claim_verdict, claim_error> claim_table::check(const claim_acquire &Command) const {
-  const claim_record *Found = lookUp(Command.Key);
+  const claim_record *Found = findRecord(Command.Key);
   if (Found != nullptr && Found->Standing != claim_standing::Released)
     return verdictFor(*Found, Command.Holder);
-  // A copy of the acquire that was overtaken by its own release would hold the key for nobody.
+  // This acquire arrives after its own release. Granting it would block the key with no holder.
   if (Found != nullptr && Found->Holder == Command.Holder)
-    return claim_error::Withdrawn;
+    return claim_error::AlreadyReleased;
   if (Command.ExpiresAt <= ExpiredUntil)
     return claim_error::AlreadyExpired;
   if (Found == nullptr && !hasRoom())
@@ -45,7 +45,7 @@
 result<done, claim_error> claim_table::check(const claim_settle &Command) const {
   if (Command.Standing == claim_standing::Running)
     return claim_error::InvalidStanding;
-  const claim_record *Found = lookUp(Command.Key);
+  const claim_record *Found = findRecord(Command.Key);
   if (Found == nullptr) {
     if (Command.Standing != claim_standing::Released)
       return claim_error::NotHolder;
@@ -55,26 +55,27 @@
   }
   if (Found->Holder != Command.Holder)
     return claim_error::NotHolder;
-  if (Found->Standing == Command.Standing || mayBecome(Found->Standing, Command.Standing))
+  if (Found->Standing == Command.Standing || isValidTransition(Found->Standing, Command.Standing))
     return done{};
   return claim_error::AlreadySettled;
 }
 
 result<done, claim_error> claim_table::check(const claim_expire &Command) const {
   if (Command.Now < ExpiredUntil)
-    return claim_error::TimeWentBack;
+    return claim_error::TimeWentBackwards;
   return done{};
 }
 
 result<claim_verdict, claim_error> claim_table::execute(const claim_acquire &Command) {
   auto Checked = check(Command);
-  const claim_record *Found = lookUp(Command.Key);
-  const bool Held = Found != nullptr && Found->Standing != claim_standing::Released;
-  if (!succeeded(Checked) || Held)
+  const claim_record *Found = findRecord(Command.Key);
+  const bool Claimed = Found != nullptr && Found->Standing != claim_standing::Released;
+  if (!succeeded(Checked) || Claimed)
     return Checked;
-  requireInvariant(valueOf(Checked) == claim_verdict::Granted, "only a free key is newly granted");
+  requireInvariant(valueOf(Checked) == claim_verdict::Granted,
+                   "a new claim is granted only on a free key");
   erase(Command.Key);
-  evictOneReleased();
+  evictReleasedIfFull();
   insert({Command.Key, Command.Holder, claim_standing::Running, Command.ExpiresAt});
   requireConsistent();
   return Checked;
@@ -84,10 +85,10 @@
   auto Checked = check(Command);
   if (!succeeded(Checked))
     return Checked;
-  const claim_record *Found = lookUp(Command.Key);
+  const claim_record *Found = findRecord(Command.Key);
   const unix_millis ExpiresAt = Found != nullptr ? Found->ExpiresAt : Command.ExpiresAt;
   erase(Command.Key);
-  evictOneReleased();
+  evictReleasedIfFull();
   insert({Command.Key, Command.Holder, Command.Standing, ExpiresAt});
   requireConsistent();
   return Checked;
@@ -98,7 +99,8 @@
   if (!succeeded(Checked))
     return Checked;
   ExpiredUntil = Command.Now;
-  for (std::size_t Left = MostExpiredAtOnce; Left > 0 && !ByExpiry.empty(); --Left) {
+  for (std::size_t Remaining = MaxExpiredPerCommand; Remaining > 0 && !ByExpiry.empty();
+       --Remaining) {
     if (ByExpiry.begin()->first > ExpiredUntil)
       break;
     erase(ByExpiry.begin()->second);
--- a/src/claim/claim_sl.cpp
+++ b/src/claim/claim_sl.cpp
@@ -1,5 +1,5 @@
-/** @file claim_sl.cpp The table of claims to and from plain values; the protocol layer encodes them
- * and names the version. */
+/** @file claim_sl.cpp Converts the claim table to and from a snapshot of plain values. The protocol
+ * layer encodes the snapshot and adds its format version. */
 #include "claim/claim_base.h"
 
 namespace pollenstall {
@@ -20,7 +20,7 @@
   claim_table Table(MaxClaims);
   Table.ExpiredUntil = Snapshot.ExpiredUntil;
   for (const claim_record &Record : Snapshot.Records) {
-    if (Table.lookUp(Record.Key) != nullptr)
+    if (Table.findRecord(Record.Key) != nullptr)
       return claim_error::InvalidSnapshot;
     Table.insert(Record);
   }
--- a/src/claim/claim_type.h
+++ b/src/claim/claim_type.h
@@ -1,4 +1,4 @@
-/** @file claim_type.h Commands, records and refusals of the table of claims. */
+/** @file claim_type.h Commands, records and errors of the claim table. */
 #ifndef POLLENSTALL_CLAIM_CLAIM_TYPE_H
 #define POLLENSTALL_CLAIM_CLAIM_TYPE_H
 
@@ -12,8 +12,8 @@
 namespace pollenstall {
 
 /**
- * Leading 128 bits of SHA-256 over acquire_claim::Key; the protocol layer computes it.
- * The table holds hashes only, so that no key of a caller reaches a disk or a dump.
+ * The first 128 bits of the SHA-256 hash of acquire_claim::Key, computed by the protocol layer.
+ * The table stores hashes only, so that no caller's key is written to a disk or a dump.
  */
 struct claim_key_hash {
   std::uint64_t High{0};
@@ -22,11 +22,12 @@
   auto operator<=>(const claim_key_hash &) const = default;
 };
 
-/// Milliseconds of wall-clock time since 1970; claims outlive every process, so a monotonic clock
-/// of one host would not do.
+/// Wall-clock time in milliseconds since 1970. Claims outlive every process, so the monotonic clock
+/// of one host cannot date them.
 using unix_millis = std::chrono::duration<std::int64_t, std::milli>;
 
-/// Which send of a request holds a claim: one request of one life of one entry.
+/// Identifies the request that holds a claim: a request number of one incarnation of an entry. A
+/// caller's retry with the same key is another request.
 struct claim_holder {
   process_key Owner;
   request_number Request;
@@ -34,46 +35,46 @@
   auto operator<=>(const claim_holder &) const = default;
 };
 
-/// Claims a key for one send.
+/// Claims a key for one request.
 struct claim_acquire {
   claim_key_hash Key;
   claim_holder Holder;
-  unix_millis ExpiresAt{0}; ///< Past the request's deadline and the callers' resend window.
+  unix_millis ExpiresAt{0}; ///< After the request's deadline and the callers' retry window.
 
   bool operator==(const claim_acquire &) const = default;
 };
 
-/// Records how the claimed work ended; only the holder may.
+/// Records the outcome of the claimed work. Only the holder may settle its claim.
 struct claim_settle {
   claim_key_hash Key;
   claim_holder Holder;
   claim_standing Standing{claim_standing::Unknown}; ///< Never Running.
-  unix_millis ExpiresAt{0}; ///< Used only where Released overtook its own acquire.
+  unix_millis ExpiresAt{0}; ///< Used only if Released arrives before its own acquire.
 
   bool operator==(const claim_settle &) const = default;
 };
 
-/// Forgets claims whose time is over, a bounded number at once: the rest stays held until the next.
-/// The log's leader proposes it from its wall clock while nextExpiry() is not after Now.
+/// Removes expired claims, up to a bound per command; the next command removes further ones. The
+/// leader proposes it with its wall-clock time while nextExpiry() is not after Now.
 struct claim_expire {
   unix_millis Now{0};
 
   bool operator==(const claim_expire &) const = default;
 };
 
-/// Any command on the table, for embedding in a replicated log.
+/// Any command on the table, to be embedded in a replicated log.
 using claim_command = std::variant<claim_acquire, claim_settle, claim_expire>;
 
-/// Why a command has no effect; the same on every replica.
+/// Reason why a command has no effect; the same on every replica.
 enum class claim_error : std::uint8_t {
-  TableFull,       ///< The bound on claims is reached and no released one can make room.
-  AlreadyExpired,  ///< The claim would end before the time of the last expiry.
-  Withdrawn,       ///< This send has released its claim already; a late copy of its acquire.
-  NotHolder,       ///< Another send holds the key, or nobody does.
-  AlreadySettled,  ///< The end is recorded and differs.
-  InvalidStanding, ///< Running is no end.
-  TimeWentBack,    ///< An expiry with an earlier time than the last.
-  InvalidSnapshot, ///< A key twice, or more claims than the bound.
+  TableFull,         ///< The table is at its capacity and no released claim can be evicted.
+  AlreadyExpired,    ///< The claim would expire before the time of the last claim_expire.
+  AlreadyReleased,   ///< A late copy of an acquire whose request has released its claim.
+  NotHolder,         ///< Another request holds the key, or no request does.
+  AlreadySettled,    ///< Another outcome is recorded.
+  InvalidStanding,   ///< Running is not an outcome.
+  TimeWentBackwards, ///< A claim_expire with an earlier time than the last one.
+  InvalidSnapshot,   ///< A key occurs twice, or there are more claims than the capacity.
 };
 
 /// One claim, as stored in a snapshot.
@@ -86,16 +87,16 @@
   bool operator==(const claim_record &) const = default;
 };
 
-/// The whole table as plain values, in ascending order of keys.
+/// The whole table as plain values, in ascending order of the keys.
 struct claim_snapshot {
-  unix_millis ExpiredUntil{0}; ///< Time of the last expiry.
+  unix_millis ExpiredUntil{0}; ///< Time of the last claim_expire.
   std::vector<claim_record> Records;
 
   bool operator==(const claim_snapshot &) const = default;
 };
 
-/// What the entry is told where the table refuses or the log gives no answer in time.
-/// Nothing was claimed for this send, so nothing may run.
+/// The verdict that the entry gets if the table refuses an acquire or the log does not answer in
+/// time. Nothing was claimed for the request, so it must not run.
 constexpr claim_verdict VerdictOnRefusal = claim_verdict::Unavailable;
 
 } // namespace pollenstall
--- a/tests/claim/claim_test.cpp
+++ b/tests/claim/claim_test.cpp
@@ -1,4 +1,5 @@
-/** @file claim_test.cpp One send per key, whatever is resent, doubled, overtaken or forgotten. */
+/** @file claim_test.cpp One request runs per key despite retried, duplicate, late and lost
+ * commands. */
 #include "claim/claim.h"
 
 #include <gtest/gtest.h>
@@ -11,117 +12,115 @@
 namespace {
 
 constexpr unix_millis Day{86'400'000};
-const claim_key_hash Letter{1, 1};
+const claim_key_hash DefaultKey{1, 1};
 
-claim_holder send(const char *Host, std::uint64_t Request) {
+claim_holder makeHolder(const char *Host, std::uint64_t Request) {
   return {{host_name(Host), incarnation(7)}, request_number(Request)};
 }
 
-struct a_table : ::testing::Test {
+struct ClaimTableTest : ::testing::Test {
   claim_table Table{3};
-  const claim_holder First = send("accra-a-1", 1);
-  const claim_holder Resend = send("accra-b-1", 9);
+  const claim_holder Original = makeHolder("accra-a-1", 1);
+  const claim_holder Retry = makeHolder("accra-b-1", 9);
 
   result<claim_verdict, claim_error> acquire(const claim_holder &Holder,
-                                             claim_key_hash Key = Letter) {
+                                             claim_key_hash Key = DefaultKey) {
     return Table.execute(claim_acquire{Key, Holder, Day});
   }
   result<done, claim_error> settle(const claim_holder &Holder, claim_standing Standing,
-                                   claim_key_hash Key = Letter) {
+                                   claim_key_hash Key = DefaultKey) {
     return Table.execute(claim_settle{Key, Holder, Standing, Day});
   }
   void expectVerdict(const claim_holder &Holder, claim_verdict Verdict) {
     EXPECT_EQ(acquire(Holder), (result<claim_verdict, claim_error>(Verdict)));
   }
-  template <typename Result> void expectRefused(const Result &Outcome, claim_error Why) {
+  template <typename Result> void expectRefused(const Result &Outcome, claim_error Error) {
     ASSERT_FALSE(succeeded(Outcome));
-    EXPECT_EQ(errorOf(Outcome), Why);
+    EXPECT_EQ(errorOf(Outcome), Error);
   }
 };
 
-TEST_F(a_table, GrantsAKeyOnceAndTellsTheSameSendTheSameAgain) {
-  expectVerdict(First, claim_verdict::Granted);
-  expectVerdict(First, claim_verdict::Granted);
-  expectVerdict(Resend, claim_verdict::Running);
+TEST_F(ClaimTableTest, GrantsAKeyOnceAndRepeatsTheVerdictForItsHolder) {
+  expectVerdict(Original, claim_verdict::Granted);
+  expectVerdict(Original, claim_verdict::Granted);
+  expectVerdict(Retry, claim_verdict::Running);
 }
 
-struct after_the_owner_died : a_table {
-  void SetUp() override { acquire(First); }
+struct DeadClaimOwnerTest : ClaimTableTest {
+  void SetUp() override { acquire(Original); }
 };
 
-// The entry dies after its claim was granted; whether the work ran is not known to anyone.
-// The caller resends through another entry, also much later: it is never granted again until the
-// claim's own time is over.
-TEST_F(after_the_owner_died, TheKeyStaysRunningUntilItExpires) {
-  expectVerdict(Resend, claim_verdict::Running);
+// The entry dies after its claim was granted, so nobody knows whether the work ran. A retry through
+// another entry must not be granted before the claim expires, however late it comes.
+TEST_F(DeadClaimOwnerTest, KeepsTheKeyRunningUntilItExpires) {
+  expectVerdict(Retry, claim_verdict::Running);
   Table.execute(claim_expire{Day - unix_millis(1)});
-  expectVerdict(Resend, claim_verdict::Running);
+  expectVerdict(Retry, claim_verdict::Running);
   EXPECT_EQ(Table.nextExpiry(), Day);
   Table.execute(claim_expire{Day});
   EXPECT_EQ(Table.size(), 0U);
-  expectRefused(acquire(Resend), claim_error::AlreadyExpired);
+  expectRefused(acquire(Retry), claim_error::AlreadyExpired);
 }
 
-struct after_the_end : a_table {
-  void SetUp() override { acquire(First); }
+struct SettledClaimTest : ClaimTableTest {
+  void SetUp() override { acquire(Original); }
 };
 
-TEST_F(after_the_end, ACompleteRunIsToldToEveryResend) {
-  settle(First, claim_standing::Complete);
-  expectVerdict(Resend, claim_verdict::Complete);
-  expectVerdict(First, claim_verdict::Complete);
-  expectRefused(settle(First, claim_standing::Released), claim_error::AlreadySettled);
+TEST_F(SettledClaimTest, ReportsACompleteRunToEveryRetry) {
+  settle(Original, claim_standing::Complete);
+  expectVerdict(Retry, claim_verdict::Complete);
+  expectVerdict(Original, claim_verdict::Complete);
+  expectRefused(settle(Original, claim_standing::Released), claim_error::AlreadySettled);
 }
 
-TEST_F(after_the_end, AnUnknownRunIsNeverGrantedButMayTurnOutComplete) {
-  settle(First, claim_standing::Unknown);
-  expectVerdict(First, claim_verdict::Running);
-  expectVerdict(Resend, claim_verdict::Running);
-  expectRefused(settle(First, claim_standing::Released), claim_error::AlreadySettled);
-  EXPECT_TRUE(succeeded(settle(First, claim_standing::Complete)));
-  expectVerdict(Resend, claim_verdict::Complete);
+TEST_F(SettledClaimTest, NeverGrantsAnUnknownRunButAcceptsItsCompletion) {
+  settle(Original, claim_standing::Unknown);
+  expectVerdict(Original, claim_verdict::Running);
+  expectVerdict(Retry, claim_verdict::Running);
+  expectRefused(settle(Original, claim_standing::Released), claim_error::AlreadySettled);
+  EXPECT_TRUE(succeeded(settle(Original, claim_standing::Complete)));
+  expectVerdict(Retry, claim_verdict::Complete);
 }
 
-// The first send is refused and releases its key; the resend gets it and runs.
-// A doubled release of the first send arrives late: taken, it would free the key of running work,
-// and a third send would run beside it.
-TEST_F(after_the_end, ALateReleaseOfAnEarlierSendDoesNotFreeTheKey) {
-  settle(First, claim_standing::Released);
-  expectVerdict(Resend, claim_verdict::Granted);
-  expectRefused(settle(First, claim_standing::Released), claim_error::NotHolder);
-  expectVerdict(send("accra-c-1", 3), claim_verdict::Running);
+// The first request releases its key and a retry is granted it. If a late duplicate of the first
+// release were applied, it would free the key of running work and a third request would run too.
+TEST_F(SettledClaimTest, RefusesALateReleaseOfAnEarlierHolder) {
+  settle(Original, claim_standing::Released);
+  expectVerdict(Retry, claim_verdict::Granted);
+  expectRefused(settle(Original, claim_standing::Released), claim_error::NotHolder);
+  expectVerdict(makeHolder("accra-c-1", 3), claim_verdict::Running);
 }
 
-// The entry gives up waiting for its claim and releases it, and the release overtakes the acquire.
-// Granted afterwards, the key would be held by nobody for a day.
-TEST_F(a_table, AnAcquireOvertakenByItsReleaseIsRefused) {
-  EXPECT_TRUE(succeeded(settle(First, claim_standing::Released)));
-  expectRefused(acquire(First), claim_error::Withdrawn);
-  expectVerdict(Resend, claim_verdict::Granted);
+// The entry stops waiting for its claim and releases it, and the release arrives before the
+// acquire. If the acquire were granted, the key would be blocked without a holder for a day.
+TEST_F(ClaimTableTest, RefusesAnAcquireThatArrivesAfterItsRelease) {
+  EXPECT_TRUE(succeeded(settle(Original, claim_standing::Released)));
+  expectRefused(acquire(Original), claim_error::AlreadyReleased);
+  expectVerdict(Retry, claim_verdict::Granted);
 }
 
-TEST_F(a_table, RefusesWhenFullButNotForTheSakeOfReleasedKeys) {
+TEST_F(ClaimTableTest, RefusesWhenFullUnlessAReleasedClaimCanBeEvicted) {
   for (std::uint64_t Key = 1; Key <= 3; ++Key)
-    acquire(First, {Key, 0});
-  expectRefused(acquire(First, {4, 0}), claim_error::TableFull);
-  EXPECT_TRUE(succeeded(settle(First, claim_standing::Released, {2, 0})));
-  EXPECT_TRUE(succeeded(acquire(First, {4, 0})));
+    acquire(Original, {Key, 0});
+  expectRefused(acquire(Original, {4, 0}), claim_error::TableFull);
+  EXPECT_TRUE(succeeded(settle(Original, claim_standing::Released, {2, 0})));
+  EXPECT_TRUE(succeeded(acquire(Original, {4, 0})));
   EXPECT_FALSE(Table.find({2, 0}).has_value());
   EXPECT_EQ(Table.size(), 3U);
 }
 
-TEST_F(a_table, RefusesRunningAsAnEndStrangersAndTimeThatGoesBack) {
-  acquire(First);
-  expectRefused(settle(First, claim_standing::Running), claim_error::InvalidStanding);
-  expectRefused(settle(Resend, claim_standing::Complete), claim_error::NotHolder);
+TEST_F(ClaimTableTest, RefusesInvalidOutcomesOtherHoldersAndEarlierTimes) {
+  acquire(Original);
+  expectRefused(settle(Original, claim_standing::Running), claim_error::InvalidStanding);
+  expectRefused(settle(Retry, claim_standing::Complete), claim_error::NotHolder);
   Table.execute(claim_expire{unix_millis(5)});
-  expectRefused(Table.execute(claim_expire{unix_millis(4)}), claim_error::TimeWentBack);
+  expectRefused(Table.execute(claim_expire{unix_millis(4)}), claim_error::TimeWentBackwards);
 }
 
-TEST(ClaimExpiry, TakesManyInSeveralCommands) {
+TEST(ClaimExpiry, RemovesABoundedNumberOfClaimsPerCommand) {
   claim_table Table(25'000);
   for (std::uint64_t Key = 0; Key < 25'000; ++Key)
-    Table.execute(claim_acquire{{Key, 0}, send("accra-a-1", 1), Day});
+    Table.execute(claim_acquire{{Key, 0}, makeHolder("accra-a-1", 1), Day});
   std::vector<std::size_t> Sizes;
   for (int Command = 0; Command < 3; ++Command) {
     Table.execute(claim_expire{Day});
@@ -130,16 +129,16 @@
   EXPECT_EQ(Sizes, (std::vector<std::size_t>{15'000, 5'000, 0}));
 }
 
-TEST_F(a_table, RefusesABrokenSnapshot) {
-  const claim_record Record{Letter, First, claim_standing::Running, Day};
+TEST_F(ClaimTableTest, RefusesAnInvalidSnapshot) {
+  const claim_record Record{DefaultKey, Original, claim_standing::Running, Day};
   expectRefused(claim_table::restore({unix_millis(0), {Record, Record}}, 3),
                 claim_error::InvalidSnapshot);
   expectRefused(claim_table::restore({unix_millis(0), {Record}}, 0), claim_error::InvalidSnapshot);
 }
 
-claim_command anyCommand() {
+claim_command arbitraryCommand() {
   const claim_key_hash Key{*rc::gen::inRange<std::uint64_t>(0, 3), 0};
-  const claim_holder Holder = send("h", *rc::gen::inRange<std::uint64_t>(0, 3));
+  const claim_holder Holder = makeHolder("h", *rc::gen::inRange<std::uint64_t>(0, 3));
   const unix_millis ExpiresAt{*rc::gen::inRange(1, 40)};
   switch (*rc::gen::inRange(0, 5)) {
   case 0:
@@ -154,21 +153,21 @@
   }
 }
 
-// A replica that restarts from a snapshot in the midst of the log must say what the others say.
-TEST(ClaimProperty, CheckForetellsExecuteAndARestoredReplicaAgrees) {
+// A replica that is restored from a snapshot must give the same answers as the other replicas.
+TEST(ClaimProperty, CheckPredictsExecuteAndARestoredReplicaAgrees) {
   EXPECT_TRUE(rc::check([] {
     claim_table Table(2);
     claim_table Replica(2);
     for (int Step = 0; Step < 40; ++Step) {
-      const claim_command Command = anyCommand();
+      const claim_command Command = arbitraryCommand();
       std::visit(
-          [&](const auto &Known) {
+          [&](const auto &TypedCommand) {
             const claim_snapshot Before = Table.snapshot();
-            const auto Foretold = Table.check(Known);
+            const auto Checked = Table.check(TypedCommand);
             RC_ASSERT(Table.snapshot() == Before);
-            RC_ASSERT(Table.execute(Known) == Foretold);
-            RC_ASSERT(Replica.execute(Known) == Foretold);
-            RC_ASSERT(succeeded(Foretold) || Table.snapshot() == Before);
+            RC_ASSERT(Table.execute(TypedCommand) == Checked);
+            RC_ASSERT(Replica.execute(TypedCommand) == Checked);
+            RC_ASSERT(succeeded(Checked) || Table.snapshot() == Before);
           },
           Command);
       Replica = valueOf(claim_table::restore(Table.snapshot(), 2));
@@ -176,17 +175,17 @@
   }));
 }
 
-// Whatever is sent, a key passes to another holder only from Released or after it expired.
-TEST(ClaimProperty, AKeyIsNeverGrantedBesideAnUnsettledHolder) {
+// A key gets another holder only after it was released or has expired.
+TEST(ClaimProperty, NeverGrantsAKeyThatAnotherHolderHasNotSettled) {
   EXPECT_TRUE(rc::check([] {
     claim_table Table(3);
     for (int Step = 0; Step < 60; ++Step) {
-      const claim_command Command = anyCommand();
+      const claim_command Command = arbitraryCommand();
       const auto *Acquire = std::get_if<claim_acquire>(&Command);
       const auto Before = Acquire == nullptr ? std::nullopt : Table.find(Acquire->Key);
       const auto Verdict = std::visit(
-          [&Table](const auto &Known) -> bool {
-            const auto Outcome = Table.execute(Known);
+          [&Table](const auto &TypedCommand) -> bool {
+            const auto Outcome = Table.execute(TypedCommand);
             return succeeded(Outcome);
           },
           Command);
