--- a/programs/pollenstall-entry/decision_seam.cpp
+++ b/programs/pollenstall-entry/decision_seam.cpp
@@ -147,7 +147,7 @@
       Before != Backends.end() && Before->second.Standing == backend_standing::Lost;
   Backends.insert_or_assign(Key, View);
   Scheduler.updateBackend(withDrain(View), Now);
-  Patrol.noteBackend(View.Announcement);
+  Patrol.addEngine(View.Announcement);
   if (View.Standing == backend_standing::Lost && !WasLost)
     Dispatcher.backendLost(Key, Now);
   PollDue = true;
@@ -156,7 +156,7 @@
 void decision_seam::noteGone(const backend_key &Backend, mono_time Now) {
   Dispatcher.backendGone(Backend, Now);
   Scheduler.removeBackend(Backend, Now);
-  Patrol.forgetBackend(Backend);
+  Patrol.removeEngine(Backend);
   Backends.erase(Backend);
   PollDue = true;
 }
@@ -167,7 +167,7 @@
                  [this, Now](const backend_gone &Gone) { noteGone(Gone.Key, Now); },
                  [this](const views_fresh &Fresh) { FreshUntil = Fresh.Until; },
                  [this](const superseded &) { Superseded = true; },
-                 [this, Now](const host_changed &Change) { Patrol.noteHost(Change.View, Now); }},
+                 [this, Now](const host_changed &Change) { Patrol.updateHost(Change.View, Now); }},
       Event);
 }
 
--- a/programs/pollenstall-entry/decision_seam_base.h
+++ b/programs/pollenstall-entry/decision_seam_base.h
@@ -57,7 +57,7 @@
   /// An engine told what it holds. @return What is to be cancelled there for want of an owner.
   std::vector<cancel_attempt> orphansIn(const attempts_listed &Listed, mono_time Now);
   /// @return Engines to be asked for what they hold.
-  std::vector<backend_key> enginesToList(mono_time Now) { return Patrol.due(Now); }
+  std::vector<backend_key> enginesToList(mono_time Now) { return Patrol.takeDueEngines(Now); }
   /// Admitted work that was placed on views older than this could go to a server that is leaving.
   void setReady(bool Ready);
   void beginShutdown(mono_time Now, mono_duration Limit);
@@ -107,7 +107,7 @@
 
   backend_source Source;
   declaration_view Declaration;
-  orphan_patrol Patrol;
+  orphan_reaper Patrol;
   scheduler Scheduler;
   placer Placer;
   directory_follower Directory;
--- a/src/orphan/orphan.h
+++ b/src/orphan/orphan.h
@@ -1,7 +1,7 @@
-/** @file orphan.h Public header of orphan: attempts whose owner is gone. */
+/** @file orphan.h Public header of orphan: finds attempts whose owner process has ended. */
 #ifndef POLLENSTALL_ORPHAN_ORPHAN_H
 #define POLLENSTALL_ORPHAN_ORPHAN_H
 
-#include "orphan/orphan_patrol_base.h" // IWYU pragma: export
+#include "orphan/orphan_reaper_base.h" // IWYU pragma: export
 
 #endif // POLLENSTALL_ORPHAN_ORPHAN_H
--- /dev/null
+++ b/src/orphan/orphan_reaper_base.h
@@ -0,0 +1,76 @@
+/** @file orphan_reaper_base.h Finds attempts that run for a process that has ended. */
+#ifndef POLLENSTALL_ORPHAN_ORPHAN_REAPER_BASE_H
+#define POLLENSTALL_ORPHAN_ORPHAN_REAPER_BASE_H
+
+#include "core/core.h"
+#include "membership/membership.h"
+
+#include <chrono>
+#include <map>
+#include <optional>
+#include <vector>
+
+namespace pollenstall {
+
+/// Intervals and grace periods of the reaper.
+struct orphan_reaper_options {
+  mono_duration Interval{std::chrono::seconds(5)}; ///< Between two checks of an engine.
+  /**
+   * Minimum time for which a host must have been dead. It may only be partitioned from the other
+   * hosts and still be serving. Cancelling its streams would be correct (outcome "unknown") but
+   * needless.
+   */
+  mono_duration DeadHostGrace{std::chrono::seconds(60)};
+  /// Minimum time for which a host must have been unknown since its attempt was first seen.
+  mono_duration UnknownHostGrace{std::chrono::minutes(5)};
+  std::size_t MaxUnknownOwners{1024}; ///< Unknown owners that are tracked at most.
+};
+
+/**
+ * Decides which attempts on engines are orphans. Only the owner of an attempt cancels it otherwise,
+ * so an engine would keep the memory of a dead entry's attempts for ever. Each engine is checked by
+ * one live host, chosen by rendezvous hashing, so that the number of checks does not grow with the
+ * number of hosts. If hosts disagree on which hosts are alive, several may check an engine; a
+ * second cancellation has no effect.
+ *
+ * Performs no I/O: callers pass in events and the time.
+ */
+class orphan_reaper {
+public:
+  orphan_reaper(process_key Process, const orphan_reaper_options &ReaperOptions)
+      : Self(std::move(Process)), Options(ReaperOptions) {}
+
+  void updateHost(const host_view &View, mono_time Now);
+  /// Adds an engine. Other backend servers hold no memory and are ignored.
+  void addEngine(const backend_announcement &Announcement);
+  void removeEngine(const backend_key &Backend);
+
+  /// Returns the engines whose attempts this host should list now, each once per interval.
+  std::vector<backend_key> takeDueEngines(mono_time Now);
+  /// @return The time of the next check; nothing if there are no engines.
+  [[nodiscard]] std::optional<mono_time> nextWake() const;
+  /// @return Whether the attempt's owner has ended, so that another host must cancel the attempt.
+  bool isOrphan(const attempt_id &Attempt, mono_time Now);
+
+private:
+  struct host_state {
+    incarnation Incarnation;
+    host_standing Standing{host_standing::Alive};
+    mono_time StandingSince; ///< Time at which the host got this standing.
+  };
+
+  [[nodiscard]] bool isAssignedToThisHost(const backend_key &Backend) const;
+  [[nodiscard]] bool hasOwnerEnded(const host_state &Host, incarnation Incarnation,
+                                   mono_time Now) const;
+  bool isUnknownForTooLong(const process_key &Owner, mono_time Now);
+
+  process_key Self;
+  orphan_reaper_options Options;
+  std::map<host_name, host_state> Hosts;
+  std::map<backend_key, mono_time> NextCheck;
+  std::map<process_key, mono_time> UnknownOwners; ///< With the time when an attempt was first seen.
+};
+
+} // namespace pollenstall
+
+#endif // POLLENSTALL_ORPHAN_ORPHAN_REAPER_BASE_H
