--- a/programs/pollenstall-control/control_codec.cpp
+++ b/programs/pollenstall-control/control_codec.cpp
@@ -6,12 +6,13 @@
 namespace pollenstall {
 
 template <typename Archive> void serialize(Archive &Into, apply_change &Command) {
-  Into(Command.Id, Command.Base, Command.Text, Command.Summary, Command.Rejected, Command.Time);
+  Into(Command.Id, Command.Base, Command.Text, Command.Summary, Command.ValidationErrors,
+       Command.Time);
 }
 template <typename Archive> void serialize(Archive &Into, set_drain &Command) {
   Into(Command.Id, Command.Backend, Command.Undo, Command.Time);
 }
-template <typename Archive> void serialize(Archive & /*Into*/, take_fence & /*Command*/) {}
+template <typename Archive> void serialize(Archive & /*Into*/, take_fencing_token & /*Command*/) {}
 template <typename Archive> void serialize(Archive &Into, offer_declaration &Command) {
   Into(Command.Revision, Command.Text, Command.Time);
 }
@@ -31,14 +32,14 @@
   Into(Verdict.Version);
 }
 template <typename Archive> void serialize(Archive & /*Into*/, drains_full & /*Verdict*/) {}
-template <typename Archive> void serialize(Archive &Into, declared_text &Declared) {
+template <typename Archive> void serialize(Archive &Into, declaration_record &Declared) {
   Into(Declared.Revision, Declared.Text);
 }
 template <typename Archive> void serialize(Archive &Into, history_record &Record) {
   Into(Record.Revision, Record.Id, Record.Time, Record.Summary);
 }
 template <typename Archive> void serialize(Archive &Into, answer_record &Record) {
-  Into(Record.Id, Record.Content, Record.Verdict, Record.Time);
+  Into(Record.Id, Record.ContentHash, Record.Verdict, Record.Time);
 }
 template <typename Archive> void serialize(Archive &Into, claim_record &Record) {
   Into(Record.Key, Record.Holder, Record.Standing, Record.ExpiresAt);
@@ -46,10 +47,10 @@
 template <typename Archive> void serialize(Archive &Into, claim_snapshot &Snapshot) {
   Into(Snapshot.ExpiredUntil, Snapshot.Records);
 }
-template <typename Archive> void serialize(Archive &Into, note_backends &Command) {
+template <typename Archive> void serialize(Archive &Into, update_backends &Command) {
   Into(Command.Changes);
 }
-template <typename Archive> void serialize(Archive &Into, note_crash &Command) {
+template <typename Archive> void serialize(Archive &Into, record_crash &Command) {
   Into(Command.Marks, Command.Incarnation, Command.Time);
 }
 template <typename Archive> void serialize(Archive &Into, clear_suspect &Command) {
@@ -125,7 +126,7 @@
 }
 
 bool hasValidEnums(const control_command &Command) {
-  if (const auto *Noted = std::get_if<note_backends>(&Command))
+  if (const auto *Noted = std::get_if<update_backends>(&Command))
     return areStates(Noted->Changes);
   const auto *Settle = std::get_if<claim_settle>(&Command);
   return Settle == nullptr || isStanding(Settle->Standing);
@@ -180,10 +181,10 @@
 }
 
 command_version versionFor(const control_command &Command) {
-  if (std::holds_alternative<note_backends>(Command))
+  if (std::holds_alternative<update_backends>(Command))
     return command_version::Backends;
-  const bool Suspects =
-      std::holds_alternative<note_crash>(Command) || std::holds_alternative<clear_suspect>(Command);
+  const bool Suspects = std::holds_alternative<record_crash>(Command) ||
+                        std::holds_alternative<clear_suspect>(Command);
   return Suspects ? command_version::Suspects : command_version::Initial;
 }
 
--- a/programs/pollenstall-control/control_codec_func.h
+++ b/programs/pollenstall-control/control_codec_func.h
@@ -12,9 +12,9 @@
 /// Versions of a command's bytes in the log.
 enum class command_version : std::uint16_t {
   Initial = 1,
-  Backends = 2, ///< Of note_backends alone.
+  Backends = 2, ///< Of update_backends alone.
   Packed = 3,   ///< Of commands with a declaration: a packed_text of the command.
-  Suspects = 4, ///< Of note_crash and clear_suspect alone.
+  Suspects = 4, ///< Of record_crash and clear_suspect alone.
 };
 /// Versions of a snapshot's bytes.
 enum class state_version : std::uint16_t { Initial = 1, Backends = 2, Suspects = 3 };
--- a/programs/pollenstall-control/control_core.cpp
+++ b/programs/pollenstall-control/control_core.cpp
@@ -207,7 +207,7 @@
 }
 
 void control_core::noteAccepted(mono_time Time) {
-  const declared_text &Declared = State.declared();
+  const declaration_record &Declared = State.declared();
   AwaitingForce.emplace(Declared.Revision, Time);
   logEvent(log_level::Info, "declaration_accepted",
            {{"revision", static_cast<std::int64_t>(Declared.Revision.value())},
@@ -225,7 +225,7 @@
 }
 
 void control_core::publishDeclared() {
-  auto Copy = std::make_shared<const declared_text>(State.declared());
+  auto Copy = std::make_shared<const declaration_record>(State.declared());
   const std::lock_guard Lock(DeclaredMutex);
   Published = std::move(Copy);
 }
--- a/programs/pollenstall-control/control_core_base.h
+++ b/programs/pollenstall-control/control_core_base.h
@@ -32,7 +32,7 @@
   control_metrics *Metrics{nullptr};
   std::unique_ptr<data_folder> Folder;
   peer_addresses Own;
-  std::shared_ptr<order_board> Orders; ///< Null where this host sends no orders.
+  std::shared_ptr<order_status_view> Orders; ///< Null where this host sends no orders.
 };
 
 /**
@@ -52,7 +52,7 @@
   control_outcome ask(control_question Question, std::chrono::milliseconds Limit);
 
   /// @return The declaration as applied here, perhaps not the newest; callable from any thread.
-  std::shared_ptr<const declared_text> declared() const;
+  std::shared_ptr<const declaration_record> declared() const;
 
   /// @return The lease that orders need, as of the last look; callable from any thread.
   leader_lease lease() const;
@@ -171,7 +171,7 @@
   std::mutex RequestMutex; ///< Makes the operators' threads one producer.
   bounded_ring<control_request> Requests;
   mutable std::mutex DeclaredMutex;
-  std::shared_ptr<const declared_text> Published;
+  std::shared_ptr<const declaration_record> Published;
   mutable std::mutex LeaseMutex;
   leader_lease Lease;
   std::atomic<bool> Ready{false};
--- a/programs/pollenstall-control/control_core_request.cpp
+++ b/programs/pollenstall-control/control_core_request.cpp
@@ -50,7 +50,7 @@
   return Future.get();
 }
 
-std::shared_ptr<const declared_text> control_core::declared() const {
+std::shared_ptr<const declaration_record> control_core::declared() const {
   const std::lock_guard Lock(DeclaredMutex);
   return Published;
 }
@@ -253,7 +253,7 @@
 /// @param Asker Told once the log has it; may be null.
 void control_core::keepBackends(std::vector<backend_listing> Changes,
                                 const std::shared_ptr<std::promise<control_outcome>> &Asker) {
-  const auto Refused = propose(note_backends{std::move(Changes)}, [Asker](const auto &Known) {
+  const auto Refused = propose(update_backends{std::move(Changes)}, [Asker](const auto &Known) {
     if (Asker)
       Asker->set_value(Known ? control_outcome(backend_noted{})
                              : control_outcome(outcome_unknown{}));
--- a/programs/pollenstall-control/control_core_status.cpp
+++ b/programs/pollenstall-control/control_core_status.cpp
@@ -80,7 +80,7 @@
   return Object;
 }
 
-json::value ordersValue(const order_board *Board) {
+json::value ordersValue(const order_status_view *Board) {
   if (Board == nullptr)
     return nullptr;
   const order_status Status = Board->read();
@@ -90,7 +90,7 @@
   Object["done"] = Status.Counts.Done;
   Object["refused"] = Status.Counts.Refused;
   Object["unknown"] = Status.Counts.Unknown;
-  Object["held"] = Status.Held ? json::value(toText(*Status.Held)) : json::value();
+  Object["held"] = Status.SendRefusal ? json::value(toText(*Status.SendRefusal)) : json::value();
   return Object;
 }
 
--- a/programs/pollenstall-control/control_services.cpp
+++ b/programs/pollenstall-control/control_services.cpp
@@ -28,7 +28,7 @@
 
 declaration_answer readDeclared(control_core &Core) {
   // Filled before the answer is handed over; a read that comes too late fills what nobody looks at.
-  auto Read = std::make_shared<declared_text>();
+  auto Read = std::make_shared<declaration_record>();
   const control_outcome Outcome = Core.ask(read_wanted{[Read](const control_state &State) {
                                              *Read = State.declared();
                                              return std::string();
--- a/programs/pollenstall-control/entry_desk.cpp
+++ b/programs/pollenstall-control/entry_desk.cpp
@@ -41,7 +41,7 @@
 void entry_desk::takeOffice(mono_time Now) {
   InOffice = true;
   keepText();
-  Tracker.takeOffice(Hooks.State().declared().Revision, Now);
+  Tracker.beginTerm(Hooks.State().declared().Revision, Now);
   for (const auto &[Connection, Entry] : std::exchange(Waiting, {}))
     for (const link_request &Request : Entry.Requests)
       handle({Connection, Request}, Now);
@@ -147,7 +147,7 @@
 
 void entry_desk::handleRequest(connection_number /*From*/, const link_crash &Request,
                                mono_time /*Now*/) {
-  Hooks.Propose(note_crash{Request.Marks, Request.Incarnation, wallClock()},
+  Hooks.Propose(record_crash{Request.Marks, Request.Incarnation, wallClock()},
                 [](const auto & /*Known*/) {});
 }
 
@@ -273,7 +273,7 @@
 }
 
 link_reply entry_desk::messageFor(std::optional<revision> Holds) {
-  const declared_text &Declared = Hooks.State().declared();
+  const declaration_record &Declared = Hooks.State().declared();
   const auto Base = Holds ? Recent.find(*Holds) : Recent.end();
   if (Base == Recent.end())
     return link_declaration{Declared.Revision, packedText()};
@@ -299,7 +299,7 @@
 }
 
 void entry_desk::keepText() {
-  const declared_text &Declared = Hooks.State().declared();
+  const declaration_record &Declared = Hooks.State().declared();
   if (!Recent.insert_or_assign(Declared.Revision, Declared.Text).second)
     return;
   Whole.reset();
@@ -325,7 +325,7 @@
   keepText();
   if (!InOffice)
     return;
-  Tracker.accepted(Hooks.State().declared().Revision, Now);
+  Tracker.recordChange(Hooks.State().declared().Revision, Now);
   if (!Hooks.MayServe(Now))
     return;
   announceDeclaration();
--- a/programs/pollenstall-control/operator_api.cpp
+++ b/programs/pollenstall-control/operator_api.cpp
@@ -79,7 +79,7 @@
 }
 
 std::string declarationText(const control_state &State) {
-  const declared_text &Declared = State.declared();
+  const declaration_record &Declared = State.declared();
   return json::serialize(
       json::object{{"revision", Declared.Revision.value()}, {"text", Declared.Text}});
 }
@@ -155,9 +155,9 @@
   if (Text->size() > MaxTextBytes)
     return badCall("text is larger than 3 MiB");
   apply_change Change{change_id(*Id), revision(*Base), std::move(*Text), {}, {}, wallClock()};
-  Change.Rejected = Validate(Change.Text);
+  Change.ValidationErrors = Validate(Change.Text);
   const auto Declared = Core.declared();
-  if (Change.Rejected.empty() && Declared->Revision == Change.Base)
+  if (Change.ValidationErrors.empty() && Declared->Revision == Change.Base)
     Change.Summary = changeSummary(Declared->Text, Change.Text);
   return ask(command_wanted{std::move(Change)});
 }
--- a/programs/pollenstall-control/operator_reply.cpp
+++ b/programs/pollenstall-control/operator_reply.cpp
@@ -65,7 +65,7 @@
                    errorObject("change_id_reused", "the id was used for another change"));
 }
 
-operator_reply replyToAnswer(const suspects_kept & /*Answer*/) {
+operator_reply replyToAnswer(const suspects_updated & /*Answer*/) {
   return jsonReply(HttpOk, {{"done", true}});
 }
 
--- a/programs/pollenstall-control/order_service.cpp
+++ b/programs/pollenstall-control/order_service.cpp
@@ -17,8 +17,8 @@
 constexpr milliseconds FenceLimit{300};
 
 /// The bounds follow from the lease: a margin as long as the lease would never let an order pass.
-order_duty_options optionsFrom(const control_settings &Settings) {
-  order_duty_options Options;
+order_executor_options optionsFrom(const control_settings &Settings) {
+  order_executor_options Options;
   const milliseconds UnderWay = std::min(MaxUnderWay, Settings.Election / LeaseParts);
   Options.Gate = {UnderWay, UnderWay, UnderWay, replicaOptions(Settings).MaxClockStep};
   Options.Calls = {UnderWay / 2, UnderWay / 2};
@@ -42,23 +42,23 @@
 
 private:
   control_core *Core;
-  std::shared_ptr<const declared_text> Last;
+  std::shared_ptr<const declaration_record> Last;
   std::optional<std::vector<placement>> Placements;
 };
 
 std::optional<fencing_token> takeFence(control_core &Core) {
-  const control_outcome Outcome = Core.ask(command_wanted{take_fence{}}, FenceLimit);
+  const control_outcome Outcome = Core.ask(command_wanted{take_fencing_token{}}, FenceLimit);
   const auto *Answer = std::get_if<control_answer>(&Outcome);
-  const auto *Granted = Answer == nullptr ? nullptr : std::get_if<fence_granted>(Answer);
+  const auto *Granted = Answer == nullptr ? nullptr : std::get_if<fencing_token_granted>(Answer);
   return Granted == nullptr ? std::nullopt : std::optional(Granted->Fence);
 }
 
-order_duty_hooks hooksFor(control_core &Core, std::shared_ptr<order_board> Board) {
-  order_duty_hooks Hooks;
+order_executor_callbacks hooksFor(control_core &Core, std::shared_ptr<order_status_view> Board) {
+  order_executor_callbacks Hooks;
   Hooks.Lease = [&Core] { return Core.lease(); };
-  Hooks.TakeFence = [&Core] { return takeFence(Core); };
+  Hooks.TakeFencingToken = [&Core] { return takeFence(Core); };
   Hooks.Placements = placement_reader(Core);
-  Hooks.Board = std::move(Board);
+  Hooks.StatusView = std::move(Board);
   return Hooks;
 }
 
@@ -108,15 +108,15 @@
   if (!succeeded(Created))
     return "cannot listen for gossip on " + Settings.GossipAddress;
   Gossip = std::move(valueOf(Created));
-  Board = std::make_shared<order_board>();
+  Board = std::make_shared<order_status_view>();
   return std::nullopt;
 }
 
 void order_service::start(const control_settings &Settings, control_core &Core) {
   if (!Gossip)
     return;
-  Duty =
-      std::make_unique<order_duty>(optionsFrom(Settings), hooksFor(Core, Board), Gossip->changes());
+  Duty = std::make_unique<order_executor>(optionsFrom(Settings), hooksFor(Core, Board),
+                                          Gossip->changes());
   Gossip->start();
   Duty->start();
 }
--- a/programs/pollenstall-control/order_service_base.h
+++ b/programs/pollenstall-control/order_service_base.h
@@ -25,13 +25,13 @@
   void start(const control_settings &Settings, control_core &Core);
 
   /// @return Null where no orders are sent.
-  [[nodiscard]] std::shared_ptr<order_board> board() const { return Board; }
+  [[nodiscard]] std::shared_ptr<order_status_view> board() const { return Board; }
   [[nodiscard]] std::string address() const { return Gossip->address().str(); }
 
 private:
-  std::shared_ptr<order_board> Board;
+  std::shared_ptr<order_status_view> Board;
   std::unique_ptr<gossip_service> Gossip;
-  std::unique_ptr<order_duty> Duty; ///< Takes from Gossip, so it ends before it.
+  std::unique_ptr<order_executor> Duty; ///< Takes from Gossip, so it ends before it.
 };
 
 } // namespace pollenstall
--- a/src/control_state/control_state.cpp
+++ b/src/control_state/control_state.cpp
@@ -1,43 +1,44 @@
-/** @file control_state.cpp The table of first answers and its bounds. */
+/** @file control_state.cpp Answers to change ids and their bounds. */
 #include "control_state/control_state_base.h"
 
 #include <utility>
 
 namespace pollenstall {
 
-control_state::control_state(const control_limits &Bounds)
-    : Limits(Bounds), Claims(Bounds.MaxClaims) {}
+control_state::control_state(const control_limits &StateLimits)
+    : Limits(StateLimits), Claims(StateLimits.MaxClaims) {}
 
 const answer_record *control_state::findAnswer(const change_id &Id) const {
   const auto Found = Answers.find(Id);
   return Found == Answers.end() ? nullptr : &Found->second;
 }
 
-void control_state::record(answer_record Answer) {
+void control_state::recordAnswer(answer_record Answer) {
   LatestTime = std::max(LatestTime, Answer.Time);
   Answer.Time = LatestTime;
   AnswerOrder.push_back(Answer.Id);
-  const bool New = Answers.emplace(Answer.Id, std::move(Answer)).second;
-  requireInvariant(New, "a change id is answered once");
-  forgetOldAnswers();
+  const bool Inserted = Answers.emplace(Answer.Id, std::move(Answer)).second;
+  requireInvariant(Inserted, "a change id is answered once");
+  evictOldAnswers();
 }
 
-void control_state::forgetOldAnswers() {
-  const unix_millis Oldest = LatestTime - Limits.AnswerLifetime;
+void control_state::evictOldAnswers() {
+  const unix_millis MinTime = LatestTime - Limits.AnswerLifetime;
   while (!AnswerOrder.empty()) {
-    const auto First = Answers.find(AnswerOrder.front());
-    const bool Expired = First->second.Time < Oldest;
+    const auto Oldest = Answers.find(AnswerOrder.front());
+    const bool Expired = Oldest->second.Time < MinTime;
     if (!Expired && AnswerOrder.size() <= Limits.MaxAnswers)
       return;
-    Answers.erase(First);
+    Answers.erase(Oldest);
     AnswerOrder.pop_front();
   }
 }
 
 void control_state::requireConsistent() const {
-  requireInvariant(Answers.size() == AnswerOrder.size(), "every answer is in the order of answers");
+  requireInvariant(Answers.size() == AnswerOrder.size(),
+                   "every answer is listed in the order of answers");
   requireInvariant(History.empty() || History.back().Revision == Declared.Revision,
-                   "the history ends with the declaration in force");
+                   "the history ends with the current declaration");
 }
 
 } // namespace pollenstall
--- a/src/control_state/control_state.h
+++ b/src/control_state/control_state.h
@@ -1,4 +1,4 @@
-/** @file control_state.h Public header of control_state: what the control log decides. */
+/** @file control_state.h Public header of control_state: the state machine of the control log. */
 #ifndef POLLENSTALL_CONTROL_STATE_CONTROL_STATE_H
 #define POLLENSTALL_CONTROL_STATE_CONTROL_STATE_H
 
--- a/src/control_state/control_state_cmd.cpp
+++ b/src/control_state/control_state_cmd.cpp
@@ -1,4 +1,4 @@
-/** @file control_state_cmd.cpp The commands on the control state: check without effect, execute. */
+/** @file control_state_cmd.cpp Commands on the control state: check() without effect, execute(). */
 #include "control_state/control_state_base.h"
 
 #include <utility>
@@ -7,45 +7,46 @@
 
 namespace {
 
-std::uint64_t contentOf(const apply_change &Command) {
+std::uint64_t contentHash(const apply_change &Command) {
   return combineHashes(stableHash(Command.Text), Command.Base.value());
 }
 
-std::uint64_t contentOf(const set_drain &Command) {
+std::uint64_t contentHash(const set_drain &Command) {
   return combineHashes(stableHash(Command.Backend.str()), Command.Undo ? 1 : 0);
 }
 
 } // namespace
 
 control_answer control_state::check(const control_command &Command) const {
-  return std::visit([this](const auto &One) { return checkOne(One); }, Command);
+  return std::visit([this](const auto &Typed) { return checkCommand(Typed); }, Command);
 }
 
 control_answer control_state::execute(const control_command &Command) {
-  return std::visit(overloaded{[this](const apply_change &One) { return executeChange(One); },
-                               [this](const set_drain &One) { return executeChange(One); },
-                               [this](const take_fence &One) { return executeCommand(One); },
-                               [this](const offer_declaration &One) { return executeCommand(One); },
-                               [this](const note_backends &One) { return executeCommand(One); },
-                               [this](const note_crash &One) { return executeCommand(One); },
-                               [this](const clear_suspect &One) { return executeCommand(One); },
-                               [this](const auto &Claim) { return executeClaim(Claim); }},
-                    Command);
-}
-
-// ---- Changes with an id. ----
-
-change_verdict control_state::judge(const apply_change &Command) const {
-  if (!Command.Rejected.empty())
-    return change_invalid{Command.Rejected};
-  // Two operators who changed the same revision: the log orders them, and the second meets a
-  // revision that is not the one it was made against. Taking it would drop the first one's change.
+  return std::visit(
+      overloaded{[this](const apply_change &Typed) { return executeChange(Typed); },
+                 [this](const set_drain &Typed) { return executeChange(Typed); },
+                 [this](const take_fencing_token &Typed) { return executeCommand(Typed); },
+                 [this](const offer_declaration &Typed) { return executeCommand(Typed); },
+                 [this](const update_backends &Typed) { return executeCommand(Typed); },
+                 [this](const record_crash &Typed) { return executeCommand(Typed); },
+                 [this](const clear_suspect &Typed) { return executeCommand(Typed); },
+                 [this](const auto &Claim) { return executeClaim(Claim); }},
+      Command);
+}
+
+// ---- Changes with a change id. ----
+
+change_verdict control_state::decideVerdict(const apply_change &Command) const {
+  if (!Command.ValidationErrors.empty())
+    return change_invalid{Command.ValidationErrors};
+  // Two operators may change the same revision. The log orders the changes, and the second one is
+  // based on an outdated revision. Accepting it would drop the first change.
   if (Command.Base != Declared.Revision)
     return change_conflict{Declared.Revision};
   return change_accepted{Declared.Revision.next()};
 }
 
-change_verdict control_state::judge(const set_drain &Command) const {
+change_verdict control_state::decideVerdict(const set_drain &Command) const {
   const bool Drained = Drains.count(Command.Backend) != 0;
   if (Drained != Command.Undo)
     return drain_recorded{DrainsVersion};
@@ -55,33 +56,33 @@
 }
 
 template <typename Change> control_answer control_state::checkChange(const Change &Command) const {
-  const answer_record *Known = findAnswer(Command.Id);
-  if (Known == nullptr)
-    return change_answer{judge(Command), false};
-  if (Known->Content != contentOf(Command))
+  const answer_record *Existing = findAnswer(Command.Id);
+  if (Existing == nullptr)
+    return change_answer{decideVerdict(Command), false};
+  if (Existing->ContentHash != contentHash(Command))
     return change_id_reused{};
-  return change_answer{Known->Verdict, true};
+  return change_answer{Existing->Verdict, true};
 }
 
-control_answer control_state::checkOne(const apply_change &Command) const {
+control_answer control_state::checkCommand(const apply_change &Command) const {
   return checkChange(Command);
 }
-control_answer control_state::checkOne(const set_drain &Command) const {
+control_answer control_state::checkCommand(const set_drain &Command) const {
   return checkChange(Command);
 }
 
 template <typename Change> control_answer control_state::executeChange(const Change &Command) {
   control_answer Answer = checkChange(Command);
-  const auto *Checked = std::get_if<change_answer>(&Answer);
-  if (Checked == nullptr || Checked->Repeated)
+  const auto *Decided = std::get_if<change_answer>(&Answer);
+  if (Decided == nullptr || Decided->Repeated)
     return Answer;
-  record({Command.Id, contentOf(Command), Checked->Verdict, Command.Time});
-  executeOne(Command, Checked->Verdict);
+  recordAnswer({Command.Id, contentHash(Command), Decided->Verdict, Command.Time});
+  applyEffect(Command, Decided->Verdict);
   requireConsistent();
   return Answer;
 }
 
-void control_state::executeOne(const apply_change &Command, const change_verdict &Verdict) {
+void control_state::applyEffect(const apply_change &Command, const change_verdict &Verdict) {
   const auto *Accepted = std::get_if<change_accepted>(&Verdict);
   if (Accepted == nullptr)
     return;
@@ -92,7 +93,7 @@
     History.pop_front();
 }
 
-void control_state::executeOne(const set_drain &Command, const change_verdict &Verdict) {
+void control_state::applyEffect(const set_drain &Command, const change_verdict &Verdict) {
   const auto *Recorded = std::get_if<drain_recorded>(&Verdict);
   if (Recorded == nullptr || Recorded->Version == DrainsVersion)
     return;
@@ -103,28 +104,28 @@
     Drains.insert(Command.Backend);
 }
 
-// ---- Fencing numbers. ----
+// ---- Fencing tokens. ----
 
-control_answer control_state::checkOne(const take_fence & /*Command*/) const {
-  return fence_granted{LastFence.next()};
+control_answer control_state::checkCommand(const take_fencing_token & /*Command*/) const {
+  return fencing_token_granted{LastFence.next()};
 }
 
-control_answer control_state::executeCommand(const take_fence &Command) {
-  control_answer Answer = checkOne(Command);
-  LastFence = std::get<fence_granted>(Answer).Fence;
+control_answer control_state::executeCommand(const take_fencing_token &Command) {
+  control_answer Answer = checkCommand(Command);
+  LastFence = std::get<fencing_token_granted>(Answer).Fence;
   return Answer;
 }
 
-// ---- Offers. ----
+// ---- Offered declarations. ----
 
-control_answer control_state::checkOne(const offer_declaration &Command) const {
-  const bool Taken = Command.Revision > Declared.Revision;
-  return offer_answer{Taken ? Command.Revision : Declared.Revision, Taken};
+control_answer control_state::checkCommand(const offer_declaration &Command) const {
+  const bool IsNewer = Command.Revision > Declared.Revision;
+  return offer_answer{IsNewer ? Command.Revision : Declared.Revision, IsNewer};
 }
 
 control_answer control_state::executeCommand(const offer_declaration &Command) {
-  control_answer Answer = checkOne(Command);
-  if (!std::get<offer_answer>(Answer).Taken)
+  control_answer Answer = checkCommand(Command);
+  if (!std::get<offer_answer>(Answer).Applied)
     return Answer;
   LatestTime = std::max(LatestTime, Command.Time);
   Declared = {Command.Revision, Command.Text};
@@ -137,52 +138,55 @@
 
 // ---- Backend servers. ----
 
-control_answer control_state::checkOne(const note_backends & /*Command*/) {
-  return backends_kept{};
+control_answer control_state::checkCommand(const update_backends & /*Command*/) {
+  return backends_updated{};
 }
 
-control_answer control_state::executeCommand(const note_backends &Command) {
+control_answer control_state::executeCommand(const update_backends &Command) {
   for (const backend_listing &Listing : Command.Changes)
-    keepBackend(Listing);
-  return backends_kept{};
+    storeBackend(Listing);
+  return backends_updated{};
 }
 
-// ---- Requests under which backend servers crash. ----
+// ---- Requests suspected of crashing backend servers. ----
 
-control_answer control_state::checkOne(const note_crash & /*Command*/) { return suspects_kept{}; }
-control_answer control_state::checkOne(const clear_suspect & /*Command*/) {
-  return suspects_kept{};
+control_answer control_state::checkCommand(const record_crash & /*Command*/) {
+  return suspects_updated{};
+}
+control_answer control_state::checkCommand(const clear_suspect & /*Command*/) {
+  return suspects_updated{};
 }
 
-control_answer control_state::executeCommand(const note_crash &Command) {
+control_answer control_state::executeCommand(const record_crash &Command) {
   LatestTime = std::max(LatestTime, Command.Time);
   Suspects.noteCrash(Command.Marks, Command.Incarnation, LatestTime);
-  return suspects_kept{};
+  return suspects_updated{};
 }
 
 control_answer control_state::executeCommand(const clear_suspect &Command) {
   Suspects.clear(Command.High);
-  return suspects_kept{};
+  return suspects_updated{};
 }
 
-void control_state::keepBackend(const backend_listing &Listing) {
-  const auto Known = Backends.find(Listing.Instance);
-  const bool IsKnown = Known != Backends.end();
-  if (IsKnown && Listing.Started < Known->second.Started)
+void control_state::storeBackend(const backend_listing &Listing) {
+  const auto Existing = Backends.find(Listing.Instance);
+  const bool Exists = Existing != Backends.end();
+  if (Exists && Listing.Started < Existing->second.Started)
     return;
   if (Listing.State == listing_state::Gone) {
-    if (IsKnown)
-      Backends.erase(Known);
-  } else if (IsKnown && Listing.Key.Address.empty()) {
-    Known->second.State = Listing.State; // It was withdrawn at a leader that had not heard of it.
-  } else if (!Listing.Key.Address.empty() && (IsKnown || Backends.size() < Limits.MaxBackends)) {
+    if (Exists)
+      Backends.erase(Existing);
+  } else if (Exists && Listing.Key.Address.empty()) {
+    // A leader that did not know the server has forwarded its withdrawal.
+    Existing->second.State = Listing.State;
+  } else if (!Listing.Key.Address.empty() && (Exists || Backends.size() < Limits.MaxBackends)) {
     Backends.insert_or_assign(Listing.Instance, Listing);
   }
 }
 
 const backend_listing *control_state::backend(const instance_name &Instance) const {
-  const auto Known = Backends.find(Instance);
-  return Known == Backends.end() ? nullptr : &Known->second;
+  const auto Existing = Backends.find(Instance);
+  return Existing == Backends.end() ? nullptr : &Existing->second;
 }
 
 std::vector<backend_listing> control_state::backends() const {
@@ -195,13 +199,13 @@
 
 // ---- Claims. ----
 
-control_answer control_state::checkOne(const claim_acquire &Command) const {
+control_answer control_state::checkCommand(const claim_acquire &Command) const {
   return Claims.check(Command);
 }
-control_answer control_state::checkOne(const claim_settle &Command) const {
+control_answer control_state::checkCommand(const claim_settle &Command) const {
   return Claims.check(Command);
 }
-control_answer control_state::checkOne(const claim_expire &Command) const {
+control_answer control_state::checkCommand(const claim_expire &Command) const {
   return Claims.check(Command);
 }
 
--- a/src/control_state/control_state_sl.cpp
+++ b/src/control_state/control_state_sl.cpp
@@ -1,15 +1,17 @@
-/** @file control_state_sl.cpp The control state to and from plain values; the protocol layer
- * encodes them and names the version. */
+/** @file control_state_sl.cpp Converts the control state to and from a snapshot of plain values.
+ * The protocol layer encodes the snapshot and adds its format version. */
 #include "control_state/control_state_base.h"
 
 namespace pollenstall {
 
 namespace {
 
-bool keepsRules(const control_snapshot &Snapshot, const control_limits &Bounds) {
-  if (Snapshot.Answers.size() > Bounds.MaxAnswers || Snapshot.History.size() > Bounds.MaxHistory)
+bool isValidSnapshot(const control_snapshot &Snapshot, const control_limits &StateLimits) {
+  if (Snapshot.Answers.size() > StateLimits.MaxAnswers ||
+      Snapshot.History.size() > StateLimits.MaxHistory)
     return false;
-  if (Snapshot.Drains.size() > Bounds.MaxDrains || Snapshot.Backends.size() > Bounds.MaxBackends)
+  if (Snapshot.Drains.size() > StateLimits.MaxDrains ||
+      Snapshot.Backends.size() > StateLimits.MaxBackends)
     return false;
   return Snapshot.History.empty() || Snapshot.History.back().Revision == Snapshot.Declared.Revision;
 }
@@ -34,14 +36,14 @@
   return Snapshot;
 }
 
-result<control_state, control_state_error> control_state::restore(const control_snapshot &Snapshot,
-                                                                  const control_limits &Bounds) {
-  if (!keepsRules(Snapshot, Bounds))
+result<control_state, control_state_error>
+control_state::restore(const control_snapshot &Snapshot, const control_limits &StateLimits) {
+  if (!isValidSnapshot(Snapshot, StateLimits))
     return control_state_error::InvalidSnapshot;
-  auto Claims = claim_table::restore(Snapshot.Claims, Bounds.MaxClaims);
+  auto Claims = claim_table::restore(Snapshot.Claims, StateLimits.MaxClaims);
   if (!succeeded(Claims))
     return control_state_error::InvalidSnapshot;
-  control_state State(Bounds);
+  control_state State(StateLimits);
   State.Claims = valueOf(std::move(Claims));
   State.Declared = Snapshot.Declared;
   State.History.assign(Snapshot.History.begin(), Snapshot.History.end());
--- a/src/control_state/control_state_type.h
+++ b/src/control_state/control_state_type.h
@@ -1,4 +1,5 @@
-/** @file control_state_type.h Commands on the control state, their answers, and stored records. */
+/** @file control_state_type.h Commands on the control state, their answers and the stored records.
+ */
 #ifndef POLLENSTALL_CONTROL_STATE_CONTROL_STATE_TYPE_H
 #define POLLENSTALL_CONTROL_STATE_CONTROL_STATE_TYPE_H
 
@@ -14,19 +15,19 @@
 
 namespace pollenstall {
 
-// ---- Commands: the payload of an entry of the control log. ----
+// ---- Commands: payloads of the entries of the control log. ----
 
-/// Puts another declaration in force.
+/// Replaces the declaration.
 struct apply_change {
   change_id Id;
-  revision Base; ///< Which revision the operator changed.
+  revision Base; ///< Revision on which the operator based the change.
   std::string Text;
-  std::string Summary;  ///< One line for the history.
-  std::string Rejected; ///< What the validation found wrong; empty where the text is valid.
-  unix_millis Time{0};  ///< The proposing leader's wall clock.
+  std::string Summary;          ///< One line for the history.
+  std::string ValidationErrors; ///< Empty if the text is valid.
+  unix_millis Time{0};          ///< The proposing leader's wall clock.
 };
 
-/// Starts or ends the draining of a backend server.
+/// Starts draining a backend server, or ends it if Undo is set.
 struct set_drain {
   change_id Id;
   backend_address Backend;
@@ -34,13 +35,13 @@
   unix_millis Time{0};
 };
 
-/// Takes a number for an order to an engine.
-struct take_fence {};
+/// Takes a fencing token for an order to an engine.
+struct take_fencing_token {};
 
 /**
- * Offers a declaration under a revision that whoever sends it has chosen: the highest one counts.
- * An older one is answered as done and changes nothing, so that a resend, a race or a late copy can
- * never take a newer one back.
+ * Offers a declaration with a revision chosen by the sender; the highest revision wins.
+ * An offer that is not newer is answered as done and changes nothing, so that a retry, a race or a
+ * late copy never replaces a newer declaration.
  */
 struct offer_declaration {
   revision Revision;
@@ -48,26 +49,27 @@
   unix_millis Time{0}; ///< The proposing leader's wall clock.
 };
 
-/// What the leader's list of backend servers came to be. One that is gone is forgotten.
-struct note_backends {
+/// Updates the list of backend servers with the leader's changes. Servers that are gone are
+/// removed.
+struct update_backends {
   std::vector<backend_listing> Changes;
 };
 
-/// Requests that an entry had on a backend server when it crashed.
-struct note_crash {
+/// Records the requests that an entry had on a backend server when the server crashed.
+struct record_crash {
   std::vector<request_mark> Marks;
   incarnation Incarnation; ///< Of the backend server.
   unix_millis Time{0};     ///< The proposing leader's wall clock.
 };
 
-/// A request does not crash backend servers: a run of it ended well, or an operator says so.
+/// Clears a suspected request: a run of it ended well, or an operator cleared it.
 struct clear_suspect {
-  std::uint64_t High{0}; ///< Of its mark, which operators are told.
+  std::uint64_t High{0}; ///< Field High of its fingerprint, which operators see.
 };
 
-using control_command =
-    std::variant<apply_change, set_drain, claim_acquire, claim_settle, claim_expire, take_fence,
-                 offer_declaration, note_backends, note_crash, clear_suspect>;
+using control_command = std::variant<apply_change, set_drain, claim_acquire, claim_settle,
+                                     claim_expire, take_fencing_token, offer_declaration,
+                                     update_backends, record_crash, clear_suspect>;
 
 // ---- Answers. ----
 
@@ -77,86 +79,86 @@
   bool operator==(const change_accepted &) const = default;
 };
 
-/// Another change was accepted first.
+/// Another change was accepted first, so the base revision is outdated.
 struct change_conflict {
-  revision Current; ///< When the conflict was found.
+  revision Current; ///< Revision at the time of the conflict.
 
   bool operator==(const change_conflict &) const = default;
 };
 
 struct change_invalid {
-  std::string Details; ///< As the validation wrote them.
+  std::string Details; ///< Errors found by the validation.
 
   bool operator==(const change_invalid &) const = default;
 };
 
 struct drain_recorded {
-  std::uint64_t Version{0}; ///< Of the list of drains.
+  std::uint64_t Version{0}; ///< Version of the list of drains.
 
   bool operator==(const drain_recorded &) const = default;
 };
 
-/// Too many backend servers are drained already.
+/// The maximum number of backend servers is already draining.
 struct drains_full {
   bool operator==(const drains_full &) const = default;
 };
 
-/// What a change id was answered first; every resend gets it again.
+/// First answer to a change id; every retry with the id gets it again.
 using change_verdict =
     std::variant<change_accepted, change_conflict, change_invalid, drain_recorded, drains_full>;
 
 /// Answer to apply_change and set_drain.
 struct change_answer {
   change_verdict Verdict;
-  bool Repeated{false}; ///< The id was answered before.
+  bool Repeated{false}; ///< Whether the id was answered before.
 
   bool operator==(const change_answer &) const = default;
 };
 
-/// The id was used for a change with another content, which was answered; this one has no effect.
+/// The id belongs to an earlier, answered change with other content; this change has no effect.
 struct change_id_reused {
   bool operator==(const change_id_reused &) const = default;
 };
 
-struct fence_granted {
+struct fencing_token_granted {
   fencing_token Fence;
 
-  bool operator==(const fence_granted &) const = default;
+  bool operator==(const fencing_token_granted &) const = default;
 };
 
 /// Answer to offer_declaration.
 struct offer_answer {
-  revision Current;  ///< In the log now; never below the offered one.
-  bool Taken{false}; ///< The offered one is it.
+  revision Current;    ///< Revision in the log; never below the offered one.
+  bool Applied{false}; ///< Whether the offered declaration was applied.
 
   bool operator==(const offer_answer &) const = default;
 };
 
-/// Answer to note_backends.
-struct backends_kept {
-  bool operator==(const backends_kept &) const = default;
+/// Answer to update_backends.
+struct backends_updated {
+  bool operator==(const backends_updated &) const = default;
 };
 
-/// Answer to note_crash and clear_suspect.
-struct suspects_kept {
-  bool operator==(const suspects_kept &) const = default;
+/// Answer to record_crash and clear_suspect.
+struct suspects_updated {
+  bool operator==(const suspects_updated &) const = default;
 };
 
 using claim_acquire_answer = result<claim_verdict, claim_error>;
-using claim_done_answer = result<done, claim_error>; ///< Of a settle or an expiry.
+using claim_update_answer = result<done, claim_error>; ///< Of claim_settle and claim_expire.
 
 using control_answer =
-    std::variant<change_answer, change_id_reused, fence_granted, claim_acquire_answer,
-                 claim_done_answer, offer_answer, backends_kept, suspects_kept>;
+    std::variant<change_answer, change_id_reused, fencing_token_granted, claim_acquire_answer,
+                 claim_update_answer, offer_answer, backends_updated, suspects_updated>;
 
 // ---- Stored records. ----
 
-/// The declaration in force.
-struct declared_text {
+/// The current declaration.
+struct declaration_record {
   revision Revision;
   std::string Text;
 
-  bool operator==(const declared_text &) const = default;
+  bool operator==(const declaration_record &) const = default;
 };
 
 /// One accepted change.
@@ -169,10 +171,10 @@
   bool operator==(const history_record &) const = default;
 };
 
-/// The first answer of one change id.
+/// The first answer to a change id.
 struct answer_record {
   change_id Id;
-  std::uint64_t Content{0}; ///< Hash of what was asked, to tell a resend from a reused id.
+  std::uint64_t ContentHash{0}; ///< Hash of the change; tells a retry from a reused id.
   change_verdict Verdict;
   unix_millis Time{0};
 
@@ -180,9 +182,9 @@
 };
 
 /**
- * Bounds of the state; the same on every member, or their states part.
- * An answer is forgotten when it is older than AnswerLifetime or more than MaxAnswers follow it. A
- * resend after that cannot be accepted twice: its base revision is no longer the current one.
+ * Bounds of the state. They must be the same on every member, or the members' states diverge.
+ * An answer is removed once it is older than AnswerLifetime or there are more than MaxAnswers. A
+ * later retry cannot be accepted twice, since its base revision is no longer the current one.
  */
 struct control_limits {
   std::size_t MaxAnswers{10'000};
@@ -190,29 +192,29 @@
   std::size_t MaxHistory{1'000};
   std::size_t MaxDrains{4'096};
   std::size_t MaxClaims{200'000};
-  std::size_t MaxBackends{4'096}; ///< More are not kept; they are known by their notices alone.
+  std::size_t MaxBackends{4'096}; ///< Further ones are known by their notices only.
 };
 
 /// The whole state as plain values.
 struct control_snapshot {
-  declared_text Declared;
+  declaration_record Declared;
   std::vector<history_record> History; ///< Oldest first.
-  std::vector<answer_record> Answers;  ///< In the order they were given.
+  std::vector<answer_record> Answers;  ///< In the order in which they were given.
   std::vector<backend_address> Drains; ///< Ascending.
   std::uint64_t DrainsVersion{0};
   fencing_token LastFence;
   unix_millis LatestTime{0};
   claim_snapshot Claims;
-  std::vector<backend_listing> Backends; ///< By their names.
-  std::vector<suspect_record> Suspects;  ///< By their marks.
+  std::vector<backend_listing> Backends; ///< In order of their names.
+  std::vector<suspect_record> Suspects;  ///< In order of their fingerprints.
   std::uint64_t SuspectsVersion{0};
 
   bool operator==(const control_snapshot &) const = default;
 };
 
-/// Why a snapshot is not taken.
+/// Reason why a snapshot is refused.
 enum class control_state_error : std::uint8_t {
-  InvalidSnapshot, ///< It breaks a rule that the state keeps.
+  InvalidSnapshot, ///< It violates an invariant of the state.
 };
 
 } // namespace pollenstall
--- a/src/control_state/in_force_tracker_base.h
+++ b/src/control_state/in_force_tracker_base.h
@@ -1,4 +1,5 @@
-/** @file in_force_tracker_base.h At the leader: which entries hold a lease, and what is in force.
+/** @file in_force_tracker_base.h Tracks, at the leader, the entries' leases and the revision in
+ * force.
  */
 #ifndef POLLENSTALL_CONTROL_STATE_IN_FORCE_TRACKER_BASE_H
 #define POLLENSTALL_CONTROL_STATE_IN_FORCE_TRACKER_BASE_H
@@ -13,79 +14,81 @@
 
 namespace pollenstall {
 
-/// Times of the entries' leases; the same on every control host.
+/// Time bounds of the entries' leases; the same on every control host.
 struct in_force_options {
   mono_duration Lease{std::chrono::milliseconds(5000)};
-  /// An entry that lags behind a change for longer gets no further lease.
+  /// An entry that has not confirmed a change within this time gets no further lease.
   mono_duration ConfirmWithin{std::chrono::milliseconds(2000)};
-  /// Nobody acts on an older declaration for longer after a change was acknowledged: leases of
-  /// entries that lag end by then, and a change is acknowledged no sooner than the others allow.
+  /// Longest time for which an entry acts on an older declaration after a change was acknowledged.
+  /// Leases of entries that lag behind end by then, and a change is not acknowledged before all
+  /// leases granted earlier end in time.
   mono_duration ApplyWithin{std::chrono::seconds(10)};
-  /// How much faster or slower than true time a clock may run, in parts per thousand.
+  /// Maximum rate error of a clock, faster or slower than true time, in parts per thousand.
   std::uint32_t ClockSkewPermille{20};
 };
 
-/// One entry as the leader knows it.
+/// An entry as seen by the leader.
 struct entry_lease {
   process_key Process;
   failure_domain_name Domain;
   std::optional<revision> Confirmed;
-  mono_time LeaseEnd{}; ///< By the leader's own count, which ends after the entry's.
+  mono_time LeaseEnd{}; ///< By the leader's clock; never before the end that the entry computes.
   mono_time LastSeen{};
 };
 
 /**
- * Answers when an accepted change is in force everywhere: every entry that may still act on an
- * older declaration has confirmed it, or its lease has run out.
+ * Determines when an accepted change is in force everywhere: each entry that may still act on an
+ * older declaration has confirmed the change, or its lease has expired.
  *
- * A new leader knows nothing of the leases its predecessor gave. Until the longest of them must
- * have run out it reports nothing as in force, and it leases only to entries that confirmed what
- * was declared when it took office.
+ * A new leader does not know the leases that its predecessor granted. Until the longest of them
+ * must have expired it reports no revision as in force. It grants leases only to entries that
+ * confirmed the revision that was declared at the start of its term.
  */
 class in_force_tracker {
 public:
-  explicit in_force_tracker(const in_force_options &Times) : Options(Times) {}
+  explicit in_force_tracker(const in_force_options &TrackerOptions) : Options(TrackerOptions) {}
 
-  /// This host leads from now on. @param Current The declaration's revision now.
-  void takeOffice(revision Current, mono_time Now);
+  /// Starts a term of this host as leader. @param Current Current revision of the declaration.
+  void beginTerm(revision Current, mono_time Now);
 
-  /// A change was accepted.
-  void accepted(revision Current, mono_time Now);
+  /// Records that a change was accepted. @param Current The new revision.
+  void recordChange(revision Current, mono_time Now);
 
-  /// An entry asks for a lease. @return The lease, shorter where it lags, or nothing where it
-  /// lags behind too far.
+  /// Renews an entry's lease. @return The duration of the lease, which is shorter if the entry lags
+  /// behind, or nothing if it lags too far behind.
   std::optional<mono_duration> renew(const process_key &Process, const failure_domain_name &Domain,
                                      std::optional<revision> Confirmed, mono_time Now);
 
-  /// @return The highest revision known to be in force everywhere; nothing while that is unknown.
+  /// @return The highest revision that is in force everywhere; nothing while that is not known.
   std::optional<revision> inForce(mono_time Now);
 
   /**
-   * A lease may be longer than ApplyWithin, so that entries serve on while leaders change. One that
-   * was given a moment before a change would then outlast the promise, so that a caller is told "no
-   * such route" of a route that an operator was told is there. The operator is told once every such
-   * lease ends in time; where all entries have confirmed, that is at once.
+   * A lease may be longer than ApplyWithin, so that entries keep serving during a change of
+   * leaders. A lease granted just before a change could thus outlast that bound, and an entry would
+   * answer "no such route" for a route that an operator knows as added. A change is therefore
+   * acknowledged only when all such leases end in time, which is at once if all entries have
+   * confirmed it.
    * @return Whether an accepted change may be acknowledged now.
    */
   [[nodiscard]] bool mayAcknowledge(revision Accepted, mono_time Now) const;
 
-  /// @return Entries seen lately, those without a lease included.
+  /// @return Recently seen entries, including those without a lease.
   [[nodiscard]] std::vector<entry_lease> entries() const;
 
 private:
-  /// @return The longest that a lease lasts by any clock.
-  [[nodiscard]] mono_duration longest(mono_duration Lease) const;
-  /// @return What may be given to an entry that acts on this revision.
+  /// @return The longest duration of a lease by any clock.
+  [[nodiscard]] mono_duration maxLeaseDuration(mono_duration Lease) const;
+  /// @return The lease that may be granted to an entry that acts on the confirmed revision.
   [[nodiscard]] mono_duration leaseFor(revision Confirmed, mono_time Now) const;
-  [[nodiscard]] revision leaseFloor(mono_time Now);
-  void forgetOldEntries(mono_time Now);
+  [[nodiscard]] revision minLeasableRevision(mono_time Now);
+  void evictStaleEntries(mono_time Now);
 
   in_force_options Options;
   revision Current;
-  revision Due;                                      ///< Accepted longer than ConfirmWithin ago.
-  std::deque<std::pair<revision, mono_time>> Recent; ///< Accepted later than that.
-  mono_time PredecessorsEnd{};
-  std::optional<revision> Reported;
+  revision OverdueRevision; ///< Newest one accepted longer than ConfirmWithin ago.
+  std::deque<std::pair<revision, mono_time>> RecentRevisions; ///< Accepted after OverdueRevision.
+  mono_time PredecessorLeasesEnd{};
+  std::optional<revision> LastInForce;
   std::map<process_key, entry_lease> Entries;
 };
 
--- a/src/order/leader_order_gate.cpp
+++ b/src/order/leader_order_gate.cpp
@@ -1,88 +1,90 @@
-/** @file leader_order_gate.cpp Lease margin, successor's wait, clock jumps, and orders without an
- * answer. */
+/** @file leader_order_gate.cpp Checks of lease margin, new leader delay, clock jumps and unanswered
+ * orders. */
 #include "order/leader_order_gate_base.h"
 
 namespace pollenstall {
 
 bool leader_order_gate::isClockJump(mono_time Now) const {
-  if (LastLook == mono_time{})
+  if (LastChecked == mono_time{})
     return false;
-  return Now < LastLook || Now - LastLook > Times.MaxClockStep;
+  return Now < LastChecked || Now - LastChecked > Options.MaxClockStep;
 }
 
-void leader_order_gate::see(const leader_lease &Seen, mono_time Now) {
+void leader_order_gate::updateLease(const leader_lease &NewLease, mono_time Now) {
   if (isClockJump(Now)) {
-    // Stopped, suspended or set: nobody knows what happened meanwhile, also to the engines.
-    JumpedAt = Now;
-    Read.clear();
+    // The process was stopped or suspended, or the clock was set. Leases and engines may have
+    // changed meanwhile.
+    ClockJumpAt = Now;
+    EnginesRead.clear();
   }
-  LastLook = Now;
-  if (JumpedAt && Seen.Valid && Seen.Renewed > *JumpedAt)
-    JumpedAt.reset();
-  const bool NewOffice = Seen.Valid && Seen.Term != Lease.Term;
-  const leader_term Term = Seen.Valid ? Seen.Term : Lease.Term;
-  Lease = Seen;
+  LastChecked = Now;
+  if (ClockJumpAt && NewLease.Valid && NewLease.Renewed > *ClockJumpAt)
+    ClockJumpAt.reset();
+  const bool IsNewTerm = NewLease.Valid && NewLease.Term != Lease.Term;
+  const leader_term Term = NewLease.Valid ? NewLease.Term : Lease.Term;
+  Lease = NewLease;
   Lease.Term = Term;
-  if (!NewOffice)
+  if (!IsNewTerm)
     return;
-  // This lease is valid, so the earlier one has ended; counted from now the wait is never short.
-  IssueFrom = Now + Times.SuccessorWait;
-  Read.clear();
+  // This lease is valid, so the previous one has ended. A delay counted from now is long enough.
+  SendAllowedFrom = Now + Options.NewLeaderDelay;
+  EnginesRead.clear();
 }
 
-std::optional<gate_refusal> leader_order_gate::officeRefusal() const {
-  if (!Lease.Valid || Lease.End <= LastLook)
+std::optional<gate_refusal> leader_order_gate::leaderRefusal() const {
+  if (!Lease.Valid || Lease.End <= LastChecked)
     return gate_refusal::NoLease;
-  if (JumpedAt)
+  if (ClockJumpAt)
     return gate_refusal::ClockJumped;
-  if (Lease.End - LastLook <= Times.LeaseMargin)
+  if (Lease.End - LastChecked <= Options.LeaseMargin)
     return gate_refusal::LeaseTooShort;
-  if (LastLook < IssueFrom)
-    return gate_refusal::PredecessorUnderWay;
+  if (LastChecked < SendAllowedFrom)
+    return gate_refusal::PredecessorInFlight;
   return std::nullopt;
 }
 
 std::optional<gate_refusal> leader_order_gate::refusal(const backend_key &Engine,
-                                                       leader_term Planned) const {
-  if (const auto Office = officeRefusal())
-    return Office;
-  if (Planned != Lease.Term)
-    return gate_refusal::OtherOffice;
-  const auto UnderWay = UnderWayUntil.find(Engine);
-  if (UnderWay != UnderWayUntil.end() && LastLook < UnderWay->second)
-    return gate_refusal::OwnOrderUnderWay;
-  if (Read.count(Engine) == 0)
-    return gate_refusal::StateUnread;
+                                                       leader_term PlannedTerm) const {
+  if (const auto LeaderRefusal = leaderRefusal())
+    return LeaderRefusal;
+  if (PlannedTerm != Lease.Term)
+    return gate_refusal::StaleTerm;
+  const auto InFlight = InFlightUntil.find(Engine);
+  if (InFlight != InFlightUntil.end() && LastChecked < InFlight->second)
+    return gate_refusal::OwnOrderInFlight;
+  if (EnginesRead.count(Engine) == 0)
+    return gate_refusal::StateNotRead;
   return std::nullopt;
 }
 
-bool leader_order_gate::stateRead(const backend_key &Engine, mono_time Asked) {
-  // An answer to a question from before the wait's end may not show what the earlier leader did,
-  // nor may one from before an own order without an answer had its time.
-  const auto UnderWay = UnderWayUntil.find(Engine);
-  const bool OwnSettled = UnderWay == UnderWayUntil.end() || Asked >= UnderWay->second;
-  const bool Counts = Asked >= IssueFrom && OwnSettled && !JumpedAt;
-  if (Counts)
-    Read.insert(Engine);
-  return Counts;
+bool leader_order_gate::recordStateRead(const backend_key &Engine, mono_time RequestedAt) {
+  // A state requested before the end of the new leader delay may not show the previous leader's
+  // orders. A state requested while an own order may be in flight may not show that order.
+  const auto InFlight = InFlightUntil.find(Engine);
+  const bool OwnOrderArrived = InFlight == InFlightUntil.end() || RequestedAt >= InFlight->second;
+  const bool IsCurrent = RequestedAt >= SendAllowedFrom && OwnOrderArrived && !ClockJumpAt;
+  if (IsCurrent)
+    EnginesRead.insert(Engine);
+  return IsCurrent;
 }
 
-void leader_order_gate::writing(const backend_key &Engine, leader_term Planned) {
-  requireInvariant(!refusal(Engine, Planned), "an order is written only while the gate permits it");
-  // Held until the write has ended, and after that as long as its bytes may be on the way.
-  UnderWayUntil[Engine] = mono_time::max();
-  Read.erase(Engine);
+void leader_order_gate::beginWrite(const backend_key &Engine, leader_term PlannedTerm) {
+  requireInvariant(!refusal(Engine, PlannedTerm),
+                   "an order is written only while the gate permits it");
+  // Blocks further orders until the write ends, and then for as long as its bytes may be in flight.
+  InFlightUntil[Engine] = mono_time::max();
+  EnginesRead.erase(Engine);
 }
 
-void leader_order_gate::ended(const backend_key &Engine, order_outcome Outcome) {
-  // Also after an answer: a state that was asked for before it may show what was there before.
+void leader_order_gate::endWrite(const backend_key &Engine, order_outcome Outcome) {
+  // Also applies after an answer: a state requested earlier may show the engine before the order.
   const bool Answered = Outcome == order_outcome::Done || Outcome == order_outcome::Refused;
-  UnderWayUntil[Engine] = Answered ? LastLook : LastLook + Times.LongestUnderWay;
+  InFlightUntil[Engine] = Answered ? LastChecked : LastChecked + Options.MaxTimeInFlight;
 }
 
-void leader_order_gate::forget(const backend_key &Engine) {
-  Read.erase(Engine);
-  UnderWayUntil.erase(Engine);
+void leader_order_gate::removeEngine(const backend_key &Engine) {
+  EnginesRead.erase(Engine);
+  InFlightUntil.erase(Engine);
 }
 
 } // namespace pollenstall
--- a/src/order/leader_order_gate_base.h
+++ b/src/order/leader_order_gate_base.h
@@ -1,4 +1,4 @@
-/** @file leader_order_gate_base.h When a leader may send an order to an engine. */
+/** @file leader_order_gate_base.h Decides when a leader may send an order to an engine. */
 #ifndef POLLENSTALL_ORDER_LEADER_ORDER_GATE_BASE_H
 #define POLLENSTALL_ORDER_LEADER_ORDER_GATE_BASE_H
 
@@ -10,65 +10,70 @@
 
 namespace pollenstall {
 
-/// Bounds that the gate counts with; the same on every control host.
-struct order_gate_times {
-  /// From the check to the order's effect: connect, write, and what TCP_USER_TIMEOUT lets a
-  /// kernel hold back.
-  mono_duration LongestUnderWay{std::chrono::milliseconds(400)};
-  /// What the lease must outlast an order by; at least LongestUnderWay.
+/// Time bounds of the gate; the same on every control host.
+struct order_gate_options {
+  /// Longest time from the check to the order's effect: connecting, writing, and the time for which
+  /// TCP_USER_TIMEOUT lets the kernel keep bytes in its buffers.
+  mono_duration MaxTimeInFlight{std::chrono::milliseconds(400)};
+  /// An order is sent only if the lease has more than this time left; at least MaxTimeInFlight.
   mono_duration LeaseMargin{std::chrono::milliseconds(400)};
-  /// How long a new leader sends nothing; at least LongestUnderWay.
-  mono_duration SuccessorWait{std::chrono::milliseconds(400)};
-  /// A larger step between two looks at the clock is a jump.
+  /// Time for which a new leader sends no order; at least MaxTimeInFlight.
+  mono_duration NewLeaderDelay{std::chrono::milliseconds(400)};
+  /// A larger step between two readings of the clock counts as a clock jump.
   mono_duration MaxClockStep{std::chrono::milliseconds(500)};
 };
 
 /**
- * Keeps an older order from taking effect after a newer one on engines that ignore fencing numbers.
+ * Keeps an older order from taking effect after a newer one on engines that ignore fencing tokens.
  *
- * A leader sends only while its lease outlasts the margin, and its successor, whose lease begins
- * after that one's end, waits once more. An order may thus spend the margin between the check and
- * the write (a busy or stopped process) and the wait between the write and its effect (bytes in a
- * send buffer) and still arrive before its successor's first order. A process stopped for longer
- * between the check and the write is caught by the fencing number alone.
+ * A leader sends only while its lease has more than LeaseMargin left. Its successor's lease begins
+ * after that lease ends, and the successor first waits for NewLeaderDelay. An order may thus spend
+ * LeaseMargin between the check and the write (a busy or stopped process) and NewLeaderDelay
+ * between the write and its effect (bytes in a send buffer) and still arrive before the successor's
+ * first order. If the process is stopped for longer between the check and the write, only the
+ * fencing token protects the engine.
  */
 class leader_order_gate {
 public:
-  explicit leader_order_gate(const order_gate_times &Bounds) : Times(Bounds) {}
+  explicit leader_order_gate(const order_gate_options &GateOptions) : Options(GateOptions) {}
 
-  /// To be called with the lease at every look at the clock, and right before each write.
-  void see(const leader_lease &Lease, mono_time Now);
+  /// Records the lease and the time. Must be called at each reading of the clock and right before
+  /// each write.
+  void updateLease(const leader_lease &Lease, mono_time Now);
 
-  /// @param Planned Term in which the order was planned.
-  /// @return Why the order may not be written to the engine now; nothing where it may.
+  /// @param PlannedTerm Term in which the order was planned.
+  /// @return The reason why the order must not be written to the engine now; nothing if it may.
   [[nodiscard]] std::optional<gate_refusal> refusal(const backend_key &Engine,
-                                                    leader_term Planned) const;
+                                                    leader_term PlannedTerm) const;
 
-  /// @return Why no order may be written to any engine now; nothing where one may.
-  [[nodiscard]] std::optional<gate_refusal> officeRefusal() const;
+  /// @return The reason why no order to any engine may be written now; nothing if orders may be
+  /// written.
+  [[nodiscard]] std::optional<gate_refusal> leaderRefusal() const;
 
-  /// The engine's state arrived. @param Asked When it was asked for, not when it came.
-  /// @return Whether it counts; one that was asked for too early may not show an earlier order.
-  bool stateRead(const backend_key &Engine, mono_time Asked);
+  /// Records that the engine's state was read.
+  /// @param RequestedAt Time of the request, not of the response.
+  /// @return Whether the state is valid. A state that was requested too early may not show the
+  /// effect of an earlier order.
+  bool recordStateRead(const backend_key &Engine, mono_time RequestedAt);
 
-  /// The next step is the write. Calls without a permission are a broken invariant.
-  void writing(const backend_key &Engine, leader_term Planned);
+  /// Must be called right before an order is written. Aborts if the gate refuses the order.
+  void beginWrite(const backend_key &Engine, leader_term PlannedTerm);
 
-  /// The outcome of what writing() announced; the engine's state has to be asked for anew.
-  void ended(const backend_key &Engine, order_outcome Outcome);
+  /// Records the outcome of the write. The engine's state must be read again after it.
+  void endWrite(const backend_key &Engine, order_outcome Outcome);
 
-  void forget(const backend_key &Engine);
+  void removeEngine(const backend_key &Engine);
 
 private:
   [[nodiscard]] bool isClockJump(mono_time Now) const;
 
-  order_gate_times Times;
+  order_gate_options Options;
   leader_lease Lease;
-  mono_time LastLook{};
-  std::optional<mono_time> JumpedAt;
-  mono_time IssueFrom{}; ///< Nothing of an earlier leader is under way from here on.
-  std::set<backend_key> Read;
-  std::map<backend_key, mono_time> UnderWayUntil;
+  mono_time LastChecked{};
+  std::optional<mono_time> ClockJumpAt;
+  mono_time SendAllowedFrom{}; ///< No order of a previous leader is in flight after this time.
+  std::set<backend_key> EnginesRead; ///< Engines whose state was read since their last order.
+  std::map<backend_key, mono_time> InFlightUntil; ///< An own order may arrive until this time.
 };
 
 } // namespace pollenstall
--- a/src/order/order.h
+++ b/src/order/order.h
@@ -1,5 +1,5 @@
-/** @file order.h Public header of order: which orders engines need, and when a leader may send one.
- */
+/** @file order.h Public header of order: plans the orders that engines need and decides when a
+ * leader may send them. */
 #ifndef POLLENSTALL_ORDER_ORDER_H
 #define POLLENSTALL_ORDER_ORDER_H
 
--- a/src/order/order_planner.cpp
+++ b/src/order/order_planner.cpp
@@ -1,4 +1,4 @@
-/** @file order_planner.cpp Choice of engines for declared copies, and the orders that follow. */
+/** @file order_planner.cpp Chooses engines for declared copies and derives the required orders. */
 #include "order/order_planner_base.h"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 namespace {
 
-bool inGroup(const engine_state &Engine, const placement &Placement) {
+bool matchesPlacement(const engine_state &Engine, const placement &Placement) {
   if (Engine.Service != Placement.Service)
     return false;
   return std::all_of(Placement.Labels.begin(), Placement.Labels.end(), [&](const auto &Label) {
@@ -21,242 +21,252 @@
   return Engine.Loaded.count(Copy) > 0;
 }
 
-/// Rendezvous hashing: an engine that comes or goes moves only its own copies.
+/// Rendezvous hashing: adding or removing an engine moves only the copies of that engine.
 std::uint64_t rank(const engine_state &Engine, const model_copy &Copy) {
   return combineHashes(stableHash(Engine.Key.Address.str()), stableHash(Copy.Model.str()));
 }
 
-bool isNarrower(const placement &A, const placement &B) {
-  const auto Labels = [](const placement &One) { return ~One.Labels.size(); };
-  return std::forward_as_tuple(Labels(A), A.Group) < std::forward_as_tuple(Labels(B), B.Group);
+bool isMoreSpecific(const placement &A, const placement &B) {
+  const auto SortKey = [](const placement &Sorted) { return ~Sorted.Labels.size(); };
+  return std::forward_as_tuple(SortKey(A), A.Group) < std::forward_as_tuple(SortKey(B), B.Group);
 }
 
 } // namespace
 
-void order_planner::takeOffice(fencing_token First, mono_time Now) {
-  OfficeFence = First;
+void order_planner::beginTerm(fencing_token TermToken, mono_time Now) {
+  TermFence = TermToken;
   Engines.clear();
   Counts = {};
   Budget.reset(Now);
 }
 
-void order_planner::declare(std::vector<placement> Declared) {
+void order_planner::setPlacements(std::vector<placement> Declared) {
   Placements = std::move(Declared);
-  std::stable_sort(Placements.begin(), Placements.end(), isNarrower);
+  std::stable_sort(Placements.begin(), Placements.end(), isMoreSpecific);
 }
 
-void order_planner::announced(const engine_state &Engine, mono_time Now) {
-  const auto [Place, New] = Engines.try_emplace(Engine.Key);
-  known_engine &Known = Place->second;
-  if (New)
-    Known.Since = Now;
-  const std::set<model_copy> Loaded = std::move(Known.State.Loaded);
-  const fencing_token Fence = Known.State.Fence;
-  Known.State = Engine;
-  Known.State.Loaded = Loaded;
-  Known.State.Fence = Fence;
+void order_planner::updateAnnouncement(const engine_state &Engine, mono_time Now) {
+  const auto [Slot, IsNew] = Engines.try_emplace(Engine.Key);
+  tracked_engine &Tracked = Slot->second;
+  if (IsNew)
+    Tracked.WaitingSince = Now;
+  const std::set<model_copy> OldLoaded = std::move(Tracked.State.Loaded);
+  const fencing_token OldFence = Tracked.State.Fence;
+  Tracked.State = Engine;
+  Tracked.State.Loaded = OldLoaded;
+  Tracked.State.Fence = OldFence;
 }
 
-void order_planner::observed(const backend_key &Engine, std::set<model_copy> Loaded,
-                             fencing_token Fence, mono_time Asked) {
+void order_planner::updateState(const backend_key &Engine, std::set<model_copy> Loaded,
+                                fencing_token Fence, mono_time RequestedAt) {
   const auto Found = Engines.find(Engine);
-  if (Found == Engines.end() || Found->second.Busy)
-    return; // An answer that crossed an order shows neither the state before nor that after it.
-  Found->second.Read = Asked;
+  if (Found == Engines.end() || Found->second.OrderInFlight)
+    return; // The state may be from before or after the order that is in flight.
+  Found->second.StateRequestedAt = RequestedAt;
   Found->second.State.Loaded = std::move(Loaded);
   Found->second.State.Fence = Fence;
   for (const model_copy &Copy : Found->second.State.Loaded)
     Budget.end({Engine, order_kind::Load, Copy});
 }
 
-void order_planner::forget(const backend_key &Engine) {
+void order_planner::removeEngine(const backend_key &Engine) {
   Engines.erase(Engine);
-  Budget.endAll(Engine);
+  Budget.endLoadsOn(Engine);
 }
 
-const placement *order_planner::governing(const engine_state &Engine,
-                                          const model_name &Model) const {
-  const auto Found = std::find_if(Placements.begin(), Placements.end(), [&](const placement &One) {
-    return One.Copy.Model == Model && inGroup(Engine, One);
-  });
+const placement *order_planner::effectivePlacement(const engine_state &Engine,
+                                                   const model_name &Model) const {
+  const auto Found =
+      std::find_if(Placements.begin(), Placements.end(), [&](const placement &Candidate) {
+        return Candidate.Copy.Model == Model && matchesPlacement(Engine, Candidate);
+      });
   return Found == Placements.end() ? nullptr : &*Found;
 }
 
-order_planner::engine_list order_planner::members(const placement &Placement) const {
+order_planner::engine_list order_planner::matchingEngines(const placement &Placement) const {
   engine_list Members;
   for (const auto &[Key, Engine] : Engines)
-    if (governing(Engine.State, Placement.Copy.Model) == &Placement)
+    if (effectivePlacement(Engine.State, Placement.Copy.Model) == &Placement)
       Members.push_back(&Engine);
   return Members;
 }
 
-bool order_planner::allRead(const engine_list &Members, mono_time Now) const {
-  // Without this a new leader that has read one engine would load what the others already hold.
-  return std::all_of(Members.begin(), Members.end(), [&](const known_engine *Engine) {
-    return Engine->Read || Now - Engine->Since > Limits.ReadPatience;
+bool order_planner::allStatesKnown(const engine_list &Members, mono_time Now) const {
+  // Without this check a new leader that has read only one engine would load copies that the other
+  // engines already hold.
+  return std::all_of(Members.begin(), Members.end(), [&](const tracked_engine *Engine) {
+    return Engine->StateRequestedAt || Now - Engine->WaitingSince > Options.StateReadTimeout;
   });
 }
 
-bool order_planner::isFresh(const known_engine &Engine, mono_time Now) const {
-  return Engine.Read && Now - *Engine.Read <= Limits.MaxStateAge;
+bool order_planner::isFresh(const tracked_engine &Engine, mono_time Now) const {
+  return Engine.StateRequestedAt && Now - *Engine.StateRequestedAt <= Options.MaxStateAge;
 }
 
-order_planner::engine_list order_planner::choose(const placement &Placement,
-                                                 const engine_list &Members, mono_time Now) const {
+order_planner::engine_list order_planner::chooseEngines(const placement &Placement,
+                                                        const engine_list &Members,
+                                                        mono_time Now) const {
   const model_copy &Copy = Placement.Copy;
-  engine_list Left;
-  for (const known_engine *Engine : Members) {
-    const bool Takes = Engine->State.Orders != order_check::None || holds(Engine->State, Copy);
-    if (Engine->Read && Takes && !Engine->State.Leaving)
-      Left.push_back(Engine);
+  engine_list Candidates;
+  for (const tracked_engine *Engine : Members) {
+    const bool CanHold = Engine->State.Orders != order_check::None || holds(Engine->State, Copy);
+    if (Engine->StateRequestedAt && CanHold && !Engine->State.Leaving)
+      Candidates.push_back(Engine);
   }
   std::map<failure_domain_name, std::uint32_t> InDomain;
-  const auto Preference = [&](const known_engine *Engine) {
+  const auto Preference = [&](const tracked_engine *Engine) {
     const engine_state &State = Engine->State;
-    const std::uint32_t Crowd =
+    const std::uint32_t ChosenInSameDomain =
         Placement.Spread == copy_spread::Domains ? InDomain[State.Domain] : 0;
-    const bool Loading = Budget.underWay({State.Key, order_kind::Load, Copy}, Now);
-    return std::tuple(Crowd, !holds(State, Copy), !Loading, rank(State, Copy), State.Key);
+    const bool Loading = Budget.isInFlight({State.Key, order_kind::Load, Copy}, Now);
+    return std::tuple(ChosenInSameDomain, !holds(State, Copy), !Loading, rank(State, Copy),
+                      State.Key);
   };
   engine_list Chosen;
-  while (Chosen.size() < Placement.Copies && !Left.empty()) {
-    const auto Best = std::min_element(Left.begin(), Left.end(),
-                                       [&](const known_engine *A, const known_engine *B) {
+  while (Chosen.size() < Placement.Copies && !Candidates.empty()) {
+    const auto Best = std::min_element(Candidates.begin(), Candidates.end(),
+                                       [&](const tracked_engine *A, const tracked_engine *B) {
                                          return Preference(A) < Preference(B);
                                        });
     ++InDomain[(*Best)->State.Domain];
     Chosen.push_back(*Best);
-    Left.erase(Best);
+    Candidates.erase(Best);
   }
   return Chosen;
 }
 
-bool order_planner::mayBeOverruled(const known_engine &Engine) const {
-  // A leader that was stopped right before a write goes on after any time. An engine that has seen
-  // no number of this office yet would still unload its copy then, perhaps the last one left.
-  return Engine.State.Orders == order_check::Fenced && Engine.State.Fence < OfficeFence;
+bool order_planner::acceptsStaleOrders(const tracked_engine &Engine) const {
+  // A former leader that was stopped right before a write may resume at any time. An engine that
+  // has not seen a token of this term would then still unload its copy, which may be the last one.
+  return Engine.State.Orders == order_check::Fenced && Engine.State.Fence < TermFence;
 }
 
-order_planner::choice_state order_planner::judge(const placement &Placement,
-                                                 const engine_list &Chosen, mono_time Now) const {
-  choice_state State;
-  for (const known_engine *Engine : Chosen) {
-    if (!isFresh(*Engine, Now) || Engine->Busy || !holds(Engine->State, Placement.Copy))
+order_planner::placement_readiness order_planner::checkReadiness(const placement &Placement,
+                                                                 const engine_list &Chosen,
+                                                                 mono_time Now) const {
+  placement_readiness Readiness;
+  for (const tracked_engine *Engine : Chosen) {
+    if (!isFresh(*Engine, Now) || Engine->OrderInFlight || !holds(Engine->State, Placement.Copy))
       return {};
-    if (mayBeOverruled(*Engine))
-      State.Confirm.push_back({Engine->State.Key, order_kind::Confirm, Placement.Copy});
+    if (acceptsStaleOrders(*Engine))
+      Readiness.FenceOrders.push_back({Engine->State.Key, order_kind::RaiseFence, Placement.Copy});
   }
-  State.Ready = !Chosen.empty() && State.Confirm.empty();
-  return State;
+  Readiness.Ready = !Chosen.empty() && Readiness.FenceOrders.empty();
+  return Readiness;
 }
 
-order_planner::choice_state order_planner::judgeSuccessors(const placement &Placement,
-                                                           const engine_list &Chosen,
-                                                           mono_time Now) const {
+order_planner::placement_readiness order_planner::checkReplacements(const placement &Placement,
+                                                                    const engine_list &Chosen,
+                                                                    mono_time Now) const {
   if (Placement.Copies > 0)
-    return judge(Placement, Chosen, Now);
-  // The model moves to another group or goes for good: its copies there have to be ready first.
-  choice_state All{true, {}};
+    return checkReadiness(Placement, Chosen, Now);
+  // The model moves to other groups or is removed. Its copies in other groups must be ready first.
+  placement_readiness Combined{true, {}};
   for (const placement &Other : Placements) {
     if (Other.Service != Placement.Service || Other.Copy.Model != Placement.Copy.Model ||
         Other.Copies == 0)
       continue;
-    const choice_state One = judge(Other, choose(Other, members(Other), Now), Now);
-    All.Ready = All.Ready && One.Ready;
-    All.Confirm.insert(All.Confirm.end(), One.Confirm.begin(), One.Confirm.end());
+    const placement_readiness Single =
+        checkReadiness(Other, chooseEngines(Other, matchingEngines(Other), Now), Now);
+    Combined.Ready = Combined.Ready && Single.Ready;
+    Combined.FenceOrders.insert(Combined.FenceOrders.end(), Single.FenceOrders.begin(),
+                                Single.FenceOrders.end());
   }
-  return All;
+  return Combined;
 }
 
-std::vector<planned_order> order_planner::needed(const placement &Placement, mono_time Now) const {
+std::vector<planned_order> order_planner::requiredOrders(const placement &Placement,
+                                                         mono_time Now) const {
   std::vector<planned_order> Orders;
-  const engine_list Members = members(Placement);
-  if (!allRead(Members, Now))
+  const engine_list Members = matchingEngines(Placement);
+  if (!allStatesKnown(Members, Now))
     return Orders;
-  const engine_list Chosen = choose(Placement, Members, Now);
-  for (const known_engine *Engine : Chosen)
+  const engine_list Chosen = chooseEngines(Placement, Members, Now);
+  for (const tracked_engine *Engine : Chosen)
     if (!holds(Engine->State, Placement.Copy))
       Orders.push_back({Engine->State.Key, order_kind::Load, Placement.Copy});
   std::vector<planned_order> Unloads;
-  for (const known_engine *Engine : Members) {
-    const bool Keeps = std::find(Chosen.begin(), Chosen.end(), Engine) != Chosen.end();
+  for (const tracked_engine *Engine : Members) {
+    const bool IsChosen = std::find(Chosen.begin(), Chosen.end(), Engine) != Chosen.end();
     const bool Orderable = Engine->State.Orders != order_check::None && !Engine->State.Leaving;
     for (const model_copy &Copy : Engine->State.Loaded)
-      if (Orderable && Copy.Model == Placement.Copy.Model && !(Keeps && Copy == Placement.Copy))
+      if (Orderable && Copy.Model == Placement.Copy.Model && !(IsChosen && Copy == Placement.Copy))
         Unloads.push_back({Engine->State.Key, order_kind::Unload, Copy});
   }
   if (Unloads.empty())
     return Orders;
-  const choice_state Successors = judgeSuccessors(Placement, Chosen, Now);
-  const std::vector<planned_order> &Next = Successors.Ready ? Unloads : Successors.Confirm;
-  Orders.insert(Orders.end(), Next.begin(), Next.end());
+  const placement_readiness Replacements = checkReplacements(Placement, Chosen, Now);
+  const std::vector<planned_order> &UnloadsOrFences =
+      Replacements.Ready ? Unloads : Replacements.FenceOrders;
+  Orders.insert(Orders.end(), UnloadsOrFences.begin(), UnloadsOrFences.end());
   return Orders;
 }
 
-std::vector<planned_order> order_planner::allNeeded(mono_time Now) const {
+std::vector<planned_order> order_planner::allRequiredOrders(mono_time Now) const {
   std::vector<planned_order> Orders;
   for (const placement &Placement : Placements) {
-    const std::vector<planned_order> Part = needed(Placement, Now);
-    Orders.insert(Orders.end(), Part.begin(), Part.end());
+    const std::vector<planned_order> PlacementOrders = requiredOrders(Placement, Now);
+    Orders.insert(Orders.end(), PlacementOrders.begin(), PlacementOrders.end());
   }
   return Orders;
 }
 
 std::vector<planned_order> order_planner::plan(mono_time Now) const {
-  std::uint32_t Loads = Budget.room(Now);
-  std::set<backend_key> Taken;
+  std::uint32_t Loads = Budget.availableLoads(Now);
+  std::set<backend_key> EnginesWithOrder;
   std::vector<planned_order> Orders;
-  for (const planned_order &Order : allNeeded(Now)) {
-    const known_engine &Engine = Engines.at(Order.Engine);
-    const auto Held = Engine.HeldUntil.find(Order);
-    const bool Waits = Held != Engine.HeldUntil.end() && Now < Held->second;
+  for (const planned_order &Order : allRequiredOrders(Now)) {
+    const tracked_engine &Engine = Engines.at(Order.Engine);
+    const auto RetryTime = Engine.RetryNotBefore.find(Order);
+    const bool InRetryDelay = RetryTime != Engine.RetryNotBefore.end() && Now < RetryTime->second;
     const bool IsLoad = Order.Kind == order_kind::Load;
-    if (Engine.Busy || Waits || !isFresh(Engine, Now) || Taken.count(Order.Engine) > 0)
+    if (Engine.OrderInFlight || InRetryDelay || !isFresh(Engine, Now) ||
+        EnginesWithOrder.count(Order.Engine) > 0)
       continue;
-    if (IsLoad && (Loads == 0 || Budget.underWay(Order, Now)))
+    if (IsLoad && (Loads == 0 || Budget.isInFlight(Order, Now)))
       continue;
     Loads -= IsLoad ? 1 : 0;
-    Taken.insert(Order.Engine);
+    EnginesWithOrder.insert(Order.Engine);
     Orders.push_back(Order);
   }
   return Orders;
 }
 
-void order_planner::started(const planned_order &Order, mono_time Now) {
+void order_planner::startOrder(const planned_order &Order, mono_time Now) {
   const auto Engine = Engines.find(Order.Engine);
   if (Engine != Engines.end())
-    Engine->second.Busy = true;
+    Engine->second.OrderInFlight = true;
   if (Order.Kind == order_kind::Load)
-    Budget.begin(Order, Now + Limits.LoadTimeout, Now);
+    Budget.begin(Order, Now + Options.LoadTimeout, Now);
 }
 
-void order_planner::ended(const planned_order &Order, order_outcome Outcome, mono_time Now) {
+void order_planner::finishOrder(const planned_order &Order, order_outcome Outcome, mono_time Now) {
   Counts.Done += Outcome == order_outcome::Done ? 1 : 0;
   Counts.Refused += Outcome == order_outcome::Refused ? 1 : 0;
   Counts.Unknown += Outcome == order_outcome::Unknown ? 1 : 0;
   if (Outcome == order_outcome::NotSent)
-    Budget.giveBack(Order);
+    Budget.refund(Order);
   if (Outcome == order_outcome::Refused)
     Budget.end(Order);
   if (Outcome == order_outcome::Unknown)
-    Budget.extend(Order, Now + Limits.RetryAfter);
+    Budget.extend(Order, Now + Options.RetryDelay);
   const auto Engine = Engines.find(Order.Engine);
   if (Engine == Engines.end())
     return;
-  Engine->second.Busy = false;
+  Engine->second.OrderInFlight = false;
   if (Outcome == order_outcome::Refused || Outcome == order_outcome::Unknown)
-    Engine->second.HeldUntil[Order] = Now + Limits.RetryAfter;
+    Engine->second.RetryNotBefore[Order] = Now + Options.RetryDelay;
   if (Outcome == order_outcome::NotSent)
     return;
-  // What the order did is known only from a state that is asked for later. Until then the engine
-  // is waited for; passed over, it would be replaced by another one for a moment.
-  Engine->second.Read.reset();
-  Engine->second.Since = Now;
+  // Only a state that is requested after the order shows its effect. Waiting for that state keeps
+  // the planner from replacing the engine by another one meanwhile.
+  Engine->second.StateRequestedAt.reset();
+  Engine->second.WaitingSince = Now;
 }
 
 order_counts order_planner::counts(mono_time Now) const {
   order_counts Result = Counts;
-  Result.Pending = allNeeded(Now).size();
+  Result.Pending = allRequiredOrders(Now).size();
   return Result;
 }
 
--- a/src/order/order_planner_base.h
+++ b/src/order/order_planner_base.h
@@ -1,5 +1,5 @@
-/** @file order_planner_base.h Which orders bring engines from their observed to the declared state.
- */
+/** @file order_planner_base.h Plans the orders that bring engines from the observed to the declared
+ * state. */
 #ifndef POLLENSTALL_ORDER_ORDER_PLANNER_BASE_H
 #define POLLENSTALL_ORDER_ORDER_PLANNER_BASE_H
 
@@ -12,98 +12,103 @@
 
 namespace pollenstall {
 
-/// Bounds of the planner.
-struct order_planner_limits {
+/// Options of the planner.
+struct order_planner_options {
   load_budget_limits Loads;
-  mono_duration LoadTimeout{
-      std::chrono::minutes(10)};                     ///< A load not seen done by then is repeated.
-  mono_duration RetryAfter{std::chrono::seconds(5)}; ///< After a refusal or a lost answer.
-  mono_duration MaxStateAge{std::chrono::seconds(10)}; ///< An older state proves no copy ready.
-  /// An engine whose state cannot be read holds up its group's placement for so long.
-  mono_duration ReadPatience{std::chrono::seconds(10)};
+  /// A load that is not known as done after this time is repeated.
+  mono_duration LoadTimeout{std::chrono::minutes(10)};
+  mono_duration RetryDelay{std::chrono::seconds(5)}; ///< After a refusal or a lost answer.
+  /// A state that is older does not prove that a copy is ready.
+  mono_duration MaxStateAge{std::chrono::seconds(10)};
+  /// Time for which an engine whose state cannot be read delays its group's placements.
+  mono_duration StateReadTimeout{std::chrono::seconds(10)};
 };
 
-/// For status pages.
+/// Counters for status pages.
 struct order_counts {
-  std::uint64_t Pending{0}; ///< Loads and unloads that the declared state still needs.
-  std::uint64_t Done{0};    ///< Answered as carried out, in this office.
+  std::uint64_t Pending{0}; ///< Orders that the declared state still requires.
+  std::uint64_t Done{0};    ///< Orders that engines executed in this term.
   std::uint64_t Refused{0};
   std::uint64_t Unknown{0};
 };
 
 /**
- * Compares declared with observed state, each time from scratch: what was ordered before matters
- * only for the weight store's rate and for the pause after a refusal.
+ * Compares the declared with the observed state anew for each plan. Earlier orders matter only for
+ * the weight store's rate and for the delay after a refusal.
  *
- * An engine takes part, for one model, in one placement only: the one whose group has most labels,
- * then the first by name. Two placements thus never undo each other's orders, and a canary group
- * is cut out of the wider group by its label. Models that no placement names are left alone.
+ * For each model an engine belongs to one placement only: the one whose group has the most labels,
+ * and among these the first by group name. Two placements thus never undo each other's orders, and
+ * the label of a canary group takes its engines out of the wider group. Models that no placement
+ * names are ignored.
  */
 class order_planner {
 public:
-  explicit order_planner(const order_planner_limits &Bounds)
-      : Limits(Bounds), Budget(Bounds.Loads) {}
+  explicit order_planner(const order_planner_options &PlannerOptions)
+      : Options(PlannerOptions), Budget(PlannerOptions.Loads) {}
 
-  /// A new office: everything has to be observed anew.
-  /// @param First A number taken in this office, above all of earlier leaders' orders.
-  void takeOffice(fencing_token First, mono_time Now);
+  /// Discards all engines and counters at the start of a term.
+  /// @param TermToken A token taken in this term, above those of all earlier leaders' orders.
+  void beginTerm(fencing_token TermToken, mono_time Now);
 
-  void declare(std::vector<placement> Placements);
+  /// Replaces the declared placements.
+  void setPlacements(std::vector<placement> Placements);
 
-  /// An engine announces itself; its state may not have been read yet. What it announces as loaded
-  /// is ignored, since announcements lag.
-  void announced(const engine_state &Engine, mono_time Now);
+  /// Adds or updates an engine from its announcement. The announced copies are ignored, since
+  /// announcements lag behind the engine's state.
+  void updateAnnouncement(const engine_state &Engine, mono_time Now);
 
-  /// An engine's real state was read, and the gate counts it. @param Asked When it was asked for.
-  void observed(const backend_key &Engine, std::set<model_copy> Loaded, fencing_token Fence,
-                mono_time Asked);
+  /// Records an engine's state that was read from it and accepted by the gate.
+  /// @param RequestedAt Time of the request.
+  void updateState(const backend_key &Engine, std::set<model_copy> Loaded, fencing_token Fence,
+                   mono_time RequestedAt);
 
-  void forget(const backend_key &Engine);
+  void removeEngine(const backend_key &Engine);
 
-  /// @return What may be ordered now, one order for an engine at most. Calling it changes nothing.
+  /// Returns the orders that may be sent now, at most one for each engine.
   [[nodiscard]] std::vector<planned_order> plan(mono_time Now) const;
 
-  /// The order is being sent. Each call is followed by one of ended().
-  void started(const planned_order &Order, mono_time Now);
-  void ended(const planned_order &Order, order_outcome Outcome, mono_time Now);
+  /// Records that an order is being sent. A call of finishOrder() must follow.
+  void startOrder(const planned_order &Order, mono_time Now);
+  void finishOrder(const planned_order &Order, order_outcome Outcome, mono_time Now);
 
   [[nodiscard]] order_counts counts(mono_time Now) const;
 
 private:
-  struct known_engine {
+  struct tracked_engine {
     engine_state State;
-    mono_time Since{};             ///< Waited for its state since then.
-    std::optional<mono_time> Read; ///< When its state was asked for last.
-    bool Busy{false};              ///< An order is being sent.
-    std::map<planned_order, mono_time> HeldUntil;
+    mono_time WaitingSince{};                          ///< Start of the wait for its state.
+    std::optional<mono_time> StateRequestedAt;         ///< Of the last state that was read.
+    bool OrderInFlight{false};                         ///< An order is being sent.
+    std::map<planned_order, mono_time> RetryNotBefore; ///< Orders that wait for a retry.
   };
-  /// Engines chosen for a placement, as far as they are ready.
-  struct choice_state {
-    bool Ready{false};                  ///< All hold the copy, and nobody can take it from them.
-    std::vector<planned_order> Confirm; ///< Orders that would make it so.
+  /// Readiness of the engines that were chosen for a placement.
+  struct placement_readiness {
+    bool Ready{false}; ///< All hold the copy, and no stale order can unload it.
+    std::vector<planned_order> FenceOrders; ///< Protect the copies from stale orders.
   };
-  using engine_list = std::vector<const known_engine *>;
-
-  [[nodiscard]] const placement *governing(const engine_state &Engine,
-                                           const model_name &Model) const;
-  [[nodiscard]] engine_list members(const placement &Placement) const;
-  [[nodiscard]] bool allRead(const engine_list &Members, mono_time Now) const;
-  [[nodiscard]] engine_list choose(const placement &Placement, const engine_list &Members,
-                                   mono_time Now) const;
-  [[nodiscard]] choice_state judge(const placement &Placement, const engine_list &Chosen,
-                                   mono_time Now) const;
-  [[nodiscard]] choice_state judgeSuccessors(const placement &Placement, const engine_list &Chosen,
-                                             mono_time Now) const;
-  [[nodiscard]] bool mayBeOverruled(const known_engine &Engine) const;
-  [[nodiscard]] bool isFresh(const known_engine &Engine, mono_time Now) const;
-  [[nodiscard]] std::vector<planned_order> needed(const placement &Placement, mono_time Now) const;
-  [[nodiscard]] std::vector<planned_order> allNeeded(mono_time Now) const;
-
-  order_planner_limits Limits;
+  using engine_list = std::vector<const tracked_engine *>;
+
+  [[nodiscard]] const placement *effectivePlacement(const engine_state &Engine,
+                                                    const model_name &Model) const;
+  [[nodiscard]] engine_list matchingEngines(const placement &Placement) const;
+  [[nodiscard]] bool allStatesKnown(const engine_list &Members, mono_time Now) const;
+  [[nodiscard]] engine_list chooseEngines(const placement &Placement, const engine_list &Members,
+                                          mono_time Now) const;
+  [[nodiscard]] placement_readiness checkReadiness(const placement &Placement,
+                                                   const engine_list &Chosen, mono_time Now) const;
+  [[nodiscard]] placement_readiness
+  checkReplacements(const placement &Placement, const engine_list &Chosen, mono_time Now) const;
+  [[nodiscard]] bool acceptsStaleOrders(const tracked_engine &Engine) const;
+  [[nodiscard]] bool isFresh(const tracked_engine &Engine, mono_time Now) const;
+  [[nodiscard]] std::vector<planned_order> requiredOrders(const placement &Placement,
+                                                          mono_time Now) const;
+  [[nodiscard]] std::vector<planned_order> allRequiredOrders(mono_time Now) const;
+
+  order_planner_options Options;
   load_budget Budget;
   std::vector<placement> Placements;
-  std::map<backend_key, known_engine> Engines;
-  fencing_token OfficeFence;
+  std::map<backend_key, tracked_engine> Engines;
+  fencing_token TermFence; ///< Below the tokens of this term's orders, above all earlier ones.
   order_counts Counts;
 };
 
--- a/src/order/order_type.h
+++ b/src/order/order_type.h
@@ -1,4 +1,4 @@
-/** @file order_type.h Declared copies, observed engines, orders, and why an order has to wait. */
+/** @file order_type.h Types of declared placements, observed engines, orders and their refusals. */
 #ifndef POLLENSTALL_ORDER_ORDER_TYPE_H
 #define POLLENSTALL_ORDER_ORDER_TYPE_H
 
@@ -13,10 +13,10 @@
 namespace pollenstall {
 
 struct model_version_tag {};
-/// Version of a model's weights; empty where the model has no versions.
+/// Version of a model's weights; empty if the model has no versions.
 using model_version = strong_text<model_version_tag>;
 
-/// One model in one version, as an engine holds it.
+/// One version of a model, as an engine holds it.
 struct model_copy {
   model_name Model;
   model_version Version;
@@ -24,17 +24,17 @@
   auto operator<=>(const model_copy &) const = default;
 };
 
-/// Whether copies of a placement are put into different failure domains first.
+/// How the copies of a placement are spread over failure domains.
 enum class copy_spread : std::uint8_t {
   Domains, ///< As evenly over failure domains as the engines allow.
-  None,    ///< Wherever engines are.
+  None,    ///< Without regard to failure domains.
 };
 
-/// So many copies of a model on the engines that carry all the labels.
+/// A number of copies of a model, to be held by engines that carry all the labels.
 struct placement {
   service_name Service;
   group_name Group;
-  std::map<std::string, std::string> Labels; ///< Of the group.
+  std::map<std::string, std::string> Labels; ///< Labels of the group.
   model_copy Copy;
   std::uint32_t Copies{1}; ///< 0 unloads every copy of the model from the group.
   copy_spread Spread{copy_spread::Domains};
@@ -42,7 +42,7 @@
   bool operator==(const placement &) const = default;
 };
 
-/// An engine as its announcement and GET /v1/state describe it.
+/// State of an engine, from its announcement and from GET /v1/state.
 struct engine_state {
   backend_key Key;
   service_name Service;
@@ -51,16 +51,16 @@
   order_check Orders{order_check::None};
   bool Leaving{false};
   std::set<model_copy> Loaded;
-  fencing_token Fence; ///< Highest it has seen; 0 where it does not check.
+  fencing_token Fence; ///< Highest token that the engine has seen; 0 if it checks none.
 };
 
 enum class order_kind : std::uint8_t {
   Load,
   Unload,
-  Confirm, ///< A load of what the engine holds: only raises the fencing number that it has seen.
+  RaiseFence, ///< Loads a copy that the engine holds, to raise the fencing token it has seen.
 };
 
-/// What one engine is to do. Carrying it out twice is the same as once.
+/// An order for one engine. Orders are idempotent.
 struct planned_order {
   backend_key Engine;
   order_kind Kind{order_kind::Load};
@@ -71,33 +71,33 @@
 
 /// How an order ended.
 enum class order_outcome : std::uint8_t {
-  Done,    ///< The engine answered that it carried it out.
-  Refused, ///< The engine answered that it did not.
-  Unknown, ///< No answer: it may still take effect within the longest time under way.
-  NotSent, ///< Not one byte left this process.
+  Done,    ///< The engine answered that it executed the order.
+  Refused, ///< The engine answered that it did not execute the order.
+  Unknown, ///< No answer; the order may still take effect within MaxTimeInFlight.
+  NotSent, ///< No byte of the order left this process.
 };
 
 struct leader_term_tag {};
 /// Term in which a leader was elected.
 using leader_term = strong_id<leader_term_tag>;
 
-/// The leader's lease as the replicated log knows it.
+/// The leader's lease, as granted by the replicated log.
 struct leader_lease {
   leader_term Term;
-  mono_time Renewed{}; ///< Since when the quorum's promise is counted.
-  mono_time End{};     ///< No other leader holds a lease before.
-  bool Valid{false};   ///< False on all who do not lead.
+  mono_time Renewed{}; ///< Time from which the quorum's grant is counted.
+  mono_time End{};     ///< No other leader can hold a lease before this time.
+  bool Valid{false};   ///< False on every host that does not lead.
 };
 
-/// Why the gate holds an order back.
+/// Reason why the gate refuses an order.
 enum class gate_refusal : std::uint8_t {
-  NoLease,             ///< Not in office, or the lease has run out.
-  LeaseTooShort,       ///< The order could still be under way when the lease ends.
-  ClockJumped,         ///< The lease was not renewed since the clock jumped.
-  OtherOffice,         ///< The order was planned in an earlier office, from what was true then.
-  PredecessorUnderWay, ///< An order of an earlier leader may still arrive.
-  StateUnread,         ///< The engine's real state was not read in this office.
-  OwnOrderUnderWay,    ///< An earlier order of this leader may still arrive.
+  NoLease,       ///< This host does not lead, or its lease has expired.
+  LeaseTooShort, ///< The order could still be in flight when the lease ends.
+  ClockJumped,   ///< The lease has not been renewed since the clock jumped.
+  StaleTerm,     ///< The order was planned in an earlier term, from state that may be outdated.
+  PredecessorInFlight, ///< An order of the previous leader may still arrive.
+  StateNotRead,        ///< The engine's state has not been read in this term.
+  OwnOrderInFlight,    ///< An earlier order of this leader may still arrive.
 };
 
 } // namespace pollenstall
--- a/src/order_link/engine_call.cpp
+++ b/src/order_link/engine_call.cpp
@@ -1,5 +1,4 @@
-/** @file engine_call.cpp Blocking HTTP calls with time limits, and the kernel's part of the bound.
- */
+/** @file engine_call.cpp Blocking HTTP calls with timeouts in this process and in the kernel. */
 #include "order_link/engine_call_func.h"
 
 #include "address/address.h"
@@ -19,47 +18,50 @@
 namespace http = boost::beast::http;
 namespace json = boost::json;
 
-constexpr std::size_t MaxAnswerBytes = 1U << 20U;
+constexpr std::size_t MaxResponseBytes = 1U << 20U;
 constexpr unsigned HttpVersion = 11;
 
 using user_timeout = boost::asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>;
 
-/// One connection, used for one exchange.
+/// A connection for one request and its response.
 class engine_connection {
 public:
-  explicit engine_connection(const engine_call_times &Limits) : Times(Limits), Stream(Io) {}
+  explicit engine_connection(const engine_call_timeouts &CallTimeouts)
+      : Timeouts(CallTimeouts), Stream(Io) {}
 
   bool connect(const backend_address &Engine) {
     const auto Endpoint = tcpEndpoint(Engine.str());
     if (!Endpoint)
       return false;
-    Stream.expires_after(Times.Connect);
-    Stream.async_connect(*Endpoint, [this](beast::error_code Code) { Failure = Code; });
-    return finish() && boundSendBuffer();
+    Stream.expires_after(Timeouts.Connect);
+    Stream.async_connect(*Endpoint, [this](beast::error_code Code) { Error = Code; });
+    return runUntilDone() && setSocketOptions();
   }
 
-  /// @return Whether a whole answer came; answer() has it.
+  /// Sends a request and reads the response. @return Whether a complete response arrived, which
+  /// message() returns.
   bool exchange(http::request<http::string_body> &Request) {
-    Stream.expires_after(Times.Answer);
+    Stream.expires_after(Timeouts.Response);
     http::async_write(Stream, Request,
-                      [this](beast::error_code Code, std::size_t) { Failure = Code; });
-    if (!finish())
+                      [this](beast::error_code Code, std::size_t) { Error = Code; });
+    if (!runUntilDone())
       return false;
-    Parser.body_limit(MaxAnswerBytes);
+    Parser.body_limit(MaxResponseBytes);
     http::async_read(Stream, Buffer, Parser,
-                     [this](beast::error_code Code, std::size_t) { Failure = Code; });
-    return finish();
+                     [this](beast::error_code Code, std::size_t) { Error = Code; });
+    return runUntilDone();
   }
 
-  [[nodiscard]] const http::response<http::string_body> &answer() const { return Parser.get(); }
+  [[nodiscard]] const http::response<http::string_body> &message() const { return Parser.get(); }
 
 private:
-  /// Bytes that a cut keeps in the send buffer would arrive when it heals, long after this leader
-  /// was replaced. The kernel drops them after the time limit, also while this process is stopped;
-  /// and closing resets the connection instead of sending the rest.
-  bool boundSendBuffer() {
+  /// Limits how long the kernel may keep unsent bytes. Bytes that a network partition keeps in the
+  /// send buffer would otherwise arrive after it heals, long after this leader was replaced. With
+  /// TCP_USER_TIMEOUT the kernel drops them even while this process is stopped, and with a linger
+  /// time of 0 closing resets the connection instead of sending the remaining bytes.
+  bool setSocketOptions() {
     beast::error_code Code;
-    Stream.socket().set_option(user_timeout(static_cast<int>(Times.Answer.count())), Code);
+    Stream.socket().set_option(user_timeout(static_cast<int>(Timeouts.Response.count())), Code);
     if (!Code)
       Stream.socket().set_option(boost::asio::socket_base::linger(true, 0), Code);
     if (!Code)
@@ -67,36 +69,36 @@
     return !Code;
   }
 
-  bool finish() {
+  bool runUntilDone() {
     Io.restart();
     Io.run();
-    return !Failure;
+    return !Error;
   }
 
-  engine_call_times Times;
+  engine_call_timeouts Timeouts;
   boost::asio::io_context Io;
   beast::tcp_stream Stream;
   beast::flat_buffer Buffer;
   http::response_parser<http::string_body> Parser;
-  beast::error_code Failure;
+  beast::error_code Error;
 };
 
-http::request<http::string_body> requestFor(http::verb Verb, const char *Target,
-                                            const backend_address &Engine) {
+http::request<http::string_body> makeRequest(http::verb Verb, const char *Target,
+                                             const backend_address &Engine) {
   http::request<http::string_body> Request(Verb, Target, HttpVersion);
   Request.set(http::field::host, Engine.str());
   Request.set(http::field::connection, "close");
   return Request;
 }
 
-model_copy copyFrom(const std::string &Listed) {
-  const std::size_t At = Listed.rfind('@');
-  if (At == std::string::npos)
-    return {model_name(Listed), model_version()};
-  return {model_name(Listed.substr(0, At)), model_version(Listed.substr(At + 1))};
+model_copy parseModelCopy(const std::string &Text) {
+  const std::size_t Separator = Text.rfind('@');
+  if (Separator == std::string::npos)
+    return {model_name(Text), model_version()};
+  return {model_name(Text.substr(0, Separator)), model_version(Text.substr(Separator + 1))};
 }
 
-std::optional<std::uint64_t> numberIn(const json::object &Object, const char *Key) {
+std::optional<std::uint64_t> findNumber(const json::object &Object, const char *Key) {
   const json::value *Value = Object.if_contains(Key);
   if (Value == nullptr || !Value->is_number())
     return std::nullopt;
@@ -107,58 +109,59 @@
 
 } // namespace
 
-result<engine_report, engine_call_error> engineReportFrom(std::string_view Body) {
+result<engine_report, engine_call_error> parseEngineReport(std::string_view Body) {
   json::error_code Code;
   const json::value Parsed = json::parse(json::string_view(Body.data(), Body.size()), Code);
   const json::object *Object = Code ? nullptr : Parsed.if_object();
   const json::value *Models = Object == nullptr ? nullptr : Object->if_contains("models");
   if (Models == nullptr || !Models->is_array())
     return engine_call_error::Malformed;
-  const auto Fence = numberIn(*Object, "fence");
-  const auto Incarnation = numberIn(*Object, "incarnation");
+  const auto Fence = findNumber(*Object, "fence");
+  const auto Incarnation = findNumber(*Object, "incarnation");
   if (!Fence || !Incarnation)
     return engine_call_error::Malformed;
   engine_report Report{{}, fencing_token(*Fence), incarnation(*Incarnation)};
   for (const json::value &Model : Models->get_array()) {
     if (!Model.is_string())
       return engine_call_error::Malformed;
-    Report.Loaded.insert(copyFrom(std::string(Model.get_string())));
+    Report.Loaded.insert(parseModelCopy(std::string(Model.get_string())));
   }
   return Report;
 }
 
 result<engine_report, engine_call_error> readEngineState(const backend_address &Engine,
-                                                         const engine_call_times &Times) {
-  engine_connection Connection(Times);
-  auto Request = requestFor(http::verb::get, "/v1/state", Engine);
+                                                         const engine_call_timeouts &Timeouts) {
+  engine_connection Connection(Timeouts);
+  auto Request = makeRequest(http::verb::get, "/v1/state", Engine);
   if (!Connection.connect(Engine) || !Connection.exchange(Request))
     return engine_call_error::Unreachable;
-  if (Connection.answer().result() != http::status::ok)
+  if (Connection.message().result() != http::status::ok)
     return engine_call_error::Malformed;
-  return engineReportFrom(Connection.answer().body());
+  return parseEngineReport(Connection.message().body());
 }
 
-std::string orderBody(const planned_order &Order, fencing_token Fence) {
-  const bool Unloads = Order.Kind == order_kind::Unload;
+std::string encodeOrder(const planned_order &Order, fencing_token Fence) {
+  const bool IsUnload = Order.Kind == order_kind::Unload;
   return json::serialize(json::object{{"fence", Fence.value()},
-                                      {"order", Unloads ? "unload" : "load"},
+                                      {"order", IsUnload ? "unload" : "load"},
                                       {"model", Order.Copy.Model.str()},
                                       {"version", Order.Copy.Version.str()}});
 }
 
 order_outcome sendOrder(const planned_order &Order, fencing_token Fence,
-                        const engine_call_times &Times, const std::function<bool()> &MayWrite) {
+                        const engine_call_timeouts &Timeouts,
+                        const std::function<bool()> &MayWrite) {
   const backend_address &Engine = Order.Engine.Address;
-  engine_connection Connection(Times);
-  auto Request = requestFor(http::verb::post, "/v1/orders", Engine);
+  engine_connection Connection(Timeouts);
+  auto Request = makeRequest(http::verb::post, "/v1/orders", Engine);
   Request.set(http::field::content_type, "application/json");
-  Request.body() = orderBody(Order, Fence);
+  Request.body() = encodeOrder(Order, Fence);
   Request.prepare_payload();
   if (!Connection.connect(Engine) || !MayWrite())
     return order_outcome::NotSent;
   if (!Connection.exchange(Request))
     return order_outcome::Unknown;
-  const bool Done = Connection.answer().result() == http::status::ok;
+  const bool Done = Connection.message().result() == http::status::ok;
   return Done ? order_outcome::Done : order_outcome::Refused;
 }
 
--- a/src/order_link/engine_call_func.h
+++ b/src/order_link/engine_call_func.h
@@ -1,4 +1,4 @@
-/** @file engine_call_func.h One HTTP call to an engine on a connection of its own. */
+/** @file engine_call_func.h HTTP calls to engines, each on a new connection. */
 #ifndef POLLENSTALL_ORDER_LINK_ENGINE_CALL_FUNC_H
 #define POLLENSTALL_ORDER_LINK_ENGINE_CALL_FUNC_H
 
@@ -9,22 +9,24 @@
 
 namespace pollenstall {
 
-/// @return The real state of an engine; waits.
+/// Reads the state of an engine; blocks until the response or a timeout.
 result<engine_report, engine_call_error> readEngineState(const backend_address &Engine,
-                                                         const engine_call_times &Times);
+                                                         const engine_call_timeouts &Timeouts);
 
-/// @return What the body of GET /v1/state says.
-result<engine_report, engine_call_error> engineReportFrom(std::string_view Body);
+/// Parses the body of a response to GET /v1/state.
+result<engine_report, engine_call_error> parseEngineReport(std::string_view Body);
 
-/// @return The body of POST /v1/orders.
-std::string orderBody(const planned_order &Order, fencing_token Fence);
+/// Returns the body of the request POST /v1/orders for an order.
+std::string encodeOrder(const planned_order &Order, fencing_token Fence);
 
 /**
- * Sends one order; waits.
- * @param MayWrite Asked once connected, right before the write; false sends nothing.
+ * Sends an order; blocks until the response or a timeout.
+ * @param MayWrite Called after connecting, right before the write; if it returns false, nothing is
+ * sent.
  */
 order_outcome sendOrder(const planned_order &Order, fencing_token Fence,
-                        const engine_call_times &Times, const std::function<bool()> &MayWrite);
+                        const engine_call_timeouts &Timeouts,
+                        const std::function<bool()> &MayWrite);
 
 } // namespace pollenstall
 
--- a/src/order_link/order_link_type.h
+++ b/src/order_link/order_link_type.h
@@ -1,4 +1,4 @@
-/** @file order_link_type.h Times, reports and hooks of the order duty. */
+/** @file order_link_type.h Timeouts, reports, status and callbacks of the order executor. */
 #ifndef POLLENSTALL_ORDER_LINK_ORDER_LINK_TYPE_H
 #define POLLENSTALL_ORDER_LINK_ORDER_LINK_TYPE_H
 
@@ -15,38 +15,39 @@
 
 namespace pollenstall {
 
-/// Time limits of one call to an engine.
-struct engine_call_times {
+/// Timeouts of one call to an engine.
+struct engine_call_timeouts {
   std::chrono::milliseconds Connect{200};
-  std::chrono::milliseconds Answer{200}; ///< From the write on; also TCP_USER_TIMEOUT.
+  /// From the start of the write to the complete response; also used as TCP_USER_TIMEOUT.
+  std::chrono::milliseconds Response{200};
 };
 
-/// What GET /v1/state says.
+/// Content of the response to GET /v1/state.
 struct engine_report {
   std::set<model_copy> Loaded;
   fencing_token Fence;
   incarnation Incarnation;
 };
 
-/// Why an engine's state is not known.
+/// Reason why an engine's state could not be read.
 enum class engine_call_error : std::uint8_t {
-  Unreachable, ///< Not connected, or no whole answer in time.
-  Malformed,   ///< An answer that is not as the protocol says.
+  Unreachable, ///< No connection, or no complete response in time.
+  Malformed,   ///< The response violates the protocol.
 };
 
-/// For status pages.
+/// Status of the order executor, for status pages.
 struct order_status {
   order_counts Counts;
-  std::size_t Engines{0};           ///< Backend servers that announce themselves.
-  std::optional<gate_refusal> Held; ///< Why this host sends no orders now.
+  std::size_t Engines{0};                  ///< Known backend servers.
+  std::optional<gate_refusal> SendRefusal; ///< Reason why this host sends no orders.
 };
 
-/// Where the duty leaves its status for other threads; outlives both.
-class order_board {
+/// Status that the executor publishes for other threads; outlives both.
+class order_status_view {
 public:
-  void publish(const order_status &Newest) {
+  void publish(const order_status &NewStatus) {
     const std::lock_guard Lock(Mutex);
-    Status = Newest;
+    Status = NewStatus;
   }
   [[nodiscard]] order_status read() const {
     const std::lock_guard Lock(Mutex);
@@ -58,24 +59,24 @@
   order_status Status;
 };
 
-/// What the duty asks of the process around it; called on the duty's thread.
-struct order_duty_hooks {
-  std::function<leader_lease()> Lease; ///< As of this moment.
-  /// Takes a number through the log; waits. Nothing where this host does not lead.
-  std::function<std::optional<fencing_token>()> TakeFence;
-  /// The declared placements; nothing where the declaration cannot be read.
+/// Functions of the process that the executor calls on its own thread.
+struct order_executor_callbacks {
+  std::function<leader_lease()> Lease; ///< Returns the current lease.
+  /// Takes a fencing token through the log; blocks. Returns nothing if this host does not lead.
+  std::function<std::optional<fencing_token>()> TakeFencingToken;
+  /// Returns the declared placements, or nothing if the declaration cannot be read.
   std::function<std::optional<std::vector<placement>>()> Placements;
-  std::shared_ptr<order_board> Board;
+  std::shared_ptr<order_status_view> StatusView;
 };
 
-struct order_duty_options {
-  engine_call_times Calls;
-  order_gate_times Gate;
-  order_planner_limits Planner;
+struct order_executor_options {
+  engine_call_timeouts Calls;
+  order_gate_options Gate;
+  order_planner_options Planner;
   std::chrono::milliseconds ReadInterval{1000}; ///< Between two reads of an engine's state.
 };
 
-/// @return A word for status pages.
+/// Returns the name of a refusal for status pages.
 std::string_view toText(gate_refusal Refusal);
 
 } // namespace pollenstall
--- a/tests/control/control_codec_test.cpp
+++ b/tests/control/control_codec_test.cpp
@@ -17,12 +17,12 @@
   State.execute(apply_change{change_id("c"), revision(1), "C", "", "[1]", unix_millis(7)});
   State.execute(set_drain{change_id("d"), backend_address("127.0.0.1:1"), false, unix_millis(8)});
   State.execute(claim_acquire{{1, 2}, Holder, unix_millis(9)});
-  State.execute(take_fence{});
+  State.execute(take_fencing_token{});
   backend_listing Listing;
   Listing.Instance = instance_name("i-1");
   Listing.Started = incarnation_start(3);
   Listing.Key = keyOf(backend_address("127.0.0.1:9"), {Listing.Instance, Listing.Started});
-  State.execute(note_backends{{Listing}});
+  State.execute(update_backends{{Listing}});
   return State;
 }
 
@@ -56,12 +56,12 @@
 
 // An older program must stop at what it cannot carry out, and only there.
 TEST(ControlCodec, GivesTheNewerNumberToNewCommandsAlone) {
-  EXPECT_EQ(encodeCommand(take_fence{})[0], 1);
-  EXPECT_EQ(encodeCommand(note_backends{})[0], 2);
-  EXPECT_TRUE(succeeded(decodeCommand(encodeCommand(note_backends{}))));
-  EXPECT_EQ(encodeCommand(note_crash{})[0], 4);
+  EXPECT_EQ(encodeCommand(take_fencing_token{})[0], 1);
+  EXPECT_EQ(encodeCommand(update_backends{})[0], 2);
+  EXPECT_TRUE(succeeded(decodeCommand(encodeCommand(update_backends{}))));
+  EXPECT_EQ(encodeCommand(record_crash{})[0], 4);
   EXPECT_EQ(encodeCommand(clear_suspect{})[0], 4);
-  EXPECT_TRUE(succeeded(decodeCommand(encodeCommand(note_crash{}))));
+  EXPECT_TRUE(succeeded(decodeCommand(encodeCommand(record_crash{}))));
 }
 
 TEST(ControlCodec, BringsCommandsBack) {
@@ -79,7 +79,7 @@
 TEST(ControlCodec, BringsSuspectedRequestsBack) {
   control_state State{control_limits{}};
   for (std::uint64_t Incarnation = 1; Incarnation <= 3; ++Incarnation) {
-    const note_crash Crash{
+    const record_crash Crash{
         {{1, 2, 3, 4}}, incarnation(Incarnation), unix_millis(Incarnation * 1'000)};
     const auto Command = decodeCommand(encodeCommand(Crash));
     ASSERT_TRUE(succeeded(Command));
@@ -133,7 +133,7 @@
 TEST(ControlCodec, TellsANewerVersionFromDamage) {
   // A newer program has written the log. Skipping its commands would part this member's state from
   // the others', so the process must be able to tell this from damage and stop.
-  std::string Bytes = encodeCommand(take_fence{});
+  std::string Bytes = encodeCommand(take_fencing_token{});
   Bytes[0] = 9;
   const auto Decoded = decodeCommand(Bytes);
   ASSERT_FALSE(succeeded(Decoded));
--- a/tests/control/entry_desk_test.cpp
+++ b/tests/control/entry_desk_test.cpp
@@ -382,7 +382,7 @@
   HoldsLease = false;
   for (std::uint64_t Incarnation = 1; Incarnation <= 3; ++Incarnation)
     State.execute(
-        note_crash{{{1, 2, 3, 4}}, incarnation(Incarnation), unix_millis(Incarnation * 1'000)});
+        record_crash{{{1, 2, 3, 4}}, incarnation(Incarnation), unix_millis(Incarnation * 1'000)});
   Desk.suspectsChanged(Now);
   EXPECT_TRUE(take<link_suspects>().empty());
   HoldsLease = true;
--- a/tests/control_state/control_link_connect_test.cpp
+++ b/tests/control_state/control_link_connect_test.cpp
@@ -1,4 +1,5 @@
-/** @file control_link_connect_test.cpp How an entry finds a control host while others are gone. */
+/** @file control_link_connect_test.cpp Connections of an entry while control hosts are unreachable.
+ */
 #include "control_link/control_link.h"
 #include "control_link/control_link_codec_func.h"
 
@@ -19,13 +20,13 @@
 using asio::ip::tcp;
 using namespace std::chrono_literals;
 
-/// Says nothing to whoever connects, as a host without power: its queue of connections is full.
-class silent_host {
+/// A control host that completes no connection, like a host without power. Its backlog is full.
+class unresponsive_host {
 public:
-  silent_host() : Acceptor(Io, tcp::endpoint(asio::ip::address_v4::loopback(), 0), false) {
+  unresponsive_host() : Acceptor(Io, tcp::endpoint(asio::ip::address_v4::loopback(), 0), false) {
     Acceptor.listen(0);
-    constexpr int MoreThanItTakes = 4;
-    for (int Count = 0; Count < MoreThanItTakes; ++Count) {
+    constexpr int MoreThanTheBacklog = 4;
+    for (int Index = 0; Index < MoreThanTheBacklog; ++Index) {
       Fillers.emplace_back(Io);
       Fillers.back().async_connect(Acceptor.local_endpoint(), [](boost::system::error_code) {});
     }
@@ -40,17 +41,17 @@
   std::vector<tcp::socket> Fillers;
 };
 
-// The first control host has lost its power: nothing answers there, not even with a refusal. The
-// entry must not wait for it as long as for the answer of one that it has reached: until it finds
-// the leader it serves nobody.
-TEST(AControlLink, SoonLeavesAHostThatCannotBeReached) {
-  const silent_host Silent;
+// The first control host has lost power and does not even refuse connections. The entry must give
+// up connecting sooner than it gives up waiting for the answer of a connected host, since it serves
+// no requests until it finds the leader.
+TEST(ControlLinkConnection, ReconnectsElsewhereIfAHostIsUnreachable) {
+  const unresponsive_host Unresponsive;
   asio::io_context Io;
   tcp::acceptor Reachable(Io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
   const auto Link =
-      control_link_builder(
-          {Silent.address(), "127.0.0.1:" + std::to_string(Reachable.local_endpoint().port())},
-          "fleet")
+      control_link_builder({Unresponsive.address(),
+                            "127.0.0.1:" + std::to_string(Reachable.local_endpoint().port())},
+                           "fleet")
           .process({host_name("entry"), incarnation(1)}, failure_domain_name("d"))
           .answerWithin(60s)
           .start();
@@ -61,16 +62,17 @@
   EXPECT_TRUE(Reached);
 }
 
-/// Sends each caller one message, in parts with pauses, as over a link that many share.
-class slow_host {
+/// Sends one message to each connection, in parts with pauses, as over a shared link.
+class slow_control_host {
 public:
-  slow_host(std::string Message, std::size_t Parts, std::chrono::milliseconds Between)
-      : Bytes(std::move(Message)), Part(Bytes.size() / Parts + 1), Pause(Between),
+  slow_control_host(std::string Message, std::size_t PartCount,
+                    std::chrono::milliseconds PauseBetweenParts)
+      : Bytes(std::move(Message)), PartSize(Bytes.size() / PartCount + 1), Pause(PauseBetweenParts),
         Acceptor(Io, tcp::endpoint(asio::ip::address_v4::loopback(), 0)) {
     accept();
     Thread = std::thread([this] { Io.run(); });
   }
-  ~slow_host() {
+  ~slow_control_host() {
     Io.stop();
     Thread.join();
   }
@@ -79,8 +81,9 @@
   }
 
 private:
-  struct caller {
-    explicit caller(tcp::socket Open) : Socket(std::move(Open)), Timer(Socket.get_executor()) {}
+  struct receiver {
+    explicit receiver(tcp::socket OpenSocket)
+        : Socket(std::move(OpenSocket)), Timer(Socket.get_executor()) {}
     tcp::socket Socket;
     asio::steady_timer Timer;
     std::size_t Sent{0};
@@ -90,47 +93,48 @@
     Acceptor.async_accept([this](boost::system::error_code Failed, tcp::socket Socket) {
       if (Failed)
         return;
-      sendPart(std::make_shared<caller>(std::move(Socket)));
+      sendPart(std::make_shared<receiver>(std::move(Socket)));
       accept();
     });
   }
 
-  void sendPart(const std::shared_ptr<caller> &To) {
-    const std::size_t Count = std::min(Part, Bytes.size() - To->Sent);
+  void sendPart(const std::shared_ptr<receiver> &Receiver) {
+    const std::size_t Count = std::min(PartSize, Bytes.size() - Receiver->Sent);
     if (Count == 0)
       return;
-    asio::async_write(To->Socket, asio::buffer(Bytes.data() + To->Sent, Count),
-                      [this, To](boost::system::error_code Failed, std::size_t Written) {
+    asio::async_write(Receiver->Socket, asio::buffer(Bytes.data() + Receiver->Sent, Count),
+                      [this, Receiver](boost::system::error_code Failed, std::size_t Written) {
                         if (Failed)
                           return;
-                        To->Sent += Written;
-                        To->Timer.expires_after(Pause);
-                        To->Timer.async_wait([this, To](boost::system::error_code Stopped) {
-                          if (!Stopped)
-                            sendPart(To);
-                        });
+                        Receiver->Sent += Written;
+                        Receiver->Timer.expires_after(Pause);
+                        Receiver->Timer.async_wait(
+                            [this, Receiver](boost::system::error_code Stopped) {
+                              if (!Stopped)
+                                sendPart(Receiver);
+                            });
                       });
   }
 
   const std::string Bytes;
-  const std::size_t Part;
+  const std::size_t PartSize;
   const std::chrono::milliseconds Pause;
   asio::io_context Io{1};
   tcp::acceptor Acceptor;
   std::thread Thread;
 };
 
-// A control host sends a large declaration to many entries over one link: it takes longer than an
-// entry waits for an answer, though bytes keep coming. An entry that gave up here asked for the
-// same text from its first byte, as all others did, and no entry ever got it ("control_lost", "why"
-// "silent", "part_bytes" 382,873 on the average of 1,004).
-TEST(AControlLink, StaysWithAHostWhoseMessageIsOnItsWay) {
+// A control host sends a large declaration to many entries over one link. This takes longer than
+// the answer timeout of an entry, although bytes keep arriving. Entries that gave up requested the
+// text from its first byte again, so that no entry ever received it: 1,004 events "control_lost"
+// with "why" "silent" and on average 382,873 "part_bytes".
+TEST(ControlLinkConnection, WaitsWhileAMessageIsBeingReceived) {
   random_source Random(7);
   std::string Text(400'000, ' ');
-  for (char &Letter : Text)
-    Letter = static_cast<char>('a' + Random.below('z' - 'a'));
-  const slow_host Host(linkFrame("fleet", link_reply(link_declaration{revision(3), pack(Text)})),
-                       30, 30ms);
+  for (char &Character : Text)
+    Character = static_cast<char>('a' + Random.below('z' - 'a'));
+  const slow_control_host Host(
+      linkFrame("fleet", link_reply(link_declaration{revision(3), pack(Text)})), 30, 30ms);
   const auto Link = control_link_builder({Host.address()}, "fleet")
                         .process({host_name("entry"), incarnation(1)}, failure_domain_name("d"))
                         .answerWithin(300ms)
--- a/tests/control_state/control_link_test.cpp
+++ b/tests/control_state/control_link_test.cpp
@@ -1,4 +1,5 @@
-/** @file control_link_test.cpp Messages of the control link: codec, garbage, open calls. */
+/** @file control_link_test.cpp Messages of the control link: codec, invalid bytes, pending calls.
+ */
 #include "control_link/control_link_codec_func.h"
 #include "control_link/link_ledger_base.h"
 
@@ -27,7 +28,7 @@
                                   packDifference(computeDifference("{a}{b}", "{b}{c}"))}};
 }
 
-TEST(LinkMessages, ComeBackAsTheyWereSent) {
+TEST(LinkMessages, SurviveEncodingAndDecoding) {
   for (const link_reply &Reply : sampleReplies()) {
     const auto Bytes = encodeEnvelope(Fleet, message_kind::ControlLink, Reply);
     const auto Decoded = decode<link_reply>(Bytes);
@@ -36,7 +37,7 @@
   }
 }
 
-TEST(LinkMessages, AreRefusedWhereverTheyAreCut) {
+TEST(LinkMessages, AreRefusedIfTruncated) {
   for (const link_reply &Reply : sampleReplies()) {
     const auto Bytes = encodeEnvelope(Fleet, message_kind::ControlLink, Reply);
     for (std::size_t Length = 0; Length < Bytes.size(); ++Length)
@@ -49,7 +50,7 @@
   EXPECT_FALSE(succeeded(decode<link_reply>(Bytes)));
 }
 
-RC_GTEST_PROP(LinkMessagesProperty, SurviveAnyChangedByte, (std::uint64_t Seed)) {
+RC_GTEST_PROP(LinkMessagesProperty, DecodeSafelyWithAnyChangedByte, (std::uint64_t Seed)) {
   random_source Random(Seed);
   const auto Replies = sampleReplies();
   std::string Bytes =
@@ -60,9 +61,9 @@
     RC_ASSERT(encodePlain(valueOf(Decoded)).size() <= Bytes.size());
 }
 
-class OpenCallsTest : public testing::Test {
+class PendingCallsTest : public testing::Test {
 protected:
-  claim_wanted wanted(std::uint64_t Request, mono_time AnswerBy) {
+  claim_wanted claimWanted(std::uint64_t Request, mono_time AnswerBy) {
     return {{request_number(Request), "account/key", AnswerBy}, std::chrono::seconds(60)};
   }
 
@@ -70,8 +71,9 @@
   mono_time Now{std::chrono::seconds(10)};
 };
 
-TEST_F(OpenCallsTest, AreAskedAgainUntilTheyAreAnswered) {
-  const auto Message = Ledger.acquire(wanted(1, Now + std::chrono::seconds(1)), unix_millis(0));
+TEST_F(PendingCallsTest, StayUnansweredUntilTheirAnswer) {
+  const auto Message =
+      Ledger.acquire(claimWanted(1, Now + std::chrono::seconds(1)), unix_millis(0));
   EXPECT_EQ(Ledger.unanswered().size(), 1U);
   const auto Event = Ledger.answered({Message.Call, claim_verdict::Granted});
   ASSERT_TRUE(Event);
@@ -80,10 +82,10 @@
   EXPECT_FALSE(Ledger.answered({Message.Call, claim_verdict::Granted}));
 }
 
-TEST_F(OpenCallsTest, ThatAreGivenUpAreReleased) {
-  // The grant's answer is lost. The entry is told "unavailable" and runs nothing, so the key must
-  // be given back: nobody else could use it until the claim expires.
-  const auto Message = Ledger.acquire(wanted(1, Now), unix_millis(0));
+TEST_F(PendingCallsTest, ReleaseTheirClaimOnTimeout) {
+  // The answer with the grant is lost. The entry gets the verdict Unavailable and runs nothing, so
+  // the key must be released, or no other request can use it until the claim expires.
+  const auto Message = Ledger.acquire(claimWanted(1, Now), unix_millis(0));
   const auto Events = Ledger.expire(Now);
   ASSERT_EQ(Events.size(), 1U);
   EXPECT_EQ(Events[0].Verdict, claim_verdict::Unavailable);
@@ -92,15 +94,16 @@
   EXPECT_EQ(Releases[0].Claim.Standing, claim_standing::Released);
   EXPECT_EQ(Releases[0].Claim.Holder, Message.Claim.Holder);
   EXPECT_EQ(Ledger.unanswered().size(), 1U);
-  EXPECT_FALSE(Ledger.answered({Message.Call, claim_verdict::Granted})) << "too late to run it";
+  EXPECT_FALSE(Ledger.answered({Message.Call, claim_verdict::Granted}))
+      << "the answer is too late to run the request";
   Ledger.settled({Releases[0].Call});
   EXPECT_TRUE(Ledger.unanswered().empty());
 }
 
-TEST_F(OpenCallsTest, NameTheKeyByItsHashOnly) {
-  const auto Message = Ledger.acquire(wanted(1, Now), unix_millis(0));
+TEST_F(PendingCallsTest, ContainOnlyTheHashOfTheKey) {
+  const auto Message = Ledger.acquire(claimWanted(1, Now), unix_millis(0));
   EXPECT_EQ(encodePlain(Message).find("account/key"), std::string::npos);
-  const auto Other = Ledger.acquire(wanted(2, Now), unix_millis(0));
+  const auto Other = Ledger.acquire(claimWanted(2, Now), unix_millis(0));
   EXPECT_EQ(Message.Claim.Key, Other.Claim.Key);
 }
 
--- a/tests/control_state/control_rotation_test.cpp
+++ b/tests/control_state/control_rotation_test.cpp
@@ -1,4 +1,4 @@
-/** @file control_rotation_test.cpp Whom an entry asks next. */
+/** @file control_rotation_test.cpp Order in which an entry tries control hosts. */
 #include "control_link/control_rotation_base.h"
 
 #include <gtest/gtest.h>
@@ -10,8 +10,8 @@
 
 class ControlRotationTest : public testing::Test {
 protected:
-  /// @return Whom it turns to after the longest pause.
-  std::string later() {
+  /// @return The next host after the longest delay.
+  std::string nextAfterLongestDelay() {
     Now += milliseconds(200);
     return Rotation.next(Now).value_or("nobody");
   }
@@ -20,19 +20,19 @@
   mono_time Now{std::chrono::seconds(10)};
 };
 
-TEST_F(ControlRotationTest, AsksInTurnWithPausesThatGrowUntilOneServes) {
+TEST_F(ControlRotationTest, TriesHostsInTurnWithGrowingDelays) {
   EXPECT_EQ(Rotation.next(Now), "10.0.0.1:1");
   EXPECT_EQ(Rotation.next(Now + milliseconds(49)), std::nullopt);
   EXPECT_EQ(Rotation.next(Now += milliseconds(50)), "10.0.0.2:1");
   EXPECT_EQ(Rotation.next(Now + milliseconds(99)), std::nullopt);
   EXPECT_EQ(Rotation.next(Now += milliseconds(100)), "10.0.0.1:1");
-  EXPECT_EQ(Rotation.next(Now += milliseconds(200)), "10.0.0.2:1") << "200 ms is the longest pause";
+  EXPECT_EQ(Rotation.next(Now += milliseconds(200)), "10.0.0.2:1") << "200 ms is the longest delay";
   Rotation.noteServed();
-  EXPECT_EQ(later(), "10.0.0.1:1");
+  EXPECT_EQ(nextAfterLongestDelay(), "10.0.0.1:1");
   EXPECT_EQ(Rotation.next(Now += milliseconds(50)), "10.0.0.2:1");
 }
 
-TEST_F(ControlRotationTest, ReturnsAtOnceWhereALeaderHadAnswered) {
+TEST_F(ControlRotationTest, ReconnectsAtOnceIfALeaderHadAnswered) {
   EXPECT_TRUE(Rotation.next(Now));
   Rotation.noteLost(false, Now + milliseconds(1));
   EXPECT_EQ(Rotation.next(Now + milliseconds(1)), std::nullopt);
@@ -40,10 +40,10 @@
   EXPECT_TRUE(Rotation.next(Now + milliseconds(2)));
 }
 
-// A host that does not lead names another that does not lead either and names the first. Each is
-// believed once, and with a pause from the second on: the entry would ask the two as fast as they
-// answer. The first is followed at once: requests wait for it.
-TEST_F(ControlRotationTest, BelievesAHintOnceAndFollowsASecondOneAfterAPause) {
+// Two hosts that do not lead redirect to each other. The first redirect is followed at once, since
+// requests wait for the leader. Later ones are followed after a delay, or the entry would call the
+// two hosts as fast as they answer. Each redirect is followed once.
+TEST_F(ControlRotationTest, FollowsTheFirstRedirectAtOnceAndLaterOnesAfterADelay) {
   EXPECT_TRUE(Rotation.next(Now));
   Rotation.noteRedirect("10.0.0.9:1", Now);
   EXPECT_EQ(Rotation.next(Now), "10.0.0.9:1");
@@ -53,22 +53,22 @@
   Rotation.noteRedirect("10.0.0.9:1", Now);
   EXPECT_EQ(Rotation.next(Now + milliseconds(49)), std::nullopt);
   EXPECT_EQ(Rotation.next(Now += milliseconds(50)), "10.0.0.9:1");
-  EXPECT_EQ(later(), "10.0.0.2:1") << "the turn goes on where it was";
+  EXPECT_EQ(nextAfterLongestDelay(), "10.0.0.2:1") << "the rotation continues where it was";
   Rotation.noteRedirect("no address", Now);
-  EXPECT_EQ(later(), "10.0.0.1:1");
+  EXPECT_EQ(nextAfterLongestDelay(), "10.0.0.1:1");
 }
 
-// All hosts of the settings were replaced, and the leader has told of the new ones. When these are
-// gone too the settings' addresses are what is left: another host may stand there again.
-TEST_F(ControlRotationTest, KeepsTheSettingsHostsBesideThoseItIsToldOf) {
+// All configured hosts were replaced, and the leader has reported the new ones. If these are gone
+// too, only the configured addresses remain, where other hosts may be running again.
+TEST_F(ControlRotationTest, KeepsTheConfiguredHostsBesideReportedHosts) {
   Rotation.useHosts({"10.0.0.2:1", "10.0.0.3:1", "no address"});
   EXPECT_EQ(Rotation.next(Now), "10.0.0.1:1");
-  EXPECT_EQ(later(), "10.0.0.2:1");
-  EXPECT_EQ(later(), "10.0.0.3:1");
-  EXPECT_EQ(later(), "10.0.0.1:1");
+  EXPECT_EQ(nextAfterLongestDelay(), "10.0.0.2:1");
+  EXPECT_EQ(nextAfterLongestDelay(), "10.0.0.3:1");
+  EXPECT_EQ(nextAfterLongestDelay(), "10.0.0.1:1");
   Rotation.useHosts({});
-  EXPECT_EQ(later(), "10.0.0.1:1");
-  EXPECT_EQ(later(), "10.0.0.2:1");
+  EXPECT_EQ(nextAfterLongestDelay(), "10.0.0.1:1");
+  EXPECT_EQ(nextAfterLongestDelay(), "10.0.0.2:1");
 }
 
 } // namespace
--- a/tests/control_state/control_state_test.cpp
+++ b/tests/control_state/control_state_test.cpp
@@ -1,4 +1,5 @@
-/** @file control_state_test.cpp Changes, their ids and their answers, across snapshots. */
+/** @file control_state_test.cpp Changes, change ids and answers of the control state, also across
+ * snapshots. */
 #include "control_state/control_state.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +21,7 @@
   return change_answer{change_conflict{revision(Current)}, Repeated};
 }
 
-control_state reloaded(const control_state &State, const control_limits &Limits = {}) {
+control_state restored(const control_state &State, const control_limits &Limits = {}) {
   return valueOf(control_state::restore(State.snapshot(), Limits));
 }
 
@@ -29,17 +30,17 @@
   control_state State{control_limits{}};
 };
 
-class RacingOperatorsTest : public ChangesTest {};
+class ConcurrentChangesTest : public ChangesTest {};
 
-TEST_F(RacingOperatorsTest, WithTheSameRevisionAreAcceptedOnce) {
-  // Both operators read revision 0 and send their own change against it. The log orders them; were
-  // the second taken too, the first operator's accepted change would be gone without a word.
+TEST_F(ConcurrentChangesTest, WithTheSameBaseAreAcceptedOnce) {
+  // Two operators send changes based on revision 0. If the second one were accepted too, it would
+  // silently drop the first operator's accepted change.
   EXPECT_EQ(State.execute(change("a", 0, "A")), accepted(1));
   EXPECT_EQ(State.execute(change("b", 0, "B")), conflict(1));
-  EXPECT_EQ(State.declared(), (declared_text{revision(1), "A"}));
+  EXPECT_EQ(State.declared(), (declaration_record{revision(1), "A"}));
 }
 
-TEST_F(RacingOperatorsTest, MayGoOnFromTheRevisionInForce) {
+TEST_F(ConcurrentChangesTest, MayContinueFromTheCurrentRevision) {
   State.execute(change("a", 0, "A"));
   EXPECT_EQ(State.execute(change("b2", 1, "B")), accepted(2));
 }
@@ -61,11 +62,11 @@
 }
 
 TEST_F(ResentChangesTest, GetTheFirstAnswerAfterASnapshot) {
-  // The answer was lost on the way; before the operator sends the change again, the leader has
-  // been replaced by a member that knows the state from a snapshot only.
+  // The answer was lost. Before the operator retries, the leader is replaced by a member that has
+  // the state from a snapshot only.
   State.execute(change("a", 0, "A"));
   State.execute(change("b", 1, "B"));
-  control_state Other = reloaded(State);
+  control_state Other = restored(State);
   EXPECT_EQ(Other.execute(change("a", 0, "A")), accepted(1, true));
   EXPECT_EQ(Other.snapshot(), State.snapshot());
 }
@@ -77,7 +78,7 @@
   EXPECT_EQ(State.declared().Text, "A");
 }
 
-TEST_F(ResentChangesTest, OfAForgottenIdCannotBeAcceptedTwice) {
+TEST_F(ResentChangesTest, WithAnEvictedIdCannotBeAcceptedTwice) {
   control_limits Small;
   Small.MaxAnswers = 2;
   control_state Bounded(Small);
@@ -88,7 +89,7 @@
   EXPECT_EQ(Bounded.execute(change("a", 0, "A")), conflict(3));
 }
 
-TEST_F(ResentChangesTest, AreForgottenByAgeEvenWhereALeadersClockStepsBack) {
+TEST_F(ResentChangesTest, AreEvictedByAgeEvenIfTheClockStepsBack) {
   const auto Lifetime = control_limits{}.AnswerLifetime.count();
   State.execute(change("a", 0, "A", 1000));
   State.execute(change("b", 1, "B", 1000 + Lifetime));
@@ -100,13 +101,13 @@
 }
 
 TEST_F(ChangesTest, ThatAreInvalidHaveNoEffectAndKeepTheirAnswer) {
-  apply_change Wrong = change("a", 0, "A");
-  Wrong.Rejected = "[line 3]";
+  apply_change Invalid = change("a", 0, "A");
+  Invalid.ValidationErrors = "[line 3]";
   const change_answer First{change_invalid{"[line 3]"}, false};
-  EXPECT_EQ(State.check(Wrong), control_answer(First));
-  EXPECT_EQ(State.execute(Wrong), control_answer(First));
-  Wrong.Rejected.clear();
-  EXPECT_EQ(State.execute(Wrong), control_answer(change_answer{First.Verdict, true}));
+  EXPECT_EQ(State.check(Invalid), control_answer(First));
+  EXPECT_EQ(State.execute(Invalid), control_answer(First));
+  Invalid.ValidationErrors.clear();
+  EXPECT_EQ(State.execute(Invalid), control_answer(change_answer{First.Verdict, true}));
   EXPECT_EQ(State.declared().Revision, revision(0));
 }
 
@@ -120,7 +121,7 @@
   EXPECT_EQ(Bounded.history().back().Revision, revision(3));
 }
 
-TEST_F(ChangesTest, ToDrainsRaiseTheirVersionOnlyWhereTheyChangeSomething) {
+TEST_F(ChangesTest, ToDrainsRaiseTheVersionOnlyIfTheyHaveAnEffect) {
   const backend_address Server("127.0.0.1:9");
   EXPECT_EQ(State.execute(set_drain{change_id("d1"), Server, false, {}}),
             control_answer(change_answer{drain_recorded{1}, false}));
@@ -132,9 +133,11 @@
 }
 
 TEST_F(ChangesTest, NeverLowerAFencingNumber) {
-  EXPECT_EQ(State.execute(take_fence{}), control_answer(fence_granted{fencing_token(1)}));
-  control_state Other = reloaded(State);
-  EXPECT_EQ(Other.execute(take_fence{}), control_answer(fence_granted{fencing_token(2)}));
+  EXPECT_EQ(State.execute(take_fencing_token{}),
+            control_answer(fencing_token_granted{fencing_token(1)}));
+  control_state Other = restored(State);
+  EXPECT_EQ(Other.execute(take_fencing_token{}),
+            control_answer(fencing_token_granted{fencing_token(2)}));
 }
 
 TEST_F(ChangesTest, CarryClaimsAcrossASnapshot) {
@@ -143,12 +146,12 @@
   const claim_key_hash Key{1, 2};
   EXPECT_EQ(State.execute(claim_acquire{Key, First, unix_millis(9000)}),
             control_answer(claim_acquire_answer(claim_verdict::Granted)));
-  control_state Other = reloaded(State);
+  control_state Other = restored(State);
   EXPECT_EQ(Other.execute(claim_acquire{Key, Second, unix_millis(9000)}),
             control_answer(claim_acquire_answer(claim_verdict::Running)));
 }
 
-TEST_F(ChangesTest, RefuseASnapshotThatBreaksARule) {
+TEST_F(ChangesTest, RefuseAnInvalidSnapshot) {
   State.execute(change("a", 0, "A"));
   control_snapshot Broken = State.snapshot();
   Broken.Answers.push_back(Broken.Answers.front());
@@ -158,7 +161,7 @@
   EXPECT_FALSE(succeeded(control_state::restore(Broken, {})));
 }
 
-backend_listing listed(const std::string &Name, std::uint64_t Started, listing_state State) {
+backend_listing makeListing(const std::string &Name, std::uint64_t Started, listing_state State) {
   backend_listing Listing;
   Listing.Instance = instance_name(Name);
   Listing.Started = incarnation_start(Started);
@@ -167,43 +170,43 @@
   return Listing;
 }
 
-// All processes ended. The next leader lists what this one has put into the log, before any server
-// has spoken: what is gone or was replaced must not be among it.
-TEST(KeptBackends, AreTheNewestLivesThatAreNotGone) {
+// After a restart of all processes the next leader lists the servers from the log before any server
+// has announced itself. Servers that are gone or were replaced must not be listed.
+TEST(BackendListings, KeepTheNewestIncarnationsThatAreNotGone) {
   control_state State{control_limits{}};
-  State.execute(note_backends{
-      {listed("a", 1, listing_state::Active), listed("b", 1, listing_state::Active)}});
-  State.execute(note_backends{{listed("b", 1, listing_state::Leaving)}});
+  State.execute(update_backends{
+      {makeListing("a", 1, listing_state::Active), makeListing("b", 1, listing_state::Active)}});
+  State.execute(update_backends{{makeListing("b", 1, listing_state::Leaving)}});
   EXPECT_EQ(State.backend(instance_name("b"))->State, listing_state::Leaving);
-  State.execute(
-      note_backends{{listed("a", 1, listing_state::Gone), listed("a", 2, listing_state::Active)}});
-  State.execute(note_backends{{listed("a", 1, listing_state::Leaving)}});
-  EXPECT_EQ(*State.backend(instance_name("a")), listed("a", 2, listing_state::Active));
-  State.execute(note_backends{{listed("b", 1, listing_state::Gone)}});
+  State.execute(update_backends{
+      {makeListing("a", 1, listing_state::Gone), makeListing("a", 2, listing_state::Active)}});
+  State.execute(update_backends{{makeListing("a", 1, listing_state::Leaving)}});
+  EXPECT_EQ(*State.backend(instance_name("a")), makeListing("a", 2, listing_state::Active));
+  State.execute(update_backends{{makeListing("b", 1, listing_state::Gone)}});
   EXPECT_EQ(State.backends().size(), 1U);
-  EXPECT_EQ(reloaded(State).backends(), State.backends());
+  EXPECT_EQ(restored(State).backends(), State.backends());
 }
 
-// A leader that has heard nothing of a server passes its withdrawal on without an address.
-TEST(KeptBackends, LeaveOnAWithdrawalWithoutAnAddress) {
+// A leader that does not know a server forwards the server's withdrawal without an address.
+TEST(BackendListings, ChangeStateOnAWithdrawalWithoutAnAddress) {
   control_state State{control_limits{}};
-  State.execute(note_backends{{listed("a", 1, listing_state::Active)}});
-  backend_listing Bare = listed("a", 5, listing_state::Leaving);
-  Bare.Key.Address = backend_address();
-  State.execute(note_backends{{Bare}});
+  State.execute(update_backends{{makeListing("a", 1, listing_state::Active)}});
+  backend_listing Withdrawal = makeListing("a", 5, listing_state::Leaving);
+  Withdrawal.Key.Address = backend_address();
+  State.execute(update_backends{{Withdrawal}});
   EXPECT_EQ(State.backend(instance_name("a"))->State, listing_state::Leaving);
   EXPECT_EQ(State.backend(instance_name("a"))->Key.Address.str(), "127.0.0.1:9");
-  Bare.Instance = instance_name("unknown");
-  State.execute(note_backends{{Bare}});
+  Withdrawal.Instance = instance_name("unknown");
+  State.execute(update_backends{{Withdrawal}});
   EXPECT_EQ(State.backends().size(), 1U);
 }
 
-TEST(KeptBackends, AreBounded) {
+TEST(BackendListings, AreBounded) {
   control_limits Limits;
   Limits.MaxBackends = 2;
   control_state State{Limits};
   for (const char *Name : {"a", "b", "c"})
-    State.execute(note_backends{{listed(Name, 1, listing_state::Active)}});
+    State.execute(update_backends{{makeListing(Name, 1, listing_state::Active)}});
   EXPECT_EQ(State.backends().size(), 2U);
 }
 
@@ -220,42 +223,42 @@
     RC_ASSERT(Answer == Expected);
     RC_ASSERT(State.declared().Revision <= Before.next());
     if (const auto *Checked = std::get_if<change_answer>(&Answer)) {
-      const auto Known = First.emplace(Id, Checked->Verdict);
-      RC_ASSERT(Known.first->second == Checked->Verdict);
-      RC_ASSERT(Checked->Repeated != Known.second);
+      const auto Inserted = First.emplace(Id, Checked->Verdict);
+      RC_ASSERT(Inserted.first->second == Checked->Verdict);
+      RC_ASSERT(Checked->Repeated != Inserted.second);
     }
     if (Id % 3 == 0)
-      State = reloaded(State);
+      State = restored(State);
   }
 }
 
-class CrashesTest : public ChangesTest {
+class CrashCountingTest : public ChangesTest {
 protected:
-  static note_crash crash(std::uint64_t Incarnation, std::int64_t Time) {
+  static record_crash crash(std::uint64_t Incarnation, std::int64_t Time) {
     return {{{1, 2, 3, 4}}, incarnation(Incarnation), unix_millis(Time)};
   }
-  [[nodiscard]] std::size_t told(const control_state &Of) const {
-    return Of.suspects().told(unix_millis(100'000)).size();
+  [[nodiscard]] std::size_t countSuspects(const control_state &Source) const {
+    return Source.suspects().told(unix_millis(100'000)).size();
   }
 };
 
-// Guards against a wall clock that is set back making crashes count at once, or never.
-TEST_F(CrashesTest, AreCountedThoughTheClockIsSetBack) {
+// Guards against crashes that are counted at once or never after the wall clock was set back.
+TEST_F(CrashCountingTest, ContinuesIfTheClockIsSetBack) {
   State.execute(crash(1, 10'000));
   State.execute(crash(2, 9'000));
-  EXPECT_EQ(told(State), 0U);
+  EXPECT_EQ(countSuspects(State), 0U);
   State.execute(crash(3, 10'600));
-  EXPECT_EQ(told(State), 1U);
+  EXPECT_EQ(countSuspects(State), 1U);
 }
 
-// Guards against hosts that count differently since one of them began from a snapshot.
-TEST_F(CrashesTest, AreCountedTheSameBehindASnapshot) {
+// Guards against counts that differ between hosts because one of them was restored from a snapshot.
+TEST_F(CrashCountingTest, IsTheSameAfterASnapshot) {
   State.execute(crash(1, 10'000));
-  State.execute(crash(1, 20'000)); // Not counted, and later.
-  control_state Reloaded = reloaded(State);
-  for (control_state *One : {&State, &Reloaded})
-    One->execute(crash(2, 10'700));
-  EXPECT_EQ(Reloaded.snapshot(), State.snapshot());
+  State.execute(crash(1, 20'000)); // Same incarnation, so not counted, but later.
+  control_state Restored = restored(State);
+  for (control_state *Each : {&State, &Restored})
+    Each->execute(crash(2, 10'700));
+  EXPECT_EQ(Restored.snapshot(), State.snapshot());
 }
 
 } // namespace
--- a/tests/control_state/held_text_test.cpp
+++ b/tests/control_state/declaration_difference_test.cpp
@@ -1,5 +1,5 @@
-/** @file held_text_test.cpp Differences between declarations, from a control host to an entry's
- * link. */
+/** @file declaration_difference_test.cpp Declaration differences that a control host sends to an
+ * entry. */
 #include "control_link/control_link.h"
 #include "control_link/control_link_codec_func.h"
 #include "peer_link/peer_link.h"
@@ -18,7 +18,7 @@
 const std::string Fleet = "f";
 constexpr std::chrono::seconds Limit{10};
 
-/// Answers each entry's subscription with the messages of its script, one list a connection.
+/// Answers subscriptions with scripted messages, one list for each connection.
 class scripted_control {
 public:
   explicit scripted_control(std::vector<std::vector<link_reply>> Messages)
@@ -37,7 +37,7 @@
 
   [[nodiscard]] std::string address() const { return Listener->address(); }
   [[nodiscard]] std::vector<link_subscribe> subscriptions() {
-    const std::lock_guard<std::mutex> Lock(Guard);
+    const std::lock_guard<std::mutex> Lock(Mutex);
     return Subscriptions;
   }
 
@@ -60,15 +60,15 @@
     const auto *Subscribed = std::get_if<link_subscribe>(&valueOf(Decoded));
     if (!Subscribed)
       return;
-    const std::lock_guard<std::mutex> Lock(Guard);
-    const std::size_t Number = std::min(Subscriptions.size(), Script.size() - 1);
+    const std::lock_guard<std::mutex> Lock(Mutex);
+    const std::size_t Index = std::min(Subscriptions.size(), Script.size() - 1);
     Subscriptions.push_back(*Subscribed);
-    for (const link_reply &Reply : Script[Number])
+    for (const link_reply &Reply : Script[Index])
       Sender.send(linkFrame(Fleet, Reply));
   }
 
   std::vector<std::vector<link_reply>> Script;
-  std::mutex Guard;
+  std::mutex Mutex;
   std::vector<link_subscribe> Subscriptions;
   boost::asio::io_context Io{1};
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type> Work;
@@ -84,11 +84,11 @@
       .start();
 }
 
-/// @return The declarations that the link hands on, so many of them.
+/// Waits for the given number of declarations from the link and returns them.
 std::vector<declaration_received> receive(control_link &Link, std::size_t Count) {
   std::vector<declaration_received> Received;
-  const auto Until = std::chrono::steady_clock::now() + Limit;
-  while (Received.size() < Count && std::chrono::steady_clock::now() < Until) {
+  const auto GiveUpAt = std::chrono::steady_clock::now() + Limit;
+  while (Received.size() < Count && std::chrono::steady_clock::now() < GiveUpAt) {
     Link.drainEvents([&Received](control_link_event &&Event) {
       if (auto *Declared = std::get_if<declaration_received>(&Event))
         Received.push_back(std::move(*Declared));
@@ -98,12 +98,13 @@
   return Received;
 }
 
-link_declaration_change change(std::uint64_t Base, const std::string &Old, std::uint64_t Number,
-                               const std::string &New) {
-  return {revision(Base), revision(Number), packDifference(computeDifference(Old, New))};
+link_declaration_change change(std::uint64_t Base, const std::string &OldText,
+                               std::uint64_t NewRevision, const std::string &NewText) {
+  return {revision(Base), revision(NewRevision),
+          packDifference(computeDifference(OldText, NewText))};
 }
 
-TEST(AHeldText, IsBuiltOnByTheNextDifferences) {
+TEST(DeclarationDifferences, AreAppliedToTheDeclarationThatTheEntryHolds) {
   scripted_control Control({{link_declaration{revision(1), pack("{a}{b}")},
                              change(1, "{a}{b}", 2, "{a}{c}"), change(2, "{a}{c}", 3, "{c}")}});
   const auto Link = linkTo(Control);
@@ -114,10 +115,10 @@
   EXPECT_EQ(Received[2].Revision, revision(3));
 }
 
-// The control host believes that the entry holds another text than it does. The difference is not
-// used, since it would make a declaration that nobody declared; the entry connects anew, says that
-// it holds nothing, and gets the whole text.
-TEST(AHeldText, ThatADifferenceDoesNotFitIsGivenUpForTheWhole) {
+// The control host sends a difference to another text than the entry holds. The entry must not
+// apply it, since the result would be a declaration that nobody declared. It reconnects, reports
+// that it holds no declaration, and gets the complete text.
+TEST(DeclarationDifferences, ThatDoNotMatchLeadToTheCompleteDeclaration) {
   scripted_control Control(
       {{link_declaration{revision(1), pack("{a}{b}")}, change(1, "{other}", 2, "{other}{c}")},
        {link_declaration{revision(2), pack("{other}{c}")}}});
@@ -131,9 +132,9 @@
   EXPECT_FALSE(Subscriptions[1].Holds);
 }
 
-// The connection is lost and another control host leads: the entry says at once what it holds, so
-// that a fleet's change of leaders does not send every declaration whole.
-TEST(AHeldText, IsToldOnTheNextConnection) {
+// After a change of leaders the entry reports the revision that it holds with its first message, so
+// that the new leader does not send the complete declaration to the whole fleet.
+TEST(DeclarationDifferences, ContinueFromTheHeldRevisionAfterAReconnect) {
   scripted_control Control({{link_declaration{revision(1), pack("{a}{b}")}, link_not_leader{""}},
                             {change(1, "{a}{b}", 2, "{a}")}});
   const auto Link = linkTo(Control);
--- a/tests/control_state/in_force_test.cpp
+++ b/tests/control_state/in_force_test.cpp
@@ -1,4 +1,4 @@
-/** @file in_force_test.cpp When a change is in force, at the leader and at an entry. */
+/** @file in_force_test.cpp Revisions in force, tracked by the leader and by an entry. */
 #include "control_link/entry_freshness_base.h"
 #include "control_link/ready_span_base.h"
 #include "control_state/control_state.h"
@@ -13,78 +13,78 @@
 class InForceTest : public testing::Test {
 protected:
   void SetUp() override {
-    Tracker.takeOffice(revision(4), Now);
-    Now += Times.Lease * 2; // past the leases of a predecessor
+    Tracker.beginTerm(revision(4), Now);
+    Now += Options.Lease * 2; // Past the leases of a previous leader.
   }
 
   std::optional<mono_duration> renew(const process_key &Entry,
                                      std::optional<std::uint64_t> Confirmed) {
-    std::optional<revision> Number;
+    std::optional<revision> ConfirmedRevision;
     if (Confirmed)
-      Number = revision(*Confirmed);
-    return Tracker.renew(Entry, failure_domain_name("a"), Number, Now);
+      ConfirmedRevision = revision(*Confirmed);
+    return Tracker.renew(Entry, failure_domain_name("a"), ConfirmedRevision, Now);
   }
 
-  in_force_options Times;
-  in_force_tracker Tracker{Times};
+  in_force_options Options;
+  in_force_tracker Tracker{Options};
   mono_time Now{std::chrono::seconds(100)};
-  process_key One{host_name("one"), incarnation(1)};
-  process_key Two{host_name("two"), incarnation(1)};
+  process_key EntryOne{host_name("one"), incarnation(1)};
+  process_key EntryTwo{host_name("two"), incarnation(1)};
 };
 
 TEST_F(InForceTest, WaitsForEveryEntryWithALease) {
-  EXPECT_EQ(renew(One, 4), Times.Lease);
-  EXPECT_EQ(renew(Two, 4), Times.Lease);
-  Tracker.accepted(revision(5), Now);
+  EXPECT_EQ(renew(EntryOne, 4), Options.Lease);
+  EXPECT_EQ(renew(EntryTwo, 4), Options.Lease);
+  Tracker.recordChange(revision(5), Now);
   EXPECT_EQ(Tracker.inForce(Now), revision(4));
-  renew(One, 5);
+  renew(EntryOne, 5);
   EXPECT_EQ(Tracker.inForce(Now), revision(4));
-  renew(Two, 5);
+  renew(EntryTwo, 5);
   EXPECT_EQ(Tracker.inForce(Now), revision(5));
 }
 
-TEST_F(InForceTest, WaitsOutTheLeaseOfASilentEntry) {
-  // A frozen entry may come back and act on revision 4 until its lease ends; only then is the
-  // change in force without its word.
-  renew(One, 4);
-  Tracker.accepted(revision(5), Now);
-  Now += Times.Lease;
+TEST_F(InForceTest, WaitsForTheLeaseOfAnUnresponsiveEntryToExpire) {
+  // A frozen entry may resume and act on revision 4 until its lease ends. Only then is the change
+  // in force without its confirmation.
+  renew(EntryOne, 4);
+  Tracker.recordChange(revision(5), Now);
+  Now += Options.Lease;
   EXPECT_EQ(Tracker.inForce(Now), revision(4));
-  Now += Times.Lease / 10;
+  Now += Options.Lease / 10;
   EXPECT_EQ(Tracker.inForce(Now), revision(5));
 }
 
-TEST_F(InForceTest, IsNotKnownToANewLeaderUntilItsPredecessorsLeasesEnded) {
-  // The old leader gave a lease for revision 4 and died; the new one has never heard of that entry
-  // and would call revision 5 in force while the entry still acts on 4.
-  Tracker.takeOffice(revision(5), Now);
-  Now += Times.Lease;
+TEST_F(InForceTest, IsUnknownToANewLeaderUntilEarlierLeasesExpire) {
+  // The previous leader granted a lease for revision 4 and died. The new leader does not know that
+  // entry and could report revision 5 as in force while the entry still acts on revision 4.
+  Tracker.beginTerm(revision(5), Now);
+  Now += Options.Lease;
   EXPECT_EQ(Tracker.inForce(Now), std::nullopt);
-  EXPECT_EQ(renew(One, 4), std::nullopt);
-  EXPECT_EQ(renew(One, 5), Times.Lease);
-  Now += Times.Lease / 10;
+  EXPECT_EQ(renew(EntryOne, 4), std::nullopt);
+  EXPECT_EQ(renew(EntryOne, 5), Options.Lease);
+  Now += Options.Lease / 10;
   EXPECT_EQ(Tracker.inForce(Now), revision(5));
 }
 
-TEST_F(InForceTest, IsNotHeldUpByAnEntryThatNeverConfirms) {
-  // The entry renews in time but does not take the change. Its lease is not extended for ever, so
-  // it turns unready and the change comes in force without it.
-  renew(One, 4);
-  Tracker.accepted(revision(5), Now);
-  EXPECT_EQ(renew(One, 4), Times.Lease);
-  Now += Times.ConfirmWithin;
-  EXPECT_EQ(renew(One, 4), std::nullopt);
-  Now += Times.Lease;
+TEST_F(InForceTest, IsNotBlockedByAnEntryThatNeverConfirms) {
+  // The entry renews its lease but does not apply the change. Its lease must not be renewed for
+  // ever, so that the entry becomes unready and the change is in force without it.
+  renew(EntryOne, 4);
+  Tracker.recordChange(revision(5), Now);
+  EXPECT_EQ(renew(EntryOne, 4), Options.Lease);
+  Now += Options.ConfirmWithin;
+  EXPECT_EQ(renew(EntryOne, 4), std::nullopt);
+  Now += Options.Lease;
   EXPECT_EQ(Tracker.inForce(Now), revision(5));
-  EXPECT_EQ(renew(One, 4), std::nullopt);
+  EXPECT_EQ(renew(EntryOne, 4), std::nullopt);
 }
 
-TEST_F(InForceTest, GivesNoLeaseToALifeThatConfirmedNothing) {
-  EXPECT_EQ(renew(One, std::nullopt), std::nullopt);
-  EXPECT_EQ(renew(One, 5), std::nullopt);
+TEST_F(InForceTest, RefusesALeaseToAnEntryThatConfirmedNoValidRevision) {
+  EXPECT_EQ(renew(EntryOne, std::nullopt), std::nullopt);
+  EXPECT_EQ(renew(EntryOne, 5), std::nullopt);
 }
 
-TEST(EntryFreshness, ActsOnNothingBeforeALease) {
+TEST(EntryFreshness, IsNotReadyWithoutALease) {
   entry_freshness Freshness;
   const mono_time Now(std::chrono::seconds(10));
   EXPECT_FALSE(Freshness.ready(Now));
@@ -96,7 +96,7 @@
   EXPECT_FALSE(Freshness.ready(Now + milliseconds(5)));
 }
 
-TEST(EntryFreshness, TakesRisingRevisionsOnly) {
+TEST(EntryFreshness, AppliesOnlyNewerRevisions) {
   entry_freshness Freshness;
   Freshness.inUse(revision(3));
   EXPECT_EQ(Freshness.offer(revision(2)), offer_verdict::Stale);
@@ -104,7 +104,7 @@
   EXPECT_EQ(Freshness.offer(revision(4)), offer_verdict::Take);
 }
 
-TEST(EntryFreshness, LagsUntilItUsesWhatWasAnnounced) {
+TEST(EntryFreshness, LagsUntilTheAnnouncedRevisionIsInUse) {
   entry_freshness Freshness;
   EXPECT_FALSE(Freshness.lags());
   Freshness.inUse(revision(3));
@@ -127,9 +127,9 @@
   EXPECT_FALSE(Freshness.ready(Now));
 }
 
-TEST(ReadySpan, IsOverAtItsEndThoughNobodyHasSetItSince) {
-  // An entry is frozen past its lease. The thread that answers readiness checks goes on first: what
-  // the deciding thread set before the freeze must not be taken for true.
+TEST(ReadySpan, ExpiresWithoutAFurtherUpdate) {
+  // An entry is frozen beyond its lease, and the thread that answers readiness checks resumes
+  // first. It must not rely on what the decision thread set before the freeze.
   ready_span Ready;
   const mono_time Now(std::chrono::seconds(10));
   EXPECT_FALSE(Ready.holds(Now));
@@ -140,7 +140,7 @@
   EXPECT_FALSE(Ready.holds(Now));
 }
 
-TEST(EntryFreshnessDeathTest, AbortsRatherThanReverts) {
+TEST(EntryFreshnessDeathTest, AbortsIfTheRevisionReverts) {
   entry_freshness Freshness;
   Freshness.inUse(revision(3));
   EXPECT_DEATH(Freshness.inUse(revision(2)), "never reverts");
--- a/tests/order/order_sample.h
+++ b/tests/order/order_sample.h
@@ -1,4 +1,4 @@
-/** @file order_sample.h Engines and placements that the tests of orders share. */
+/** @file order_sample.h Sample engines and placements for the tests of orders. */
 #ifndef POLLENSTALL_TESTS_ORDER_ORDER_SAMPLE_H
 #define POLLENSTALL_TESTS_ORDER_ORDER_SAMPLE_H
 
@@ -8,10 +8,10 @@
 
 inline mono_time at(std::int64_t Millis) { return mono_time(std::chrono::milliseconds(Millis)); }
 
-inline engine_state sampleEngine(std::uint64_t Number, const std::string &Domain,
+inline engine_state sampleEngine(std::uint64_t Index, const std::string &Domain,
                                  order_check Orders = order_check::Fenced) {
   engine_state Engine;
-  Engine.Key = {backend_address("127.0.0.1:" + std::to_string(9000 + Number)), incarnation(1)};
+  Engine.Key = {backend_address("127.0.0.1:" + std::to_string(9000 + Index)), incarnation(1)};
   Engine.Service = service_name("tactic-llm");
   Engine.Domain = failure_domain_name(Domain);
   Engine.Labels = {{"track", "stable"}};
--- a/tests/order/random_order_test.cpp
+++ b/tests/order/random_order_test.cpp
@@ -1,4 +1,4 @@
-/** @file random_order_test.cpp Randomised runs of leaders, engines and delayed orders. */
+/** @file random_order_test.cpp Randomised runs with several leaders, engines and delayed orders. */
 #include "random_order_world.h"
 
 #include <gtest/gtest.h>
@@ -15,39 +15,40 @@
 constexpr std::uint64_t DefaultSeeds = 600;
 constexpr std::uint64_t SeedsWithoutSafeguard = 600;
 
-std::uint64_t setting(const char *Name, std::uint64_t Default) {
+std::uint64_t environmentNumber(const char *Name, std::uint64_t Default) {
   const char *Value = std::getenv(Name);
   return Value == nullptr ? Default : std::strtoull(Value, nullptr, 10);
 }
 
-/// The seed that runs now, for the line that a failed invariant's abort leaves behind.
+/// Seed of the current run, printed if a failed invariant aborts the process.
 volatile std::uint64_t CurrentSeed = 0;
 
 void printSeed(int /*Signal*/) { std::cerr << "failing seed " << CurrentSeed << std::endl; }
 
-/// Counted apart: without a safeguard the end may be missed for other reasons than a late order.
+/// Other violations are not counted: without a safeguard a run may also miss the declared state.
 bool isLateOrder(const std::string &Violation) {
   return Violation.find("took effect after") != std::string::npos;
 }
 
-/// @return In how many fixed schedules an older order takes effect over a newer one.
-std::uint64_t brokenSchedules(const order_world_options &Options) {
-  std::uint64_t Broken = 0;
+/// @return The number of fixed schedules in which an older order takes effect after a newer one.
+std::uint64_t countFailedSchedules(const order_world_options &Options) {
+  std::uint64_t FailedSchedules = 0;
   for (std::uint64_t Seed = 1; Seed <= SeedsWithoutSafeguard; ++Seed) {
     const std::vector<std::string> Violations = random_order_world(Seed, Options).run();
-    Broken += std::any_of(Violations.begin(), Violations.end(), isLateOrder) ? 1 : 0;
+    FailedSchedules += std::any_of(Violations.begin(), Violations.end(), isLateOrder) ? 1 : 0;
   }
-  std::cout << "orders: " << Broken << " of " << SeedsWithoutSafeguard << " schedules broken\n";
-  return Broken;
+  std::cout << "orders: " << FailedSchedules << " of " << SeedsWithoutSafeguard
+            << " schedules failed\n";
+  return FailedSchedules;
 }
 
-// Leaders are stopped at any step and cut off while they believe in their lease; orders spend up to
-// the bound on the way, answers are lost, operators go on changing the declaration. An engine must
-// never take an older order over a newer one, some copy must serve throughout, and in the end every
-// engine holds what is declared.
-TEST(RandomisedOrders, NeverPutAnOlderOrderOverANewerOne) {
-  const std::uint64_t First = setting("POLLENSTALL_FIRST_SEED", DefaultFirstSeed);
-  const std::uint64_t Seeds = setting("POLLENSTALL_SEEDS", DefaultSeeds);
+// Leaders are stopped at any step and partitioned while they hold a lease, orders are in flight for
+// up to the bound, answers are lost and the declaration changes. An engine must never apply an
+// older order after a newer one, some copy must always serve, and finally the engines must hold the
+// declared copies.
+TEST(RandomisedOrders, NeverApplyAnOlderOrderAfterANewerOne) {
+  const std::uint64_t First = environmentNumber("POLLENSTALL_FIRST_SEED", DefaultFirstSeed);
+  const std::uint64_t Seeds = environmentNumber("POLLENSTALL_SEEDS", DefaultSeeds);
   std::signal(SIGABRT, printSeed);
   order_world_counts Sum;
   for (std::uint64_t Seed = First; Seed < First + Seeds; ++Seed) {
@@ -59,24 +60,24 @@
   }
   std::signal(SIGABRT, SIG_DFL);
   std::cout << "orders: schedules " << Seeds << " steps " << Sum.Steps << " first seed " << First
-            << "; offices " << Sum.Offices << " effects " << Sum.Effects << " fence-refused "
-            << Sum.FenceRefusals << " held-at-write " << Sum.HeldAtWrite << " unanswered "
+            << "; terms " << Sum.Terms << " effects " << Sum.Effects << " fence-refused "
+            << Sum.FenceRefusals << " refused-at-write " << Sum.RefusedAtWrite << " unanswered "
             << Sum.Unanswered << "\n";
-  EXPECT_GT(Sum.Offices * Sum.Effects * Sum.FenceRefusals * Sum.HeldAtWrite * Sum.Unanswered, 0U)
+  EXPECT_GT(Sum.Terms * Sum.Effects * Sum.FenceRefusals * Sum.RefusedAtWrite * Sum.Unanswered, 0U)
       << "the schedules no longer reach every case";
 }
 
-// Each safeguard is needed: the same schedules break a promise once it is taken out.
-TEST(RandomisedOrders, AreBrokenWithoutTheLeaseMargin) {
-  EXPECT_GT(brokenSchedules({.LeaseMargin = false}), 0U);
+// Shows that each safeguard is necessary: without it, some of the same schedules fail.
+TEST(RandomisedOrders, FailWithoutTheLeaseMargin) {
+  EXPECT_GT(countFailedSchedules({.LeaseMargin = false}), 0U);
 }
 
-TEST(RandomisedOrders, AreBrokenWithoutTheSuccessorsWait) {
-  EXPECT_GT(brokenSchedules({.SuccessorWait = false}), 0U);
+TEST(RandomisedOrders, FailWithoutTheNewLeaderDelay) {
+  EXPECT_GT(countFailedSchedules({.NewLeaderDelay = false}), 0U);
 }
 
-TEST(RandomisedOrders, AreBrokenWithoutTheFence) {
-  EXPECT_GT(brokenSchedules({.EnginesCheckFences = false}), 0U);
+TEST(RandomisedOrders, FailWithoutFencingTokens) {
+  EXPECT_GT(countFailedSchedules({.EnginesCheckFencing = false}), 0U);
 }
 
 } // namespace
--- a/tests/order/random_order_world.cpp
+++ b/tests/order/random_order_world.cpp
@@ -1,4 +1,4 @@
-/** @file random_order_world.cpp The events of the randomised run. */
+/** @file random_order_world.cpp Events of the randomised run. */
 #include "random_order_world.h"
 
 #include "order_sample.h"
@@ -13,59 +13,59 @@
 using std::chrono::seconds;
 
 constexpr std::size_t LeaderCount = 3;
-constexpr seconds FaultTime{20};
-constexpr seconds QuietTime{10};
+constexpr seconds FaultPhase{20};
+constexpr seconds QuietPhase{10};
 constexpr milliseconds Tick{20};
-constexpr milliseconds LeaseSpan{1000};
+constexpr milliseconds LeaseDuration{1000};
 constexpr milliseconds ReadInterval{60};
 constexpr milliseconds NetworkDelay{15};
-/// Longer than a lease, so that the check before the write falls on every moment of it.
+/// Longer than a lease, so that the check before the write can happen at any point of a lease.
 constexpr milliseconds SlowConnect{1200};
 constexpr milliseconds LongFreeze{4000};
 
-order_planner_limits worldLimits() {
-  order_planner_limits Limits;
-  Limits.Loads = {4, 1200};
-  Limits.LoadTimeout = seconds(1);
-  Limits.RetryAfter = milliseconds(200);
-  Limits.MaxStateAge = milliseconds(500);
-  Limits.ReadPatience = milliseconds(800);
-  return Limits;
+order_planner_options plannerOptions() {
+  order_planner_options PlannerOptions;
+  PlannerOptions.Loads = {4, 1200};
+  PlannerOptions.LoadTimeout = seconds(1);
+  PlannerOptions.RetryDelay = milliseconds(200);
+  PlannerOptions.MaxStateAge = milliseconds(500);
+  PlannerOptions.StateReadTimeout = milliseconds(800);
+  return PlannerOptions;
 }
 
 } // namespace
 
 order_world_counts &order_world_counts::operator+=(const order_world_counts &Other) {
   Steps += Other.Steps;
-  Offices += Other.Offices;
+  Terms += Other.Terms;
   Effects += Other.Effects;
   FenceRefusals += Other.FenceRefusals;
-  HeldAtWrite += Other.HeldAtWrite;
+  RefusedAtWrite += Other.RefusedAtWrite;
   Unanswered += Other.Unanswered;
   return *this;
 }
 
-random_order_world::random_order_world(std::uint64_t Seed, const order_world_options &Given)
-    : Random(Seed), Options(Given), FaultsEnd(Now + FaultTime), LeaseEnd(Now) {
-  order_gate_times Kept;
-  Kept.LeaseMargin = Options.LeaseMargin ? Times.LeaseMargin : mono_duration{};
-  Kept.SuccessorWait = Options.SuccessorWait ? Times.SuccessorWait : mono_duration{};
+random_order_world::random_order_world(std::uint64_t Seed, const order_world_options &WorldOptions)
+    : Random(Seed), Options(WorldOptions), FaultsEnd(Now + FaultPhase), LeaseEnd(Now) {
+  order_gate_options GateOptions;
+  GateOptions.LeaseMargin = Options.LeaseMargin ? FullTiming.LeaseMargin : mono_duration{};
+  GateOptions.NewLeaderDelay = Options.NewLeaderDelay ? FullTiming.NewLeaderDelay : mono_duration{};
   const std::vector<std::string> Domains{"accra-a", "accra-a", "accra-b", "accra-b", "accra-c"};
-  for (std::size_t I = 0; I < Domains.size(); ++I) {
-    const order_check Orders = I % 2 == 0 ? order_check::Unfenced : order_check::Fenced;
-    const engine_state State = sampleEngine(I, Domains[I], Orders);
+  for (std::size_t Index = 0; Index < Domains.size(); ++Index) {
+    const order_check Orders = Index % 2 == 0 ? order_check::Unfenced : order_check::Fenced;
+    const engine_state State = sampleEngine(Index, Domains[Index], Orders);
     Engines[State.Key] = {State, fencing_token()};
   }
-  change();
-  for (std::size_t I = 0; I < LeaderCount; ++I) {
-    Leaders.push_back(std::make_unique<leader>(worldLimits(), Kept));
-    at(Now + upTo(Tick), [this, I] { tick(I); });
+  changeDeclaration();
+  for (std::size_t Index = 0; Index < LeaderCount; ++Index) {
+    Leaders.push_back(std::make_unique<leader>(plannerOptions(), GateOptions));
+    at(Now + randomUpTo(Tick), [this, Index] { tick(Index); });
   }
-  at(Now, [this] { disturb(); });
+  at(Now, [this] { injectFault(); });
 }
 
 std::vector<std::string> random_order_world::run() {
-  const mono_time End = FaultsEnd + QuietTime;
+  const mono_time End = FaultsEnd + QuietPhase;
   while (!Events.empty() && Events.begin()->first <= End && Violations.empty()) {
     const auto Next = Events.extract(Events.begin());
     Now = std::max(Now, Next.key());
@@ -77,158 +77,170 @@
   return Violations;
 }
 
-mono_duration random_order_world::upTo(mono_duration Bound) {
+mono_duration random_order_world::randomUpTo(mono_duration Bound) {
   return mono_duration(
       static_cast<mono_duration::rep>(Random.below(static_cast<std::uint64_t>(Bound.count()))));
 }
 
-mono_duration random_order_world::mostOf(mono_duration Bound) {
-  return Random.chance(0.5) ? upTo(Bound) : Bound - upTo(Bound / 10) - milliseconds(1);
+mono_duration random_order_world::nearBound(mono_duration Bound) {
+  return Random.chance(0.5) ? randomUpTo(Bound) : Bound - randomUpTo(Bound / 10) - milliseconds(1);
 }
 
-void random_order_world::inProcess(std::size_t Who, mono_duration Delay, step Do) {
-  at(Now + Delay, [this, Who, Do = std::move(Do)] {
-    if (Now < Leaders[Who]->FrozenUntil)
-      return inProcess(Who, Leaders[Who]->FrozenUntil - Now + upTo(milliseconds(1)), Do);
-    Do();
+void random_order_world::runInProcess(std::size_t LeaderIndex, mono_duration Delay, step Step) {
+  at(Now + Delay, [this, LeaderIndex, Step = std::move(Step)] {
+    if (Now < Leaders[LeaderIndex]->FrozenUntil)
+      return runInProcess(
+          LeaderIndex, Leaders[LeaderIndex]->FrozenUntil - Now + randomUpTo(milliseconds(1)), Step);
+    Step();
   });
 }
 
-void random_order_world::disturb() {
+void random_order_world::injectFault() {
   if (Now >= FaultsEnd)
     return;
-  // Whoever leads is hit most often: nothing is learnt from stopping a follower.
-  leader &Hit = *Leaders[Random.chance(0.7) ? Holder : Random.below(LeaderCount)];
+  // Mostly hits the leader, since faults of a follower have no effect.
+  leader &Target = *Leaders[Random.chance(0.7) ? LeaseHolder : Random.below(LeaderCount)];
   if (Random.chance(0.35))
-    Hit.FrozenUntil = std::min(Now + upTo(LongFreeze), FaultsEnd);
+    Target.FrozenUntil = std::min(Now + randomUpTo(LongFreeze), FaultsEnd);
   if (Random.chance(0.35))
-    Hit.CutUntil = std::min(Now + upTo(LongFreeze), FaultsEnd);
+    Target.PartitionedUntil = std::min(Now + randomUpTo(LongFreeze), FaultsEnd);
   if (Random.chance(0.6))
-    change();
-  at(Now + upTo(milliseconds(1500)), [this] { disturb(); });
+    changeDeclaration();
+  at(Now + randomUpTo(milliseconds(1500)), [this] { injectFault(); });
 }
 
-void random_order_world::change() {
+void random_order_world::changeDeclaration() {
   const std::string Version = std::to_string(Random.below(3));
-  placement All = samplePlacement(Version, 1 + static_cast<std::uint32_t>(Random.below(4)));
-  All.Spread = Random.chance(0.5) ? copy_spread::Domains : copy_spread::None;
-  Declared = {All};
+  placement NewPlacement =
+      samplePlacement(Version, 1 + static_cast<std::uint32_t>(Random.below(4)));
+  NewPlacement.Spread = Random.chance(0.5) ? copy_spread::Domains : copy_spread::None;
+  Declared = {NewPlacement};
 }
 
-void random_order_world::renewLease(std::size_t Who) {
-  leader &Leader = *Leaders[Who];
-  if (reachesLog(Leader) && Who != Holder)
+void random_order_world::renewLease(std::size_t LeaderIndex) {
+  leader &Leader = *Leaders[LeaderIndex];
+  if (reachesLog(Leader) && LeaderIndex != LeaseHolder)
     Leader.Lease.Valid = false;
-  const bool Vacant = Now > LeaseEnd && Now >= Leader.CanStandFrom;
-  if (!reachesLog(Leader) || (Who != Holder && !Vacant))
+  const bool CanBeElected = Now > LeaseEnd && Now >= Leader.CandidateFrom;
+  if (!reachesLog(Leader) || (LeaderIndex != LeaseHolder && !CanBeElected))
     return;
-  if (Who != Holder || Now >= LeaseEnd) {
-    Holder = Who;
+  if (LeaderIndex != LeaseHolder || Now >= LeaseEnd) {
+    LeaseHolder = LeaderIndex;
     Term = Term.next();
-    ++Counts.Offices;
+    ++Counts.Terms;
   }
-  Leader.CanStandFrom = Now + upTo(milliseconds(300));
-  LeaseEnd = Now + LeaseSpan;
+  Leader.CandidateFrom = Now + randomUpTo(milliseconds(300));
+  LeaseEnd = Now + LeaseDuration;
   Leader.Lease = {Term, Now, LeaseEnd, true};
 }
 
-void random_order_world::look(leader &Leader) {
+void random_order_world::refreshLease(leader &Leader) {
   Leader.Lease.Valid = Leader.Lease.Valid && Now < Leader.Lease.End;
-  Leader.Gate.see(Leader.Lease, Now);
+  Leader.Gate.updateLease(Leader.Lease, Now);
 }
 
-void random_order_world::tick(std::size_t Who) {
-  leader &Leader = *Leaders[Who];
-  renewLease(Who);
-  look(Leader);
-  if (Leader.Lease.Valid && Leader.Office != Leader.Lease.Term) {
-    Leader.Office = Leader.Lease.Term;
+void random_order_world::tick(std::size_t LeaderIndex) {
+  leader &Leader = *Leaders[LeaderIndex];
+  renewLease(LeaderIndex);
+  refreshLease(Leader);
+  if (Leader.Lease.Valid && Leader.PlannerTerm != Leader.Lease.Term) {
+    Leader.PlannerTerm = Leader.Lease.Term;
     LastFence = LastFence.next();
-    Leader.Planner.takeOffice(LastFence, Now);
+    Leader.Planner.beginTerm(LastFence, Now);
   }
   if (Leader.Lease.Valid) {
     if (reachesLog(Leader))
-      Leader.Planner.declare(Declared);
-    readStates(Who);
-    sendNext(Who);
+      Leader.Planner.setPlacements(Declared);
+    readStates(LeaderIndex);
+    sendOrders(LeaderIndex);
   }
-  inProcess(Who, Tick, [this, Who] { tick(Who); });
+  runInProcess(LeaderIndex, Tick, [this, LeaderIndex] { tick(LeaderIndex); });
 }
 
-void random_order_world::readStates(std::size_t Who) {
-  leader &Leader = *Leaders[Who];
+void random_order_world::readStates(std::size_t LeaderIndex) {
+  leader &Leader = *Leaders[LeaderIndex];
   for (auto &[Key, Engine] : Engines) {
     engine_state Announced = Engine.State;
     Announced.Loaded.clear();
-    Leader.Planner.announced(Announced, Now);
+    Leader.Planner.updateAnnouncement(Announced, Now);
     if (Now < Leader.NextRead[Key])
       continue;
     Leader.NextRead[Key] = Now + ReadInterval;
-    const mono_time Asked = Now;
-    at(Now + upTo(NetworkDelay), [this, Who, Asked, Key = Key, Office = Leader.Office] {
-      const engine_state State = Engines[Key].State;
-      inProcess(Who, upTo(NetworkDelay), [this, Who, Asked, Key, Office, State] {
-        leader &Reader = *Leaders[Who];
-        if (Reader.Office != Office)
-          return;
-        look(Reader);
-        if (Reader.Gate.stateRead(Key, Asked))
-          Reader.Planner.observed(Key, State.Loaded, State.Fence, Asked);
-      });
-    });
+    const mono_time RequestedAt = Now;
+    at(Now + randomUpTo(NetworkDelay),
+       [this, LeaderIndex, RequestedAt, Key = Key, PlannerTerm = Leader.PlannerTerm] {
+         const engine_state State = Engines[Key].State;
+         runInProcess(LeaderIndex, randomUpTo(NetworkDelay),
+                      [this, LeaderIndex, RequestedAt, Key, PlannerTerm, State] {
+                        leader &Reader = *Leaders[LeaderIndex];
+                        if (Reader.PlannerTerm != PlannerTerm)
+                          return;
+                        refreshLease(Reader);
+                        if (Reader.Gate.recordStateRead(Key, RequestedAt))
+                          Reader.Planner.updateState(Key, State.Loaded, State.Fence, RequestedAt);
+                      });
+       });
   }
 }
 
-void random_order_world::sendNext(std::size_t Who) {
-  leader &Leader = *Leaders[Who];
+void random_order_world::sendOrders(std::size_t LeaderIndex) {
+  leader &Leader = *Leaders[LeaderIndex];
   if (!reachesLog(Leader))
     return;
   for (const planned_order &Order : Leader.Planner.plan(Now)) {
-    if (Leader.Gate.refusal(Order.Engine, Leader.Office) || Leader.Sending.count(Order.Engine) > 0)
+    if (Leader.Gate.refusal(Order.Engine, Leader.PlannerTerm) ||
+        Leader.OrdersInFlight.count(Order.Engine) > 0)
       continue;
     LastFence = LastFence.next();
-    Leader.Sending[Order.Engine] = LastFence;
-    Leader.Planner.started(Order, Now);
+    Leader.OrdersInFlight[Order.Engine] = LastFence;
+    Leader.Planner.startOrder(Order, Now);
     const bool Slow = Random.chance(0.3);
-    const mono_duration Connect = Slow ? upTo(SlowConnect) : upTo(NetworkDelay);
-    // The worst moment to be cut off: an order stands before its write, and a successor comes.
+    const mono_duration Connect = Slow ? randomUpTo(SlowConnect) : randomUpTo(NetworkDelay);
+    // Partitions the leader while an order waits for its write, so that a successor is elected.
     if (Slow && Now < FaultsEnd && Random.chance(0.3))
-      Leader.CutUntil = std::min(Now + LongFreeze, FaultsEnd);
-    inProcess(Who, Connect, [this, Who, Order, Fence = LastFence, Planned = Leader.Office] {
-      connected(Who, Order, Fence, Planned);
-    });
+      Leader.PartitionedUntil = std::min(Now + LongFreeze, FaultsEnd);
+    runInProcess(LeaderIndex, Connect,
+                 [this, LeaderIndex, Order, Fence = LastFence, PlannedTerm = Leader.PlannerTerm] {
+                   connected(LeaderIndex, Order, Fence, PlannedTerm);
+                 });
   }
 }
 
-void random_order_world::connected(std::size_t Who, const planned_order &Order, fencing_token Fence,
-                                   leader_term Planned) {
-  leader &Leader = *Leaders[Who];
-  look(Leader);
-  if (Leader.Gate.refusal(Order.Engine, Planned)) {
-    ++Counts.HeldAtWrite;
-    Leader.Planner.ended(Order, order_outcome::NotSent, Now);
-    Leader.Sending.erase(Order.Engine);
+void random_order_world::connected(std::size_t LeaderIndex, const planned_order &Order,
+                                   fencing_token Fence, leader_term PlannedTerm) {
+  leader &Leader = *Leaders[LeaderIndex];
+  refreshLease(Leader);
+  if (Leader.Gate.refusal(Order.Engine, PlannedTerm)) {
+    ++Counts.RefusedAtWrite;
+    Leader.Planner.finishOrder(Order, order_outcome::NotSent, Now);
+    Leader.OrdersInFlight.erase(Order.Engine);
     return;
   }
-  Leader.Gate.writing(Order.Engine, Planned);
-  const bool Checks = Engines[Order.Engine].State.Orders == order_check::Fenced;
-  const bool Stopped = Random.chance(0.3);
-  const bool ForLong = Checks && Now < FaultsEnd && Random.chance(0.1);
+  Leader.Gate.beginWrite(Order.Engine, PlannedTerm);
+  const bool ChecksFences = Engines[Order.Engine].State.Orders == order_check::Fenced;
+  const bool FrozenBriefly = Random.chance(0.3);
+  const bool FrozenLong = ChecksFences && Now < FaultsEnd && Random.chance(0.1);
   const mono_duration Pause =
-      ForLong ? upTo(LongFreeze) : (Stopped ? mostOf(Times.LeaseMargin) : mono_duration{});
+      FrozenLong ? randomUpTo(LongFreeze)
+                 : (FrozenBriefly ? nearBound(FullTiming.LeaseMargin) : mono_duration{});
   Leader.FrozenUntil = std::max(Leader.FrozenUntil, Now + Pause);
   const mono_duration Transit =
-      Random.chance(0.4) ? mostOf(Times.LongestUnderWay) : upTo(NetworkDelay);
-  at(Now + Pause + Transit, [this, Who, Order, Fence] { arrive(Who, Order, Fence); });
-  inProcess(Who, Pause + Times.LongestUnderWay / 2,
-            [this, Who, Order, Fence] { answered(Who, Order, Fence, order_outcome::Unknown); });
+      Random.chance(0.4) ? nearBound(FullTiming.MaxTimeInFlight) : randomUpTo(NetworkDelay);
+  at(Now + Pause + Transit,
+     [this, LeaderIndex, Order, Fence] { arrive(LeaderIndex, Order, Fence); });
+  runInProcess(LeaderIndex, Pause + FullTiming.MaxTimeInFlight / 2,
+               [this, LeaderIndex, Order, Fence] {
+                 answered(LeaderIndex, Order, Fence, order_outcome::Unknown);
+               });
 }
 
-void random_order_world::arrive(std::size_t Who, const planned_order &Order, fencing_token Fence) {
+void random_order_world::arrive(std::size_t LeaderIndex, const planned_order &Order,
+                                fencing_token Fence) {
   fake_engine &Engine = Engines[Order.Engine];
   order_outcome Outcome = order_outcome::Done;
-  const bool Checks = Options.EnginesCheckFences && Engine.State.Orders == order_check::Fenced;
-  if (Checks && Fence < Engine.State.Fence) {
+  const bool ChecksFences =
+      Options.EnginesCheckFencing && Engine.State.Orders == order_check::Fenced;
+  if (ChecksFences && Fence < Engine.State.Fence) {
     ++Counts.FenceRefusals;
     Outcome = order_outcome::Refused;
   } else {
@@ -236,31 +248,32 @@
   }
   if (Now < FaultsEnd && Random.chance(0.2))
     return;
-  inProcess(Who, upTo(NetworkDelay),
-            [this, Who, Order, Outcome, Fence] { answered(Who, Order, Fence, Outcome); });
+  runInProcess(LeaderIndex, randomUpTo(NetworkDelay), [this, LeaderIndex, Order, Outcome, Fence] {
+    answered(LeaderIndex, Order, Fence, Outcome);
+  });
 }
 
-void random_order_world::answered(std::size_t Who, const planned_order &Order, fencing_token Fence,
-                                  order_outcome Outcome) {
-  leader &Leader = *Leaders[Who];
-  const auto Sending = Leader.Sending.find(Order.Engine);
-  if (Sending == Leader.Sending.end() || Sending->second != Fence)
+void random_order_world::answered(std::size_t LeaderIndex, const planned_order &Order,
+                                  fencing_token Fence, order_outcome Outcome) {
+  leader &Leader = *Leaders[LeaderIndex];
+  const auto InFlight = Leader.OrdersInFlight.find(Order.Engine);
+  if (InFlight == Leader.OrdersInFlight.end() || InFlight->second != Fence)
     return;
-  Leader.Sending.erase(Sending);
+  Leader.OrdersInFlight.erase(InFlight);
   Counts.Unanswered += Outcome == order_outcome::Unknown ? 1 : 0;
-  look(Leader);
-  Leader.Gate.ended(Order.Engine, Outcome);
-  Leader.Planner.ended(Order, Outcome, Now);
+  refreshLease(Leader);
+  Leader.Gate.endWrite(Order.Engine, Outcome);
+  Leader.Planner.finishOrder(Order, Outcome, Now);
 }
 
 void random_order_world::apply(fake_engine &Engine, const planned_order &Order,
                                fencing_token Fence) {
-  if (Fence < Engine.Newest)
+  if (Fence < Engine.NewestFence)
     Violations.push_back("order " + std::to_string(Fence.value()) + " took effect after " +
-                         std::to_string(Engine.Newest.value()) + " on " +
+                         std::to_string(Engine.NewestFence.value()) + " on " +
                          Order.Engine.Address.str());
-  Engine.Newest = std::max(Engine.Newest, Fence);
-  Engine.State.Fence = Engine.Newest;
+  Engine.NewestFence = std::max(Engine.NewestFence, Fence);
+  Engine.State.Fence = Engine.NewestFence;
   ++Counts.Effects;
   if (Order.Kind == order_kind::Unload)
     Engine.State.Loaded.erase(Order.Copy);
@@ -270,26 +283,26 @@
 }
 
 void random_order_world::checkServing() {
-  const bool Serves = std::any_of(Engines.begin(), Engines.end(), [](const auto &Item) {
-    return !Item.second.State.Loaded.empty();
+  const bool IsServing = std::any_of(Engines.begin(), Engines.end(), [](const auto &KeyAndEngine) {
+    return !KeyAndEngine.second.State.Loaded.empty();
   });
-  if (Served && !Serves)
+  if (HasServed && !IsServing)
     Violations.emplace_back("the last serving copy was unloaded");
-  Served = Served || Serves;
+  HasServed = HasServed || IsServing;
 }
 
 void random_order_world::checkDeclared() {
-  const placement &Wanted = Declared.front();
+  const placement &Placement = Declared.front();
   std::uint32_t Copies = 0;
   for (const auto &[Key, Engine] : Engines)
     for (const model_copy &Copy : Engine.State.Loaded) {
-      Copies += Copy == Wanted.Copy ? 1 : 0;
-      if (Copy != Wanted.Copy)
+      Copies += Copy == Placement.Copy ? 1 : 0;
+      if (Copy != Placement.Copy)
         Violations.push_back(Key.Address.str() + " still holds version " + Copy.Version.str());
     }
-  if (Copies != Wanted.Copies)
+  if (Copies != Placement.Copies)
     Violations.push_back(std::to_string(Copies) + " copies instead of " +
-                         std::to_string(Wanted.Copies));
+                         std::to_string(Placement.Copies));
 }
 
 } // namespace pollenstall
