--- a/bench/decision/decision_bench.cpp
+++ b/bench/decision/decision_bench.cpp
@@ -143,12 +143,12 @@
 class worked_dispatcher {
 public:
   worked_dispatcher() {
-    dispatch_seam Seam;
+    dispatcher_callbacks Seam;
     Seam.Submit = [](const work_item &, mono_time) -> result<done, work_refusal> { return done{}; };
     Seam.GroupsFor = [](const request_facts &) {
       return std::vector<candidate_group>{{group_name("model-0-stable"), 1}};
     };
-    auto Built = dispatcher_builder().process(ownKey()).seam(std::move(Seam)).build();
+    auto Built = dispatcher_builder().process(ownKey()).callbacks(std::move(Seam)).build();
     requireInvariant(succeeded(Built), "the bench's dispatcher is built");
     Dispatcher = std::make_unique<dispatcher>(std::move(valueOf(Built)));
     Dispatcher->setReady(true);
--- a/bench/decision/suspect_bench.cpp
+++ b/bench/decision/suspect_bench.cpp
@@ -45,7 +45,7 @@
 };
 
 suspect_list listOf(std::size_t Count) {
-  std::vector<told_suspect> Told;
+  std::vector<published_suspect> Told;
   for (std::size_t Number = 0; Number < Count; ++Number)
     Told.push_back({{Number, combineHashes(Number, 1), Number, Number}, milliseconds(1'000)});
   return {Told, mono_time{}};
@@ -74,17 +74,18 @@
   const suspect_tuning Tuning;
   const double Before = heapBytes();
   std::optional<suspect_table> Table(Tuning);
-  for (std::uint64_t Number = 0; Number < Tuning.MostRecords; ++Number)
-    Table->noteCrash({{Number, Number, Number, Number}}, incarnation(Number), milliseconds(Number));
+  for (std::uint64_t Number = 0; Number < Tuning.MaxRecords; ++Number)
+    Table->recordCrash({{Number, Number, Number, Number}}, incarnation(Number),
+                       milliseconds(Number));
   const double Bytes = heapBytes() - Before;
-  std::uint64_t Next = Tuning.MostRecords;
+  std::uint64_t Next = Tuning.MaxRecords;
   const double Us = cpuOfCall(50, [&] {
     ++Next;
-    Table->noteCrash({{Next, Next, Next, Next}}, incarnation(Next), milliseconds(Next));
+    Table->recordCrash({{Next, Next, Next, Next}}, incarnation(Next), milliseconds(Next));
   });
   std::printf("{\"bench\":\"suspect_table\",\"records\":%zu,\"memory_kb\":%.0f,"
               "\"cpu_us_per_crash\":%.1f}\n",
-              Tuning.MostRecords, Bytes / 1024, Us);
+              Tuning.MaxRecords, Bytes / 1024, Us);
 }
 
 } // namespace
--- a/bench/decision/work_bench.cpp
+++ b/bench/decision/work_bench.cpp
@@ -63,7 +63,7 @@
     for (std::size_t Entry = 0; Entry < Entries; ++Entry)
       All.push_back({addressOf(Entry),
                      failure_domain_name("d" + std::to_string(Entry % (OtherDomains + 1)))});
-    Board.useEntries(All, Now);
+    Board.setEntries(All, Now);
     Placer.applyDeclaration(declarationOf());
     Placer.useExchange(Board.facts());
     for (std::size_t Engine = 0; Engine < Engines; ++Engine)
@@ -79,7 +79,7 @@
     Report.Sender = {host_name("entry-1"), incarnation(1)};
     Report.Sequence = ++Sequence;
     Report.Scope =
-        Entries > work_share_tuning().MostDirect ? report_scope::Others : report_scope::Group;
+        Entries > work_share_tuning().MaxDirectEntries ? report_scope::Others : report_scope::Group;
     for (std::size_t Load = 0; Load < LoadsOfReport; ++Load) {
       work_load Told;
       Told.Incarnation = listingOf(Random.below(Engines)).Key.Incarnation;
@@ -90,11 +90,11 @@
       Report.Loads.push_back(Told);
     }
     const double Before = cpuMicroseconds();
-    Board.take(Report, addressOf(1), Now);
+    Board.receive(Report, addressOf(1), Now);
     TakeUs += cpuMicroseconds() - Before;
   }
 
-  void tellPlacement() { Placer.takeOthersLoads(Board.othersChanged(Now), Now); }
+  void tellPlacement() { Placer.takeOthersLoads(Board.changedPeerLoads(Now), Now); }
 
   void oneDecision() {
     Now += 10ms;
@@ -137,7 +137,7 @@
 private:
   std::size_t Entries;
   std::size_t Engines;
-  work_board Board;
+  work_view Board;
   placer Placer;
   random_source Random{1};
   mono_time Now{Begin};
--- a/programs/pollenstall-control/control_codec.cpp
+++ b/programs/pollenstall-control/control_codec.cpp
@@ -56,7 +56,7 @@
   Into(Command.High);
 }
 template <typename Archive> void serialize(Archive &Into, suspect_record &Record) {
-  Into(Record.Mark, Record.Crashes, Record.Blocks, Record.LastCrash, Record.BlockedUntil,
+  Into(Record.Fingerprint, Record.Crashes, Record.Blocks, Record.LastCrash, Record.BlockedUntil,
        Record.Incarnations);
 }
 template <typename Archive> void serializeInitial(Archive &Into, control_snapshot &Snapshot) {
--- a/programs/pollenstall-control/control_core.cpp
+++ b/programs/pollenstall-control/control_core.cpp
@@ -196,11 +196,11 @@
   Desk.suspectsChanged(boot_clock::now());
   std::string Blocked;
   std::size_t Watched = 0;
-  for (const told_suspect &Told : State.suspects().told(wallClock())) {
+  for (const published_suspect &Told : State.suspects().published(wallClock())) {
     if (Told.BlockedFor.count() == 0)
       ++Watched;
     else
-      Blocked += (Blocked.empty() ? "" : ",") + toText(Told.Mark);
+      Blocked += (Blocked.empty() ? "" : ",") + toText(Told.Fingerprint);
   }
   logEvent(log_level::Warning, "suspects_changed",
            {{"blocked", Blocked}, {"watched", static_cast<std::int64_t>(Watched)}});
--- a/programs/pollenstall-control/entry_desk.cpp
+++ b/programs/pollenstall-control/entry_desk.cpp
@@ -26,7 +26,7 @@
       std::chrono::duration_cast<std::chrono::milliseconds>(Span).count());
 }
 
-claim_verdict verdictOf(const std::optional<control_answer> &Answer) {
+claim_status verdictOf(const std::optional<control_answer> &Answer) {
   const auto *Acquired = Answer ? std::get_if<claim_acquire_answer>(&*Answer) : nullptr;
   const bool Told = Acquired != nullptr && succeeded(*Acquired);
   return Told ? valueOf(*Acquired) : VerdictOnRefusal;
@@ -130,7 +130,9 @@
   sendSuspects(To, Session, suspects());
 }
 
-link_suspects entry_desk::suspects() const { return {Hooks.State().suspects().told(wallClock())}; }
+link_suspects entry_desk::suspects() const {
+  return {Hooks.State().suspects().published(wallClock())};
+}
 
 void entry_desk::sendSuspects(connection_number To, session &Session, const link_suspects &All) {
   Session.SuspectsTold = Hooks.State().suspects().version();
--- a/programs/pollenstall-control/operator_api.cpp
+++ b/programs/pollenstall-control/operator_api.cpp
@@ -73,8 +73,9 @@
 
 std::string suspectsText(const control_state &State) {
   json::array Suspects;
-  for (const told_suspect &Told : State.suspects().told(wallClock()))
-    Suspects.push_back({{"request", toText(Told.Mark)}, {"blocked_ms", Told.BlockedFor.count()}});
+  for (const published_suspect &Told : State.suspects().published(wallClock()))
+    Suspects.push_back(
+        {{"request", toText(Told.Fingerprint)}, {"blocked_ms", Told.BlockedFor.count()}});
   return json::serialize(json::object{{"suspects", std::move(Suspects)}});
 }
 
@@ -195,7 +196,7 @@
 operator_reply operator_api::postSuspect(const operator_call &Call) {
   const auto Object = objectOf(Call.Body);
   const auto Request = Object ? textAt(*Object, "request") : std::nullopt;
-  const auto High = Request ? markFromText(*Request) : std::nullopt;
+  const auto High = Request ? parseFingerprint(*Request) : std::nullopt;
   if (!High)
     return badCall("needs request, as the list of suspects names it");
   return ask(command_wanted{clear_suspect{*High}});
--- a/programs/pollenstall-entry/decision_seam.cpp
+++ b/programs/pollenstall-entry/decision_seam.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-dispatcher buildDispatcher(process_key Self, std::uint64_t Seed, dispatch_seam Hooks) {
+dispatcher buildDispatcher(process_key Self, std::uint64_t Seed, dispatcher_callbacks Hooks) {
   auto Built = dispatcher_builder()
                    .process(std::move(Self))
                    .limits({})
                    .seed(Seed)
-                   .seam(std::move(Hooks))
+                   .callbacks(std::move(Hooks))
                    .build();
   requireInvariant(succeeded(Built), "the dispatcher has all it needs");
   return valueOf(std::move(Built));
@@ -23,7 +23,7 @@
 /// Backend servers announce themselves about once a second: a new leader has heard of all by then.
 constexpr mono_duration NewLeaderGrace = std::chrono::milliseconds(3000);
 
-attempt_report reportOf(const attempt_ending &Ending) {
+attempt_report reportOf(const attempt_result &Ending) {
   attempt_report Report;
   Report.Completed = Ending.End == attempt_end::Completed;
   Report.Failure = Ending.Failure;
@@ -41,11 +41,11 @@
       Scheduler(scheduler_builder().seed(Seed).host(Self.Host).build()), Placer(Self.Host, Seed),
       Directory(NewLeaderGrace), Dispatcher(buildDispatcher(Self, Seed, hooks())) {}
 
-dispatch_seam decision_seam::hooks() {
-  dispatch_seam Hooks;
+dispatcher_callbacks decision_seam::hooks() {
+  dispatcher_callbacks Hooks;
   Hooks.Submit = [this](const work_item &Item, mono_time Now) { return submit(Item, Now); };
   Hooks.Withdraw = [this](request_number Request) { withdraw(Request); };
-  Hooks.AttemptStarted = [this](const attempt_start &Start, mono_time Now) {
+  Hooks.AttemptStarted = [this](const started_attempt &Start, mono_time Now) {
     noteStart(Start, Now);
   };
   Hooks.AttemptAnswering = [this](const attempt_id &Attempt, mono_time Now) {
@@ -59,7 +59,7 @@
     if (Failure)
       withPolicy([&](auto &Policy) { Policy.attemptBroken(Attempt, *Failure, Now); });
   };
-  Hooks.AttemptEnded = [this](const attempt_ending &Ending, mono_time Now) {
+  Hooks.AttemptEnded = [this](const attempt_result &Ending, mono_time Now) {
     noteEnd(Ending, Now);
   };
   Hooks.GroupsFor = [this](const request_facts &Facts) { return groupsFor(Facts); };
@@ -106,7 +106,7 @@
   return Groups;
 }
 
-void decision_seam::noteStart(const attempt_start &Start, mono_time Now) {
+void decision_seam::noteStart(const started_attempt &Start, mono_time Now) {
   const auto Found = Waiting.find(Start.Request);
   requireInvariant(Found != Waiting.end(), "an attempt starts for work that was submitted");
   const work_item Item = std::move(Found->second);
@@ -114,7 +114,7 @@
   withPolicy([&](auto &Policy) { Policy.attemptStarted(Start.Attempt, Item, Start.Backend, Now); });
 }
 
-void decision_seam::noteEnd(const attempt_ending &Ending, mono_time Now) {
+void decision_seam::noteEnd(const attempt_result &Ending, mono_time Now) {
   PollDue = true;
   withPolicy([&](auto &Policy) { Policy.attemptEnded(Ending.Attempt, reportOf(Ending), Now); });
 }
--- a/programs/pollenstall-entry/decision_seam_base.h
+++ b/programs/pollenstall-entry/decision_seam_base.h
@@ -42,9 +42,9 @@
   void take(const dispatch_event &Event, mono_time Now);
   void take(const backends_listed &Listed, mono_time Now);
   /// What all other entries have under way, where that changed, and how it is told.
-  void takeOthers(const others_work &Others, mono_time Now) {
+  void takeOthers(const peer_work_update &Others, mono_time Now) {
     Placer.useExchange(Others.Facts);
-    Placer.takeOthersLoads(Others.Changed, Now);
+    Placer.takeOthersLoads(Others.ChangedLoads, Now);
   }
   [[nodiscard]] std::vector<work_load> ownLoads(mono_time Now) const {
     return Placer.ownLoads(Now);
@@ -91,15 +91,15 @@
   template <typename Use> [[nodiscard]] auto withPolicy(Use &&Call) const {
     return usesPlacer() ? Call(Placer) : Call(Scheduler);
   }
-  dispatch_seam hooks();
+  dispatcher_callbacks hooks();
   std::variant<done, work_refusal> submit(const work_item &Item, mono_time Now);
   void withdraw(request_number Request);
   void noteAnswering(const attempt_id &Attempt, mono_time Now);
   void noteListing(const backend_listing &Listing, mono_time Now);
   [[nodiscard]] std::optional<mono_time> nextPoll() const;
   std::vector<candidate_group> groupsFor(const request_facts &Facts) const;
-  void noteStart(const attempt_start &Start, mono_time Now);
-  void noteEnd(const attempt_ending &Ending, mono_time Now);
+  void noteStart(const started_attempt &Start, mono_time Now);
+  void noteEnd(const attempt_result &Ending, mono_time Now);
   void noteBackend(const backend_view &View, mono_time Now);
   void noteGone(const backend_key &Backend, mono_time Now);
   void place(mono_time Now);
--- a/programs/pollenstall-entry/decision_thread.cpp
+++ b/programs/pollenstall-entry/decision_thread.cpp
@@ -55,7 +55,7 @@
             {"backend", Start.Backend.Address.str()},
             {"instance", Start.Instance},
             {"helpers", Helpers},
-            {"expected_ms", wholeMillis(Start.Expected)}});
+            {"expected_ms", wholeMillis(Start.ExpectedFirstToken)}});
 }
 
 prometheus::Gauge &gauge(prometheus::Registry &Registry, const char *Name, const char *Help) {
@@ -153,7 +153,8 @@
   if (Views)
     Views->drain([this, Now](membership_event &&Event) { Seam.take(Event, Now); });
   if (Share)
-    Share->others().drain([this, Now](others_work &&Others) { Seam.takeOthers(Others, Now); });
+    Share->peerUpdates().drain(
+        [this, Now](peer_work_update &&Others) { Seam.takeOthers(Others, Now); });
   Superseded = Seam.isSuperseded();
   if (Control)
     Control->drainEvents(
@@ -216,10 +217,10 @@
 
 void decision_thread::takeEntries(const entries_listed &Listed) {
   if (Share) {
-    entries_known Known;
+    entries_update Known;
     for (const served_entry &Entry : Listed.Entries)
       Known.Entries.push_back({Entry.WorkAddress, Entry.Domain});
-    Share->orders().push(std::move(Known));
+    Share->commands().push(std::move(Known));
   }
   if (!Plan.RetryReserve)
     return;
@@ -230,9 +231,9 @@
   Seam.setRetryAllowance({*Plan.RetryReserve * Used / Entries, Plan.RetryWindow});
 }
 
-void decision_thread::tellOfCrash(crash_seen &&Crash) {
+void decision_thread::tellOfCrash(crash_report &&Crash) {
   std::string Marks;
-  for (const request_mark &Mark : Crash.Marks)
+  for (const request_fingerprint &Mark : Crash.Fingerprints)
     Marks += (Marks.empty() ? "" : ",") + toText(Mark);
   logEvent(log_level::Warning, "backend_crashed",
            {{"backend", toText(Crash.Backend)}, {"requests", Marks}});
@@ -242,7 +243,7 @@
 }
 
 void decision_thread::tellOfCrash(suspect_cleared &&Cleared) {
-  logEvent(log_level::Info, "suspect_cleared", {{"request", toText(Cleared.Mark)}});
+  logEvent(log_level::Info, "suspect_cleared", {{"request", toText(Cleared.Fingerprint)}});
   if (Control)
     Control->request(Cleared);
 }
@@ -259,7 +260,7 @@
     return;
   LoadsToldAt = Now;
   ToldLoads = Loads;
-  Share->orders().push(own_work{std::move(Loads), Claimed});
+  Share->commands().push(own_work_update{std::move(Loads), Claimed});
 }
 
 bool decision_thread::toldOtherwise(const std::vector<work_load> &Loads, mono_time Now) const {
@@ -318,7 +319,7 @@
                    const std::chrono::milliseconds Lifetime = Claim.Lifetime;
                    const request_number Request = Claim.Request;
                    if (!Control || !Control->request(claim_wanted{std::move(Claim), Lifetime}))
-                     Seam.take(dispatch_event(claim_answered{Request, claim_verdict::Unavailable}),
+                     Seam.take(dispatch_event(claim_answered{Request, claim_status::Unavailable}),
                                boot_clock::now());
                    Gate.wake(); // The answer may have made actions of its own.
                  },
--- a/programs/pollenstall-entry/decision_thread_base.h
+++ b/programs/pollenstall-entry/decision_thread_base.h
@@ -90,7 +90,7 @@
   void drainNews(mono_time Now);
   void takeControlEvent(control_link_event &&Event, mono_time Now);
   void takeDeclaration(const declaration_received &Received);
-  void tellOfCrash(crash_seen &&Crash);
+  void tellOfCrash(crash_report &&Crash);
   void tellOfCrash(suspect_cleared &&Cleared);
   void takeEntries(const entries_listed &Listed);
   void tellLoads(mono_time Now);
--- a/src/claim/claim_base.h
+++ b/src/claim/claim_base.h
@@ -26,11 +26,11 @@
   explicit claim_table(std::size_t MaxClaims) : Limit(MaxClaims) {}
 
   /// @return The verdict that execute() would give. The same send asking again gets the same one.
-  [[nodiscard]] result<claim_verdict, claim_error> check(const claim_acquire &Command) const;
+  [[nodiscard]] result<claim_status, claim_error> check(const claim_acquire &Command) const;
   [[nodiscard]] result<done, claim_error> check(const claim_settle &Command) const;
   [[nodiscard]] result<done, claim_error> check(const claim_expire &Command) const;
 
-  result<claim_verdict, claim_error> execute(const claim_acquire &Command);
+  result<claim_status, claim_error> execute(const claim_acquire &Command);
   result<done, claim_error> execute(const claim_settle &Command);
   result<done, claim_error> execute(const claim_expire &Command);
 
--- a/src/claim/claim_cmd.cpp
+++ b/src/claim/claim_cmd.cpp
@@ -8,29 +8,29 @@
 /// Claims forgotten by one command; more at once would hold up the log's other commands.
 constexpr std::size_t MostExpiredAtOnce = 10'000;
 
-claim_verdict verdictFor(const claim_record &Record, const claim_holder &Asking) {
-  if (Record.Standing == claim_standing::Complete)
-    return claim_verdict::Complete;
+claim_status verdictFor(const claim_record &Record, const claim_holder &Asking) {
+  if (Record.Standing == claim_state::Complete)
+    return claim_status::Complete;
   const bool Same = Record.Holder == Asking;
-  if (Same && Record.Standing == claim_standing::Running)
-    return claim_verdict::Granted;
+  if (Same && Record.Standing == claim_state::Running)
+    return claim_status::Granted;
   // Another send's work, or this one's with an unknown end: it may have run, so it never runs
   // again.
-  return claim_verdict::Running;
+  return claim_status::Running;
 }
 
-bool mayBecome(claim_standing From, claim_standing Next) {
-  if (From == claim_standing::Running)
+bool mayBecome(claim_state From, claim_state Next) {
+  if (From == claim_state::Running)
     return true;
   // The whole answer may arrive after the caller was told "unknown"; then the standing gets better.
-  return From == claim_standing::Unknown && Next == claim_standing::Complete;
+  return From == claim_state::Unknown && Next == claim_state::Complete;
 }
 
 } // namespace
 
-result<claim_verdict, claim_error> claim_table::check(const claim_acquire &Command) const {
+result<claim_status, claim_error> claim_table::check(const claim_acquire &Command) const {
   const claim_record *Found = lookUp(Command.Key);
-  if (Found != nullptr && Found->Standing != claim_standing::Released)
+  if (Found != nullptr && Found->Standing != claim_state::Released)
     return verdictFor(*Found, Command.Holder);
   // A copy of the acquire that was overtaken by its own release would hold the key for nobody.
   if (Found != nullptr && Found->Holder == Command.Holder)
@@ -39,15 +39,15 @@
     return claim_error::AlreadyExpired;
   if (Found == nullptr && !hasRoom())
     return claim_error::TableFull;
-  return claim_verdict::Granted;
+  return claim_status::Granted;
 }
 
 result<done, claim_error> claim_table::check(const claim_settle &Command) const {
-  if (Command.Standing == claim_standing::Running)
+  if (Command.Standing == claim_state::Running)
     return claim_error::InvalidStanding;
   const claim_record *Found = lookUp(Command.Key);
   if (Found == nullptr) {
-    if (Command.Standing != claim_standing::Released)
+    if (Command.Standing != claim_state::Released)
       return claim_error::NotHolder;
     if (Command.ExpiresAt <= ExpiredUntil)
       return claim_error::AlreadyExpired;
@@ -66,16 +66,16 @@
   return done{};
 }
 
-result<claim_verdict, claim_error> claim_table::execute(const claim_acquire &Command) {
+result<claim_status, claim_error> claim_table::execute(const claim_acquire &Command) {
   auto Checked = check(Command);
   const claim_record *Found = lookUp(Command.Key);
-  const bool Held = Found != nullptr && Found->Standing != claim_standing::Released;
+  const bool Held = Found != nullptr && Found->Standing != claim_state::Released;
   if (!succeeded(Checked) || Held)
     return Checked;
-  requireInvariant(valueOf(Checked) == claim_verdict::Granted, "only a free key is newly granted");
+  requireInvariant(valueOf(Checked) == claim_status::Granted, "only a free key is newly granted");
   erase(Command.Key);
   evictOneReleased();
-  insert({Command.Key, Command.Holder, claim_standing::Running, Command.ExpiresAt});
+  insert({Command.Key, Command.Holder, claim_state::Running, Command.ExpiresAt});
   requireConsistent();
   return Checked;
 }
--- a/src/claim/claim_type.h
+++ b/src/claim/claim_type.h
@@ -47,7 +47,7 @@
 struct claim_settle {
   claim_key_hash Key;
   claim_holder Holder;
-  claim_standing Standing{claim_standing::Unknown}; ///< Never Running.
+  claim_state Standing{claim_state::Unknown}; ///< Never Running.
   unix_millis ExpiresAt{0}; ///< Used only where Released overtook its own acquire.
 
   bool operator==(const claim_settle &) const = default;
@@ -80,7 +80,7 @@
 struct claim_record {
   claim_key_hash Key;
   claim_holder Holder;
-  claim_standing Standing{claim_standing::Running};
+  claim_state Standing{claim_state::Running};
   unix_millis ExpiresAt{0};
 
   bool operator==(const claim_record &) const = default;
@@ -96,7 +96,7 @@
 
 /// What the entry is told where the table refuses or the log gives no answer in time.
 /// Nothing was claimed for this send, so nothing may run.
-constexpr claim_verdict VerdictOnRefusal = claim_verdict::Unavailable;
+constexpr claim_status VerdictOnRefusal = claim_status::Unavailable;
 
 } // namespace pollenstall
 
--- a/src/control_link/control_link.cpp
+++ b/src/control_link/control_link.cpp
@@ -287,12 +287,12 @@
     if (Open)
       renew(boot_clock::now());
   }
-  void take(const crash_seen &Request) {
+  void take(const crash_report &Request) {
     const mono_time Now = boot_clock::now();
     std::erase_if(Crashes, [Now](const auto &Item) { return Now - Item.first > CrashKept; });
-    for (std::size_t At = 0; At < Request.Marks.size(); At += MaxCrashMarks) {
-      const auto First = Request.Marks.begin() + static_cast<std::ptrdiff_t>(At);
-      const auto Count = std::min(MaxCrashMarks, Request.Marks.size() - At);
+    for (std::size_t At = 0; At < Request.Fingerprints.size(); At += MaxCrashMarks) {
+      const auto First = Request.Fingerprints.begin() + static_cast<std::ptrdiff_t>(At);
+      const auto Count = std::min(MaxCrashMarks, Request.Fingerprints.size() - At);
       link_crash Crash{Request.Backend.Incarnation,
                        {First, First + static_cast<std::ptrdiff_t>(Count)}};
       send(Crash);
@@ -301,7 +301,7 @@
     while (Crashes.size() > MaxCrashes)
       Crashes.pop_front();
   }
-  void take(const suspect_cleared &Request) { send(link_clear_suspect{Request.Mark}); }
+  void take(const suspect_cleared &Request) { send(link_clear_suspect{Request.Fingerprint}); }
   void take(const claim_wanted &Request) { send(Ledger.acquire(Request, wallClock())); }
   void take(const claim_ended &Request) { send(Ledger.settle(Request, wallClock())); }
 
--- a/src/control_link/control_link_codec_func.h
+++ b/src/control_link/control_link_codec_func.h
@@ -68,11 +68,11 @@
   Into(Listing.Key, Listing.Instance, Listing.Service, Listing.Domain, Listing.Places,
        Listing.State, Listing.Started);
 }
-template <typename Archive> void serialize(Archive &Into, request_mark &Mark) {
-  Into(Mark.Account, Mark.Shape, Mark.High, Mark.Low);
+template <typename Archive> void serialize(Archive &Into, request_fingerprint &Mark) {
+  Into(Mark.Account, Mark.HeadHash, Mark.High, Mark.Low);
 }
-template <typename Archive> void serialize(Archive &Into, told_suspect &Told) {
-  Into(Told.Mark, Told.BlockedFor);
+template <typename Archive> void serialize(Archive &Into, published_suspect &Told) {
+  Into(Told.Fingerprint, Told.BlockedFor);
 }
 template <typename Archive> void serialize(Archive &Into, link_crash &Message) {
   Into(Message.Incarnation, Message.Marks);
@@ -119,11 +119,11 @@
 }
 
 /// @return Whether a number that arrived is one of the standings.
-inline bool isStanding(claim_standing Standing) { return Standing <= claim_standing::Released; }
+inline bool isStanding(claim_state Standing) { return Standing <= claim_state::Released; }
 /// @return Whether a number that arrived is one of the states.
 inline bool isState(listing_state State) { return State <= listing_state::Gone; }
 /// @return Whether a number that arrived is one of the verdicts.
-inline bool isVerdict(claim_verdict Verdict) { return Verdict <= claim_verdict::Unavailable; }
+inline bool isVerdict(claim_status Verdict) { return Verdict <= claim_status::Unavailable; }
 
 } // namespace pollenstall
 
--- a/src/control_link/control_link_message_type.h
+++ b/src/control_link/control_link_message_type.h
@@ -57,12 +57,12 @@
 /// connection: the log counts a life once.
 struct link_crash {
   incarnation Incarnation; ///< Of the backend server.
-  std::vector<request_mark> Marks;
+  std::vector<request_fingerprint> Marks;
 };
 
 /// A run of a suspected request ended well.
 struct link_clear_suspect {
-  request_mark Mark;
+  request_fingerprint Mark;
 };
 
 using link_request = std::variant<link_subscribe, link_renew, link_claim_acquire, link_claim_settle,
@@ -97,7 +97,7 @@
 
 struct link_claim_answer {
   std::uint64_t Call{0};
-  claim_verdict Verdict{claim_verdict::Unavailable};
+  claim_status Verdict{claim_status::Unavailable};
 };
 
 /// The end of the claim is recorded, or is known to be refused for good.
@@ -130,7 +130,7 @@
 
 /// All suspected requests; at the start of a connection and after each change.
 struct link_suspects {
-  std::vector<told_suspect> Suspects;
+  std::vector<published_suspect> Suspects;
 };
 
 using link_reply = std::variant<link_declaration, link_lease, link_not_leader, link_claim_answer,
--- a/src/control_link/control_link_type.h
+++ b/src/control_link/control_link_type.h
@@ -38,7 +38,7 @@
 };
 
 using control_link_request =
-    std::variant<revision_confirmed, claim_wanted, claim_ended, crash_seen, suspect_cleared>;
+    std::variant<revision_confirmed, claim_wanted, claim_ended, crash_report, suspect_cleared>;
 
 // ---- Events: from the link to the entry's decision thread. ----
 
@@ -87,7 +87,7 @@
 
 /// All requests to be refused or watched; replaces the last such list.
 struct suspects_listed {
-  std::vector<told_suspect> Suspects;
+  std::vector<published_suspect> Suspects;
 };
 
 /// Why a connection to a control host ended.
--- a/src/control_link/link_ledger.cpp
+++ b/src/control_link/link_ledger.cpp
@@ -16,7 +16,7 @@
 link_claim_settle link_ledger::settle(const claim_ended &Ended, unix_millis Now) {
   const claim_settle Claim{claimKeyHash(Ended.Claim.Key),
                            {Owner, Ended.Claim.Request},
-                           Ended.Claim.Standing,
+                           Ended.Claim.FinalState,
                            Now + Ended.Lifetime};
   link_claim_settle Message{NextCall++, Claim};
   Ends.emplace(Message.Call, Message);
@@ -40,9 +40,9 @@
       continue;
     }
     const claim_acquire &Given = Claim->second.Message.Claim;
-    Events.push_back({Claim->second.Request, claim_verdict::Unavailable});
+    Events.push_back({Claim->second.Request, claim_status::Unavailable});
     Releases.push_back(
-        {NextCall++, {Given.Key, Given.Holder, claim_standing::Released, Given.ExpiresAt}});
+        {NextCall++, {Given.Key, Given.Holder, claim_state::Released, Given.ExpiresAt}});
     Ends.emplace(Releases.back().Call, Releases.back());
     Claim = Claims.erase(Claim);
   }
--- a/src/control_state/control_state_cmd.cpp
+++ b/src/control_state/control_state_cmd.cpp
@@ -156,7 +156,7 @@
 
 control_answer control_state::executeCommand(const note_crash &Command) {
   LatestTime = std::max(LatestTime, Command.Time);
-  Suspects.noteCrash(Command.Marks, Command.Incarnation, LatestTime);
+  Suspects.recordCrash(Command.Marks, Command.Incarnation, LatestTime);
   return suspects_kept{};
 }
 
--- a/src/control_state/control_state_type.h
+++ b/src/control_state/control_state_type.h
@@ -55,7 +55,7 @@
 
 /// Requests that an entry had on a backend server when it crashed.
 struct note_crash {
-  std::vector<request_mark> Marks;
+  std::vector<request_fingerprint> Marks;
   incarnation Incarnation; ///< Of the backend server.
   unix_millis Time{0};     ///< The proposing leader's wall clock.
 };
@@ -142,7 +142,7 @@
   bool operator==(const suspects_kept &) const = default;
 };
 
-using claim_acquire_answer = result<claim_verdict, claim_error>;
+using claim_acquire_answer = result<claim_status, claim_error>;
 using claim_done_answer = result<done, claim_error>; ///< Of a settle or an expiry.
 
 using control_answer =
--- a/src/dispatch/attempt.cpp
+++ b/src/dispatch/attempt.cpp
@@ -1,7 +1,7 @@
 /** @file attempt.cpp The attempt's states and transitions in Boost.MSM. */
 #include "dispatch/attempt_base.h"
 
-// MSM's front end takes up to 20 rows by default; the table below has more.
+// Boost.MPL limits vectors to 20 elements by default; the transition table has more rows.
 #define BOOST_MPL_CFG_NO_PREPROCESSED_HEADERS
 #define BOOST_MPL_LIMIT_VECTOR_SIZE 40
 #define BOOST_MPL_LIMIT_MAP_SIZE 40
@@ -26,15 +26,15 @@
 struct confirm {};
 struct backend_gone {};
 
-/// The machine's definition; each state tells its name on entry.
+/// The state machine's definition; each state stores its enum value on entry.
 struct attempt_def : front::state_machine_def<attempt_def> {
-  attempt_state Current{attempt_state::Waiting};
+  attempt_state CurrentState{attempt_state::Waiting};
   bool Refused{false};
 
   template <attempt_state Name> struct named_state : front::state<> {
     template <typename Event, typename Machine>
     void on_entry(const Event & /*Event*/, Machine &Owner) {
-      Owner.Current = Name;
+      Owner.CurrentState = Name;
     }
   };
 
@@ -120,6 +120,6 @@
   return !Machine->Refused;
 }
 
-attempt_state attempt_lifecycle::state() const { return Machine->Current; }
+attempt_state attempt_lifecycle::state() const { return Machine->CurrentState; }
 
 } // namespace pollenstall
--- a/src/dispatch/attempt_base.h
+++ b/src/dispatch/attempt_base.h
@@ -1,4 +1,4 @@
-/** @file attempt_base.h The life of one attempt as a state machine. */
+/** @file attempt_base.h The lifecycle of one attempt as a state machine. */
 #ifndef POLLENSTALL_DISPATCH_ATTEMPT_BASE_H
 #define POLLENSTALL_DISPATCH_ATTEMPT_BASE_H
 
@@ -8,7 +8,8 @@
 
 namespace pollenstall {
 
-/// One attempt's state; refuses steps that do not fit, so that late and crossed events do nothing.
+/// The state of one attempt. Steps that the state does not allow are refused, so that late and
+/// misrouted events have no effect.
 class attempt_lifecycle {
 public:
   attempt_lifecycle();
@@ -18,15 +19,14 @@
   attempt_lifecycle(const attempt_lifecycle &) = delete;
   attempt_lifecycle &operator=(const attempt_lifecycle &) = delete;
 
-  /// @return Whether the step fits the state; otherwise the state stays as it was.
+  /// Applies the step. @return Whether the state allows it; otherwise the state is unchanged.
   bool apply(attempt_step Step);
 
-  /// @return Where the attempt stands.
   [[nodiscard]] attempt_state state() const;
 
 private:
   struct machine;
-  std::unique_ptr<machine> Machine; ///< Boost.MSM stays inside attempt.cpp.
+  std::unique_ptr<machine> Machine; ///< Keeps Boost.MSM out of this header.
 };
 
 } // namespace pollenstall
--- a/src/dispatch/attempt_type.h
+++ b/src/dispatch/attempt_type.h
@@ -1,4 +1,4 @@
-/** @file attempt_type.h States of an attempt and the steps between them. */
+/** @file attempt_type.h States of an attempt and the transitions between them. */
 #ifndef POLLENSTALL_DISPATCH_ATTEMPT_TYPE_H
 #define POLLENSTALL_DISPATCH_ATTEMPT_TYPE_H
 
@@ -6,34 +6,34 @@
 
 namespace pollenstall {
 
-/// Where one attempt stands, as far as this entry knows.
+/// The state of one attempt, as known to this entry.
 enum class attempt_state : std::uint8_t {
   Waiting,    ///< Not started.
-  Connecting, ///< Start was ordered; no byte of the request is known to be out.
-  Sent,       ///< The first byte of the request may have left.
+  Connecting, ///< The start was requested; no byte is known to have been sent.
+  Sent,       ///< The first byte of the request may have been sent.
   Answering,  ///< Part of the answer was relayed.
-  Resuming,   ///< Broke midway; the same server is asked to go on.
-  Completed,  ///< The whole answer was relayed. Final.
-  Failed,     ///< Ended, and the backend server holds nothing of it. Final.
-  Cancelling, ///< Given up here; the backend server may still run it.
-  Gone,       ///< Its end is confirmed, or its backend server's life is over. Final.
+  Resuming,   ///< The answer broke off, and the same server is asked to continue it.
+  Completed,  ///< The complete answer was relayed. Final.
+  Failed,     ///< The attempt failed, and the backend server holds no resources of it. Final.
+  Cancelling, ///< Abandoned by this entry; the backend server may still run it.
+  Gone,       ///< The cancel was confirmed, or the server's incarnation ended. Final.
 };
 
-/// What moves an attempt from state to state.
+/// Events of the attempt's state machine.
 enum class attempt_step : std::uint8_t {
   Start,
   Sending,
   Answering,
   Advance,
   Complete,
-  Fail, ///< Ended with nothing left at the backend server.
+  Fail, ///< The attempt failed, and the backend server holds no resources of it.
   Resume,
   Cancel,
   Confirm, ///< The backend server confirmed the cancel.
   BackendGone,
 };
 
-/// @return Whether the attempt holds nothing at its backend server any more.
+/// @return Whether the attempt no longer holds resources at its backend server.
 constexpr bool isFinal(attempt_state State) {
   return State == attempt_state::Completed || State == attempt_state::Failed ||
          State == attempt_state::Gone;
--- a/src/dispatch/dispatch_dump_type.h
+++ b/src/dispatch/dispatch_dump_type.h
@@ -12,14 +12,14 @@
 
 namespace pollenstall {
 
-/// What a request waits for.
+/// What a request is waiting for.
 enum class request_phase : std::uint8_t {
-  Claiming, ///< For the claim on its key.
-  Queued,   ///< For the scheduler to place it.
-  Running,  ///< For its attempt's answer.
+  Claiming, ///< The claim on its key.
+  Queued,   ///< A placement by the scheduler.
+  Running,  ///< The answer of its attempt.
 };
 
-/// Counts since the start of the process.
+/// Counters since the start of the process.
 struct dispatch_counters {
   std::uint64_t Arrived{0};
   std::uint64_t Complete{0};
@@ -30,11 +30,11 @@
   std::uint64_t RetriesOverBudget{0}; ///< Retries that the budget refused.
   std::uint64_t Resumes{0};
   std::uint64_t Abandoned{0};     ///< Attempts given up while the backend server might run them.
-  std::uint64_t CancelsSent{0};   ///< Repeats included.
-  std::uint64_t IgnoredEvents{0}; ///< Late, doubled or crossed.
+  std::uint64_t CancelsSent{0};   ///< Includes repeated cancels.
+  std::uint64_t IgnoredEvents{0}; ///< Late, duplicate or misrouted events.
 };
 
-/// One live request.
+/// One request that has no final answer yet.
 struct request_dump {
   request_number Request;
   client_account_name Account;
@@ -44,12 +44,12 @@
   request_phase Phase{request_phase::Queued};
   std::uint32_t Attempts{0};
   bool MayHaveRun{false};
-  std::optional<backend_key> Backend; ///< Of the running attempt.
-  std::optional<attempt_state> State; ///< Of the running attempt.
+  std::optional<backend_key> Backend; ///< Backend server of the running attempt.
+  std::optional<attempt_state> State; ///< State of the running attempt.
   std::chrono::milliseconds Remaining{0};
 };
 
-/// One attempt whose memory still counts as taken although nobody waits for it.
+/// One abandoned attempt whose memory still counts as used.
 struct abandoned_dump {
   attempt_id Attempt;
   backend_key Backend;
@@ -57,7 +57,7 @@
   std::chrono::milliseconds Age{0};
 };
 
-/// The whole.
+/// The complete state of a dispatcher.
 struct dispatch_dump {
   bool Ready{false};
   bool ShuttingDown{false};
--- a/src/dispatch/dispatch_type.h
+++ b/src/dispatch/dispatch_type.h
@@ -1,4 +1,4 @@
-/** @file dispatch_type.h Events into and actions out of the life of a request at one entry. */
+/** @file dispatch_type.h Events that the dispatcher handles and actions that it requests. */
 #ifndef POLLENSTALL_DISPATCH_DISPATCH_TYPE_H
 #define POLLENSTALL_DISPATCH_DISPATCH_TYPE_H
 
@@ -14,96 +14,97 @@
 
 namespace pollenstall {
 
-/// What is known of a request when its body has been read and its account checked.
+/// Properties of a request that are known once its body is read and its account is checked.
 struct request_facts {
   request_number Id;
   client_account_name Account;
   service_name Service;
   model_name Model;                                         ///< Empty for a plain service.
-  std::vector<std::pair<std::string, std::string>> Headers; ///< Those that selectors mention.
-  tokens Prompt;                                            ///< Estimated.
-  tokens AnswerLimit;                                       ///< What max_tokens allows.
-  bool Idempotent{true};                                    ///< False: at most one run.
-  std::string IdempotencyKey;                               ///< Empty where the caller gave none.
+  std::vector<std::pair<std::string, std::string>> Headers; ///< Headers that selectors refer to.
+  tokens Prompt;                                            ///< Estimated length of the prompt.
+  tokens AnswerLimit;                                       ///< The request's max_tokens.
+  bool Idempotent{true};                                    ///< False: the work runs at most once.
+  std::string IdempotencyKey;                               ///< Empty if the caller sent none.
   std::vector<std::uint64_t> PrefixHashes; ///< One for each leading chunk of the prompt.
   mono_time Arrived;
-  mono_time Deadline; ///< The final answer is given by then.
+  mono_time Deadline; ///< The caller gets its final answer by this time.
 
-  // Of calls whose route is declared with its own rules; the defaults stand for none.
+  // Set if the call's route declares rules of its own; the defaults mean that it declares none.
   std::vector<std::pair<service_name, std::uint32_t>> Services; ///< With their weights.
-  bool Resumable{false};               ///< A broken stream goes on behind its last event elsewhere.
-  std::uint32_t MaxAttempts{0};        ///< 0: as the declaration's limits say.
-  std::uint32_t Urgency{0};            ///< Declared priority; 0 is the most urgent.
-  std::chrono::milliseconds Target{0}; ///< To the first event; 0 where none is declared.
-  std::chrono::milliseconds LongestGap{0}; ///< Between events; 0 where none is declared.
-  tokens AnswerHint;                       ///< The caller's estimate; 0 where it gave none.
-  bool Continues{false}; ///< The caller has a part of the answer, from a send that broke off.
+  bool Resumable{false};                   ///< Another server may continue a broken stream.
+  std::uint32_t MaxAttempts{0};            ///< 0: the declaration's limits apply.
+  std::uint32_t Urgency{0};                ///< Declared priority; 0 is the most urgent.
+  std::chrono::milliseconds Target{0};     ///< Time to the first event; 0 if none is declared.
+  std::chrono::milliseconds LongestGap{0}; ///< Between two events; 0 if none is declared.
+  tokens AnswerHint;                       ///< The caller's estimate; 0 if it sent none.
+  bool Continues{false}; ///< The caller has part of the answer from an earlier, broken request.
 };
 
-/// The final outcome of a request, as the caller is told.
+/// The final outcome of a request, as it is reported to the caller.
 enum class final_outcome : std::uint8_t {
   Complete, ///< The whole answer was relayed.
-  NotRun,   ///< Proved: no backend server started it.
-  Unknown,  ///< It may have run, in part or whole.
+  NotRun,   ///< It is proved that no backend server started the work.
+  Unknown,  ///< The work may have run, completely or in part.
 };
 
 /// Why a request did not complete.
 enum class failure_reason : std::uint8_t {
   None,
-  QueueFull,          ///< A bound on waiting requests is reached.
-  AccountLimit,       ///< The account's own bound is reached.
-  DeadlineUnmeetable, ///< Refused early: it could not finish in time.
-  DeadlineExceeded,   ///< Time ran out.
-  NoBackend,          ///< No server of the selected groups can take it.
-  TooLargeForFleet,   ///< No engine has the memory.
-  NotReady,           ///< No declaration in force here, or the lease ran out.
-  ClaimUnavailable,   ///< The claim on its key could not be made durable.
-  AlreadyRunning,     ///< Another entry holds the claim; standing unknown.
-  AlreadyComplete,    ///< An earlier send with this key finished.
-  BackendFailed,      ///< The backend server broke off or gave an error.
-  RetriesExhausted,   ///< Attempts or the retry budget are used up.
-  CallerLeft,         ///< The caller hung up.
+  QueueFull,          ///< The limit on queued requests is reached.
+  AccountLimit,       ///< The client account's limit is reached.
+  DeadlineUnmeetable, ///< Refused early because the request could not finish in time.
+  DeadlineExceeded,   ///< The deadline passed.
+  NoBackend,          ///< No backend server of the selected groups can run the request.
+  TooLargeForFleet,   ///< No engine has enough memory.
+  NotReady,           ///< This entry has no declaration in force, or its lease expired.
+  ClaimUnavailable,   ///< The claim on the key could not be made durable.
+  AlreadyRunning,     ///< Another request holds the claim, and its outcome is unknown.
+  AlreadyComplete,    ///< An earlier request with this key completed.
+  BackendFailed,      ///< The backend server broke the connection or returned an error.
+  RetriesExhausted,   ///< The attempts or the retry budget are used up.
+  CallerLeft,         ///< The caller closed its connection.
   ShuttingDown,       ///< This entry is stopping.
 };
 
-/// How an attempt ended short of a whole answer.
+/// Why an attempt ended without a complete answer.
 enum class attempt_failure : std::uint8_t {
-  NotConnected, ///< No connection, so no byte was sent: proved not run.
-  Declined,     ///< The backend server said that it did not start: proved not run.
+  NotConnected, ///< The connection failed and no byte was sent, which proves that nothing ran.
+  Declined,     ///< The backend server stated that it did not start the work.
   BrokenUnsent, ///< The connection broke before any byte of the request was written.
-  BrokenSent,   ///< Broke after the first byte of the request was written, before an answer.
-  BrokenMidway, ///< Broke after part of the answer had been relayed to the caller.
-  ErrorAnswer,  ///< A whole answer with a 5xx status; the work may have been done.
-  BadAnswer,    ///< Not valid HTTP, or an answer for another attempt.
-  TimedOut,     ///< No answer within the attempt's time.
-  NotWanted,    ///< Not sent: its caller had left, or its time was over. No fault of the server's.
+  BrokenSent,   ///< The connection broke after the first request byte, before an answer.
+  BrokenMidway, ///< The connection broke after part of the answer was relayed to the caller.
+  ErrorAnswer,  ///< A complete answer with a 5xx status; the work may have been done.
+  BadAnswer,    ///< The answer is not valid HTTP or belongs to another attempt.
+  TimedOut,     ///< No answer arrived within the attempt's timeout.
+  NotWanted,    ///< Not sent because the caller had left or the deadline had passed; the backend
+                ///< server is not at fault.
 };
 
-/// @return Whether no byte of the request was written.
-constexpr bool leftUnsent(attempt_failure Failure) {
+/// @return Whether the failure implies that no byte of the request was written.
+constexpr bool wasNeverSent(attempt_failure Failure) {
   return Failure == attempt_failure::NotConnected || Failure == attempt_failure::BrokenUnsent ||
          Failure == attempt_failure::NotWanted;
 }
 
-/// @return Whether this end proves that the backend server did not start.
+/// @return Whether the failure proves that the backend server did not start the work.
 constexpr bool provesNotRun(attempt_failure Failure) {
-  return leftUnsent(Failure) || Failure == attempt_failure::Declined;
+  return wasNeverSent(Failure) || Failure == attempt_failure::Declined;
 }
 
-/// What the holders of claims say of a key.
-enum class claim_verdict : std::uint8_t {
-  Granted,     ///< Durable on a quorum: this request may run.
-  Running,     ///< Claimed by another send, whose end is not known.
-  Complete,    ///< An earlier send completed.
-  Unavailable, ///< No quorum answered in time; nothing may run.
+/// The result of a request for a claim on an idempotency key.
+enum class claim_status : std::uint8_t {
+  Granted,     ///< The claim is durable on a quorum; the request may run.
+  Running,     ///< Another request holds the claim, and its outcome is not known.
+  Complete,    ///< An earlier request with the key completed.
+  Unavailable, ///< No quorum answered in time; the request must not run.
 };
 
-/// What a claim is turned into at the end.
-enum class claim_standing : std::uint8_t {
+/// The state of a claim; a claim is settled in one of the last three.
+enum class claim_state : std::uint8_t {
   Running,  ///< Granted and not settled.
-  Complete, ///< Ran and its answer was whole.
-  Unknown,  ///< May have run.
-  Released, ///< Proved not run: the key is free again.
+  Complete, ///< The work ran and its answer was complete.
+  Unknown,  ///< The work may have run.
+  Released, ///< The work is proved not to have run; the key is free again.
 };
 
 // ---- events -------------------------------------------------------------------------------------
@@ -114,38 +115,38 @@
 struct caller_left {
   request_number Request;
 };
-/// The first byte of the attempt is about to be handed to the kernel.
+/// The relay is about to pass the attempt's first byte to the kernel.
 struct attempt_sending {
   attempt_id Attempt;
 };
-/// The first token, or the head of a plain answer, was relayed.
+/// The first token, or the header of a plain answer, was relayed to the caller.
 struct attempt_answering {
   attempt_id Attempt;
 };
-/// Further tokens were relayed.
+/// Further tokens were relayed to the caller.
 struct attempt_advanced {
   attempt_id Attempt;
-  std::uint64_t Events{0}; ///< Token events relayed since the last such report.
+  std::uint64_t Events{0}; ///< Token events relayed since the previous attempt_advanced.
 };
 struct attempt_completed {
   attempt_id Attempt;
-  std::optional<tokens> PromptTokens; ///< As the engine counted, where it said so.
+  std::optional<tokens> PromptTokens; ///< Token counts as reported by the engine, if it did.
   std::optional<tokens> AnswerTokens;
-  std::optional<tokens> CachedTokens; ///< Of the prompt, found in the prefix cache.
+  std::optional<tokens> CachedTokens; ///< Prompt tokens found in the prefix cache.
 };
 struct attempt_failed {
   attempt_id Attempt;
   attempt_failure Failure{attempt_failure::NotConnected};
-  backend_address AtFault{}; ///< Where the server named another one as the cause.
+  backend_address AtFault{}; ///< The cause, if the backend server named another one.
 };
-/// The backend server confirmed that the attempt holds nothing any more.
+/// The backend server confirmed that it holds no resources of the attempt.
 struct cancel_confirmed {
   attempt_id Attempt;
-  bool NeverSeen{false}; ///< It does not know the attempt; the start may still be under way to it.
+  bool NeverSeen{false}; ///< The attempt is unknown there; its request may still be in flight.
 };
 struct claim_answered {
   request_number Request;
-  claim_verdict Verdict{claim_verdict::Unavailable};
+  claim_status Status{claim_status::Unavailable};
 };
 
 using dispatch_event =
@@ -154,60 +155,62 @@
 
 // ---- actions ------------------------------------------------------------------------------------
 
-/// Make a claim on the key durable before anything is sent.
+/// Makes a claim on the key durable before the work is sent to a backend server.
 struct acquire_claim {
   request_number Request;
   std::string Key; ///< Account and idempotency key, joined so that accounts cannot collide.
   mono_time AnswerBy;
-  std::chrono::milliseconds Lifetime{0}; ///< From now; past the deadline and callers' resends.
+  std::chrono::milliseconds Lifetime{0}; ///< From now; covers the deadline and callers' resends.
 };
 /**
- * Record how the claimed work ended; sent until the control log has it or this entry is gone.
- * Released may overtake its own acquire_claim: the log then refuses the acquire when it arrives.
+ * Records how the claimed work ended. Repeated until the control log has stored it or this entry
+ * terminates. A Released may overtake its acquire_claim; the log then refuses the acquire_claim
+ * when that arrives.
  */
 struct settle_claim {
   request_number Request;
   std::string Key;
-  claim_standing Standing{claim_standing::Unknown};
+  claim_state FinalState{claim_state::Unknown};
   std::chrono::milliseconds Lifetime{0}; ///< As in the request's acquire_claim.
 };
-/// Memory to be set aside at a backend server before an attempt is sent, and given back behind it.
+/// Memory to reserve at a backend server before an attempt is sent and to release after it ends.
 struct memory_hold {
   backend_key Backend;
   tokens Amount;
 };
 /**
- * Start an attempt. The relay passes on answer bytes of the newest attempt only; where bytes of an
- * older one have reached the caller it starts nothing and reports NotWanted.
+ * Starts an attempt. The relay forwards answer bytes of the newest attempt only. If bytes of an
+ * older attempt have already reached the caller, it does not start this one and reports NotWanted.
  */
 struct start_attempt {
   attempt_id Attempt;
   backend_key Backend;
-  std::uint32_t Priority{0}; ///< Lower runs first.
-  mono_time AnswerBy;        ///< A first byte later is slow; the dispatcher watches this itself.
-  bool MayRetry{false};      ///< The body must be kept until the answer begins.
-  std::vector<backend_key> Helpers{}; ///< Read parts of the prompt.
-  std::vector<memory_hold> Holds{};   ///< At helpers, for what the first engine has no room for.
-  mono_duration Expected{};           ///< To the first event, for the log.
-  std::string Instance{};             ///< The server's name for its life, where it has one.
-};
-/// Reconnect to the same server and go on at the exact event that was relayed last.
+  std::uint32_t Priority{0};          ///< Lower values run first.
+  mono_time AnswerBy;                 ///< Deadline of the first byte; the dispatcher enforces it.
+  bool MayRetry{false};               ///< The relay keeps the body until the answer begins.
+  std::vector<backend_key> Helpers{}; ///< Engines that read parts of the prompt.
+  std::vector<memory_hold> Holds{};   ///< Memory at helpers that the first engine lacks.
+  mono_duration ExpectedFirstToken{}; ///< Expected time to the first event, for the log.
+  std::string Instance{};             ///< The server's name for its incarnation, if it has one.
+};
+/// Reconnects to the same backend server and continues after the event that was relayed last.
 struct resume_attempt {
   attempt_id Attempt;
   backend_key Backend;
 };
 /**
- * Close the attempt's connection and ask the server to end it; repeated until cancel_confirmed.
- * For a server that holds no memory (a plain service) the relay confirms once it is closed.
+ * Closes the attempt's connection and asks the backend server to cancel the attempt. Repeated until
+ * cancel_confirmed. For a server that holds no memory (a plain service) the relay itself confirms
+ * when the connection is closed.
  */
 struct cancel_attempt {
   attempt_id Attempt;
   backend_key Backend;
 };
 /**
- * Tell the caller the end. For Complete with reason None the relay has already sent the answer;
- * for Complete with AlreadyComplete it sends none of it, only the standing: the work behind the key
- * was done by an earlier send, and this send ran nothing.
+ * Reports the final outcome to the caller. For Complete with reason None the relay has already sent
+ * the answer. For Complete with AlreadyComplete it sends the outcome without an answer: an earlier
+ * request with the key did the work, and this request ran nothing.
  */
 struct finish_request {
   request_number Request;
--- a/src/dispatch/dispatcher_attempt.cpp
+++ b/src/dispatch/dispatcher_attempt.cpp
@@ -1,4 +1,4 @@
-/** @file dispatcher_attempt.cpp Starts, failures, resumes and ends of attempts. */
+/** @file dispatcher_attempt.cpp Start, failure, resume and end of attempts. */
 #include "dispatch/dispatcher_base.h"
 #include "dispatch/outcome_func.h"
 
@@ -9,54 +9,55 @@
 
 namespace {
 
-/// A first byte later than this many times the expectation is slow.
-constexpr int SlowFactor = 4;
-/// Nothing is called slow earlier; expectations of short prompts are noisy.
-constexpr mono_duration LeastPatience = std::chrono::seconds(30);
-/// Where a target is declared nothing is called slow before this many times the target: its caller
-/// still waits (callers of short streams leave after 2 s). At twice the target, engines that were
-/// only full of the work of a fleet that had just restarted were left: 85 requests in a second.
-constexpr int TargetFactor = 4;
-constexpr std::uint32_t MostResumes = 3;
-constexpr mono_duration ResumePause = std::chrono::milliseconds(200);
+/// An attempt is slow if its first byte takes longer than this many times the expected time.
+constexpr int ExpectationTimeoutFactor = 4;
+/// Minimum timeout of the first byte, since expected times of short prompts are noisy.
+constexpr mono_duration MinFirstTokenTimeout = std::chrono::seconds(30);
+/// Minimum timeout as a multiple of the declared target, if there is one. The caller must still be
+/// waiting then: callers of short streams leave after 2 s. A factor of 2 moved requests away from
+/// engines that were merely busy after a restart of the fleet: 85 requests in one second.
+constexpr int TargetTimeoutFactor = 4;
+constexpr std::uint32_t MaxResumes = 3;
+constexpr mono_duration ResumeBackoff = std::chrono::milliseconds(200);
 
-/// @return After which time without an answer an attempt is slow.
-mono_duration patienceFor(const request_facts &Facts, mono_duration ExpectedFirstToken) {
-  const mono_duration Least =
-      Facts.Target.count() > 0 ? Facts.Target * TargetFactor : LeastPatience;
-  return std::max(Least, ExpectedFirstToken * SlowFactor);
+/// @return How long an attempt may take to its first byte.
+mono_duration firstTokenTimeout(const request_facts &Facts, mono_duration ExpectedFirstToken) {
+  const mono_duration MinTimeout =
+      Facts.Target.count() > 0 ? Facts.Target * TargetTimeoutFactor : MinFirstTokenTimeout;
+  return std::max(MinTimeout, ExpectedFirstToken * ExpectationTimeoutFactor);
 }
 
 } // namespace
 
-live_request *dispatcher::withCurrent(const attempt_id &Attempt) {
+live_request *dispatcher::findByCurrentAttempt(const attempt_id &Attempt) {
   if (Attempt.Owner != Self)
     return nullptr;
   live_request *Request = find(Attempt.Request);
-  const bool Matches = Request != nullptr && Request->Current && Request->Current->Id == Attempt;
+  const bool Matches =
+      Request != nullptr && Request->CurrentAttempt && Request->CurrentAttempt->Id == Attempt;
   return Matches ? Request : nullptr;
 }
 
-bool dispatcher::stepCurrent(const attempt_id &Attempt, attempt_step Step) {
-  live_request *Request = withCurrent(Attempt);
-  // While a resume waits, what arrives is left over from the connection that broke.
-  const bool Fits = Request != nullptr && !Request->Current->ResumeAt;
-  if (Fits && Request->Current->Lifecycle.apply(Step))
+bool dispatcher::applyToCurrentAttempt(const attempt_id &Attempt, attempt_step Step) {
+  live_request *Request = findByCurrentAttempt(Attempt);
+  // While a resume is scheduled, events are leftovers of the connection that broke.
+  const bool Accepted = Request != nullptr && !Request->CurrentAttempt->ResumeAt;
+  if (Accepted && Request->CurrentAttempt->Lifecycle.apply(Step))
     return true;
-  ignore();
+  countIgnoredEvent();
   return false;
 }
 
 void dispatcher::place(const work_placement &Placement, mono_time Now) {
   live_request *Request = find(Placement.Request);
   if (Request == nullptr || Request->Phase != request_phase::Queued) {
-    // The scheduler counts the placement as work in flight until it hears that none starts.
-    if (Seam.Withdraw)
-      Seam.Withdraw(Placement.Request);
-    return ignore();
+    // The scheduler counts the placement as in flight until it is withdrawn.
+    if (Callbacks.Withdraw)
+      Callbacks.Withdraw(Placement.Request);
+    return countIgnoredEvent();
   }
   if (Request->Facts.Deadline <= Now)
-    finishShort(*Request, failure_reason::DeadlineExceeded, std::nullopt, Now);
+    finishWithFailure(*Request, failure_reason::DeadlineExceeded, std::nullopt, Now);
   else
     startAttempt(*Request, Placement, Now);
   sendDueCancels(Now);
@@ -64,212 +65,216 @@
 
 void dispatcher::startAttempt(live_request &Request, const work_placement &Placement,
                               mono_time Now) {
-  requireInvariant(!Request.Current, "a request has one attempt at a time",
-                   [this] { return text(); });
+  requireInvariant(!Request.CurrentAttempt, "a request has one attempt at a time",
+                   [this] { return stateText(); });
   requireInvariant(Request.Facts.Idempotent || !Request.MayHaveRun,
                    "non-idempotent work that may have run is not started again",
-                   [this] { return text(); });
-  requireInvariant(!Request.standingUnknown(), "work with a key starts only under its claim",
-                   [this] { return text(); });
+                   [this] { return stateText(); });
+  requireInvariant(!Request.earlierSendMayHaveRun(), "work with a key starts only under its claim",
+                   [this] { return stateText(); });
   ++Request.Attempts;
   ++Counters.Attempts;
   if (Request.Attempts == 1)
-    Budget.earn(Now);
-  const bool MoreAllowed = Request.Attempts < mostAttempts(Request);
-  const mono_time Patience = Now + patienceFor(Request.Facts, Placement.ExpectedFirstToken);
-  // Where no other attempt may follow, giving a slow one up could only lose its answer.
-  const bool MayMove = MoreAllowed && Request.Facts.Idempotent;
+    Budget.deposit(Now);
+  const bool MoreAttemptsAllowed = Request.Attempts < maxAttempts(Request);
+  const mono_time SlowAt = Now + firstTokenTimeout(Request.Facts, Placement.ExpectedFirstToken);
+  // If no other attempt may follow, giving up a slow one could only lose its answer.
+  const bool MayRetryElsewhere = MoreAttemptsAllowed && Request.Facts.Idempotent;
   const mono_time AnswerBy =
-      MayMove ? std::min(Patience, Request.Facts.Deadline) : Request.Facts.Deadline;
+      MayRetryElsewhere ? std::min(SlowAt, Request.Facts.Deadline) : Request.Facts.Deadline;
   Request.Phase = request_phase::Running;
-  Request.Current.emplace(running_attempt{{Self, Request.Facts.Id, Request.Attempts},
-                                          Placement.Backend,
-                                          attempt_lifecycle{},
-                                          AnswerBy,
-                                          0,
-                                          std::nullopt,
-                                          false});
-  Request.Current->Lifecycle.apply(attempt_step::Start);
-  const attempt_id Id = Request.Current->Id;
+  Request.CurrentAttempt.emplace(running_attempt{{Self, Request.Facts.Id, Request.Attempts},
+                                                 Placement.Backend,
+                                                 attempt_lifecycle{},
+                                                 AnswerBy,
+                                                 0,
+                                                 std::nullopt,
+                                                 false});
+  Request.CurrentAttempt->Lifecycle.apply(attempt_step::Start);
+  const attempt_id Id = Request.CurrentAttempt->Id;
   Actions.emplace_back(start_attempt{Id,
                                      Placement.Backend,
                                      Placement.Priority,
                                      AnswerBy,
-                                     MoreAllowed,
+                                     MoreAttemptsAllowed,
                                      Placement.Helpers,
                                      Placement.Holds,
                                      Placement.ExpectedFirstToken,
                                      {}});
-  if (Seam.AttemptStarted)
-    Seam.AttemptStarted({Id, Placement.Backend, Request.Facts.Id}, Now);
-  setWake(Request);
+  if (Callbacks.AttemptStarted)
+    Callbacks.AttemptStarted({Id, Placement.Backend, Request.Facts.Id}, Now);
+  updateTimer(Request);
 }
 
 void dispatcher::on(const attempt_sending &Event, mono_time /*Now*/) {
-  if (abandoned_attempt *Late = Abandoned.find(Event.Attempt))
-    Late->noteSending();
-  stepCurrent(Event.Attempt, attempt_step::Sending);
+  if (abandoned_attempt *LateAttempt = Abandoned.find(Event.Attempt))
+    LateAttempt->markSent();
+  applyToCurrentAttempt(Event.Attempt, attempt_step::Sending);
 }
 
 void dispatcher::on(const attempt_answering &Event, mono_time Now) {
-  if (stepCurrent(Event.Attempt, attempt_step::Answering)) {
+  if (applyToCurrentAttempt(Event.Attempt, attempt_step::Answering)) {
     live_request &Request = *find(Event.Attempt.Request);
-    setWake(Request);
-    if (Seam.AttemptAnswering)
-      Seam.AttemptAnswering(Event.Attempt, Now);
+    updateTimer(Request);
+    if (Callbacks.AttemptAnswering)
+      Callbacks.AttemptAnswering(Event.Attempt, Now);
     return;
   }
-  abandoned_attempt *Late = Abandoned.find(Event.Attempt);
-  if (Late == nullptr)
+  abandoned_attempt *LateAttempt = Abandoned.find(Event.Attempt);
+  if (LateAttempt == nullptr)
     return;
-  Late->noteAnswering();
-  // The caller has part of an answer that was given up just before. Any other attempt's answer
-  // would be glued to it and pass as whole, so the request ends here.
+  LateAttempt->markAnswering();
+  // The caller has part of the answer of an attempt that was abandoned just before. Another
+  // attempt's answer would be appended to it and look complete, so the request ends here.
   if (live_request *Request = find(Event.Attempt.Request))
-    finishShort(*Request, failure_reason::BackendFailed, std::nullopt, Now);
+    finishWithFailure(*Request, failure_reason::BackendFailed, std::nullopt, Now);
 }
 
 void dispatcher::on(const attempt_advanced &Event, mono_time Now) {
-  if (!stepCurrent(Event.Attempt, attempt_step::Advance))
+  if (!applyToCurrentAttempt(Event.Attempt, attempt_step::Advance))
     return;
-  if (Seam.AttemptAdvanced)
-    Seam.AttemptAdvanced(Event.Attempt, Event.Events, Now);
+  if (Callbacks.AttemptAdvanced)
+    Callbacks.AttemptAdvanced(Event.Attempt, Event.Events, Now);
 }
 
 void dispatcher::on(const attempt_completed &Event, mono_time Now) {
-  if (abandoned_attempt *Late = Abandoned.find(Event.Attempt)) {
-    ignore();
-    Late->Lifecycle.apply(attempt_step::Complete);
-    if (Late->ClaimKey)
-      Actions.emplace_back(settle_claim{Event.Attempt.Request, *Late->ClaimKey,
-                                        claim_standing::Complete, Late->ClaimLifetime});
+  if (abandoned_attempt *LateAttempt = Abandoned.find(Event.Attempt)) {
+    countIgnoredEvent();
+    LateAttempt->Lifecycle.apply(attempt_step::Complete);
+    if (LateAttempt->ClaimKey)
+      Actions.emplace_back(settle_claim{Event.Attempt.Request, *LateAttempt->ClaimKey,
+                                        claim_state::Complete, LateAttempt->ClaimLifetime});
     return endAbandoned(Event.Attempt, attempt_end::Completed, Now);
   }
-  if (!stepCurrent(Event.Attempt, attempt_step::Complete))
+  if (!applyToCurrentAttempt(Event.Attempt, attempt_step::Complete))
     return;
   live_request &Request = *find(Event.Attempt.Request);
-  const backend_key Backend = Request.Current->Backend;
-  Request.Current.reset();
-  reportEnd({Event.Attempt, Backend, attempt_end::Completed, std::nullopt, Event.PromptTokens,
-             Event.AnswerTokens, Event.CachedTokens},
-            Now);
+  const backend_key Backend = Request.CurrentAttempt->Backend;
+  Request.CurrentAttempt.reset();
+  reportResult({Event.Attempt, Backend, attempt_end::Completed, std::nullopt, Event.PromptTokens,
+                Event.AnswerTokens, Event.CachedTokens},
+               Now);
   finishComplete(Request);
 }
 
 void dispatcher::on(const attempt_failed &Event, mono_time Now) {
-  if (live_request *Request = withCurrent(Event.Attempt))
+  if (live_request *Request = findByCurrentAttempt(Event.Attempt))
     return failAttempt(*Request, Event, Now);
-  ignore();
-  abandoned_attempt *Late = Abandoned.find(Event.Attempt);
-  if (Late == nullptr || mayHoldMemory(failureInState(Event.Failure, Late->GivenUpIn)))
+  countIgnoredEvent();
+  abandoned_attempt *LateAttempt = Abandoned.find(Event.Attempt);
+  if (LateAttempt == nullptr ||
+      mayHoldMemory(failureInState(Event.Failure, LateAttempt->ReachedState)))
     return;
-  Late->Lifecycle.apply(attempt_step::Fail);
-  Late->Failure = Event.Failure;
+  LateAttempt->Lifecycle.apply(attempt_step::Fail);
+  LateAttempt->Failure = Event.Failure;
   endAbandoned(Event.Attempt, attempt_end::Failed, Now);
 }
 
 void dispatcher::on(const cancel_confirmed &Event, mono_time Now) {
-  abandoned_attempt *Late = Abandoned.find(Event.Attempt);
-  if (Late == nullptr)
-    return ignore();
-  if (Event.NeverSeen && !Late->startIsOver(Now))
-    return; // The cancel is repeated; a later answer tells.
-  Late->Lifecycle.apply(attempt_step::Confirm);
+  abandoned_attempt *LateAttempt = Abandoned.find(Event.Attempt);
+  if (LateAttempt == nullptr)
+    return countIgnoredEvent();
+  if (Event.NeverSeen && !LateAttempt->canNoLongerStart(Now))
+    return; // The start may still arrive there. The cancel is repeated.
+  LateAttempt->Lifecycle.apply(attempt_step::Confirm);
   endAbandoned(Event.Attempt, attempt_end::Cancelled, Now);
 }
 
 void dispatcher::failAttempt(live_request &Request, const attempt_failed &Event, mono_time Now) {
-  if (Request.Current->ResumeAt)
-    return ignore(); // The connection is broken already; this tells of the same break.
-  const attempt_state State = Request.Current->Lifecycle.state();
+  if (Request.CurrentAttempt->ResumeAt)
+    return countIgnoredEvent(); // The connection's failure was already handled.
+  const attempt_state State = Request.CurrentAttempt->Lifecycle.state();
   const attempt_failure Failure = failureInState(Event.Failure, State);
   if (resumeAttempt(Request, Failure, Now))
     return;
   closeAttempt(Request, Failure, Now, Event.AtFault);
-  // Another engine goes on behind the last event that the caller has.
-  const bool GoesOn = Request.Facts.Resumable && mayResume(Failure);
-  Request.Answered = Request.Answered || hasAnswered(State);
-  if (hasAnswered(State) && !GoesOn)
-    return finishShort(Request, failure_reason::BackendFailed, std::nullopt, Now);
+  // Another engine can continue after the last event that the caller received.
+  const bool ContinuesElsewhere = Request.Facts.Resumable && mayResume(Failure);
+  Request.PartlyAnswered = Request.PartlyAnswered || hasAnswered(State);
+  if (hasAnswered(State) && !ContinuesElsewhere)
+    return finishWithFailure(Request, failure_reason::BackendFailed, std::nullopt, Now);
   retryOrFinish(Request, Now);
 }
 
 bool dispatcher::resumeAttempt(live_request &Request, attempt_failure Failure, mono_time Now) {
-  running_attempt &Current = *Request.Current;
-  const bool Able = Seam.Resumes && Seam.Resumes(Current.Backend) && !Current.BackendGone;
-  if (!mayResume(Failure) || !Able || Current.Resumes >= MostResumes)
+  running_attempt &CurrentAttempt = *Request.CurrentAttempt;
+  const bool CanResumeHere =
+      Callbacks.Resumes && Callbacks.Resumes(CurrentAttempt.Backend) && !CurrentAttempt.BackendGone;
+  if (!mayResume(Failure) || !CanResumeHere || CurrentAttempt.Resumes >= MaxResumes)
     return false;
-  if (!Current.Lifecycle.apply(attempt_step::Resume))
+  if (!CurrentAttempt.Lifecycle.apply(attempt_step::Resume))
     return false;
-  Current.ResumeAt = Now + ResumePause * Current.Resumes; // The first at once.
-  ++Current.Resumes;
+  CurrentAttempt.ResumeAt = Now + ResumeBackoff * CurrentAttempt.Resumes; // The first has no delay.
+  ++CurrentAttempt.Resumes;
   ++Counters.Resumes;
-  wakeAttempt(Request, Now);
-  setWake(Request);
+  handleAttemptTimer(Request, Now);
+  updateTimer(Request);
   return true;
 }
 
 void dispatcher::closeAttempt(live_request &Request, std::optional<attempt_failure> Failure,
                               mono_time Now, const backend_address &AtFault) {
-  const bool Proved = Failure && provesNotRun(*Failure);
-  const bool HoldsNothing = Failure && !mayHoldMemory(*Failure);
-  Request.MayHaveRun = Request.MayHaveRun || !Proved;
-  Request.Unsent += Failure && leftUnsent(*Failure) ? 1 : 0;
-  Request.Tried.push_back(Request.Current->Backend);
-  if (!HoldsNothing)
+  const bool ProvedNotRun = Failure && provesNotRun(*Failure);
+  const bool HoldsNoMemory = Failure && !mayHoldMemory(*Failure);
+  Request.MayHaveRun = Request.MayHaveRun || !ProvedNotRun;
+  Request.UnsentAttempts += Failure && wasNeverSent(*Failure) ? 1 : 0;
+  Request.TriedBackends.push_back(Request.CurrentAttempt->Backend);
+  if (!HoldsNoMemory)
     return abandon(Request, Failure, Now);
-  Request.Current->Lifecycle.apply(attempt_step::Fail);
-  requireInvariant(Request.Current->Lifecycle.state() == attempt_state::Failed,
-                   "an attempt that holds nothing has failed", [this] { return text(); });
-  attempt_ending Ending;
-  Ending.Attempt = Request.Current->Id;
-  Ending.Backend = Request.Current->Backend;
-  Ending.End = attempt_end::Failed;
-  Ending.Failure = Failure;
-  Ending.AtFault = AtFault;
-  Request.Current.reset();
-  reportEnd(Ending, Now);
+  Request.CurrentAttempt->Lifecycle.apply(attempt_step::Fail);
+  requireInvariant(Request.CurrentAttempt->Lifecycle.state() == attempt_state::Failed,
+                   "an attempt that holds no memory is in state Failed",
+                   [this] { return stateText(); });
+  attempt_result Result;
+  Result.Attempt = Request.CurrentAttempt->Id;
+  Result.Backend = Request.CurrentAttempt->Backend;
+  Result.End = attempt_end::Failed;
+  Result.Failure = Failure;
+  Result.AtFault = AtFault;
+  Request.CurrentAttempt.reset();
+  reportResult(Result, Now);
 }
 
 void dispatcher::abandon(live_request &Request, std::optional<attempt_failure> Failure,
                          mono_time Now) {
-  running_attempt Current = std::move(*Request.Current);
-  Request.Current.reset();
-  if (Current.BackendGone) {
-    Current.Lifecycle.apply(attempt_step::BackendGone);
-    Actions.emplace_back(cancel_attempt{Current.Id, Current.Backend}); // Closes the connection.
-    return reportEnd({Current.Id, Current.Backend, attempt_end::BackendGone, Failure, std::nullopt,
-                      std::nullopt, std::nullopt},
-                     Now);
+  running_attempt CurrentAttempt = std::move(*Request.CurrentAttempt);
+  Request.CurrentAttempt.reset();
+  if (CurrentAttempt.BackendGone) {
+    CurrentAttempt.Lifecycle.apply(attempt_step::BackendGone);
+    Actions.emplace_back(
+        cancel_attempt{CurrentAttempt.Id, CurrentAttempt.Backend}); // Closes the connection.
+    return reportResult({CurrentAttempt.Id, CurrentAttempt.Backend, attempt_end::BackendGone,
+                         Failure, std::nullopt, std::nullopt, std::nullopt},
+                        Now);
   }
   ++Counters.Abandoned;
-  const attempt_id Id = Current.Id;
-  abandoned_attempt Given;
-  Given.Attempt = Id;
-  Given.Backend = Current.Backend;
-  Given.GivenUpIn = Current.Lifecycle.state();
-  Given.Lifecycle = std::move(Current.Lifecycle);
-  Given.Lifecycle.apply(attempt_step::Cancel);
-  Given.Failure = Failure;
-  Given.Since = Now;
+  const attempt_id Id = CurrentAttempt.Id;
+  abandoned_attempt Record;
+  Record.Attempt = Id;
+  Record.Backend = CurrentAttempt.Backend;
+  Record.ReachedState = CurrentAttempt.Lifecycle.state();
+  Record.Lifecycle = std::move(CurrentAttempt.Lifecycle);
+  Record.Lifecycle.apply(attempt_step::Cancel);
+  Record.Failure = Failure;
+  Record.AbandonedAt = Now;
   if (Request.Claim == claim_progress::Granted) {
-    Given.ClaimKey = Request.ClaimKey;
-    Given.ClaimLifetime = Request.ClaimLifetime;
+    Record.ClaimKey = Request.ClaimKey;
+    Record.ClaimLifetime = Request.ClaimLifetime;
   }
-  Abandoned.add(std::move(Given), Now);
-  if (Seam.AttemptAbandoned)
-    Seam.AttemptAbandoned(Id, Failure, Now);
+  Abandoned.add(std::move(Record), Now);
+  if (Callbacks.AttemptAbandoned)
+    Callbacks.AttemptAbandoned(Id, Failure, Now);
 }
 
 void dispatcher::endAbandoned(const attempt_id &Attempt, attempt_end End, mono_time Now) {
-  const abandoned_attempt Ended = Abandoned.take(Attempt);
-  reportEnd({Attempt, Ended.Backend, End, Ended.Failure, std::nullopt, std::nullopt, std::nullopt},
-            Now);
+  const abandoned_attempt Ended = Abandoned.remove(Attempt);
+  reportResult(
+      {Attempt, Ended.Backend, End, Ended.Failure, std::nullopt, std::nullopt, std::nullopt}, Now);
 }
 
-void dispatcher::reportEnd(const attempt_ending &Ending, mono_time Now) const {
-  if (Seam.AttemptEnded)
-    Seam.AttemptEnded(Ending, Now);
+void dispatcher::reportResult(const attempt_result &Result, mono_time Now) const {
+  if (Callbacks.AttemptEnded)
+    Callbacks.AttemptEnded(Result, Now);
 }
 
 } // namespace pollenstall
--- a/src/dispatch/dispatcher_builder.cpp
+++ b/src/dispatch/dispatcher_builder.cpp
@@ -1,4 +1,4 @@
-/** @file dispatcher_builder.cpp Checks that a dispatcher's parts are complete. */
+/** @file dispatcher_builder.cpp Checks that all required parts of a dispatcher are set. */
 #include "dispatch/dispatcher_builder_base.h"
 
 namespace pollenstall {
@@ -18,19 +18,19 @@
   return *this;
 }
 
-dispatcher_builder &dispatcher_builder::seam(dispatch_seam Value) {
-  Seam = std::move(Value);
+dispatcher_builder &dispatcher_builder::callbacks(dispatcher_callbacks Value) {
+  Callbacks = std::move(Value);
   return *this;
 }
 
 result<dispatcher, dispatcher_build_error> dispatcher_builder::build() {
   if (!Self || Self->Host.empty())
     return dispatcher_build_error::NoProcess;
-  if (!Seam.Submit)
+  if (!Callbacks.Submit)
     return dispatcher_build_error::NoSubmit;
-  if (!Seam.GroupsFor)
+  if (!Callbacks.GroupsFor)
     return dispatcher_build_error::NoGroups;
-  return dispatcher(*Self, Limits, Seed, std::move(Seam));
+  return dispatcher(*Self, Limits, Seed, std::move(Callbacks));
 }
 
 } // namespace pollenstall
--- a/src/dispatch/dispatcher_builder_base.h
+++ b/src/dispatch/dispatcher_builder_base.h
@@ -10,32 +10,32 @@
 
 namespace pollenstall {
 
-/// What a dispatcher cannot be built without.
+/// Which required part of a dispatcher is missing.
 enum class dispatcher_build_error : std::uint8_t {
-  NoProcess, ///< Attempts would not be unique in the fleet.
+  NoProcess, ///< Without a process key, attempt ids would not be unique in the fleet.
   NoSubmit,
   NoGroups,
 };
 
-/// Collects the parts of a dispatcher. It starts unready: see dispatcher::setReady().
+/// Builds a dispatcher, which is not ready at first: see dispatcher::setReady().
 class dispatcher_builder {
 public:
-  /// @param Self This life of this entry; it is part of every attempt's id.
+  /// @param Self The incarnation of this entry; it is part of each attempt's id.
   dispatcher_builder &process(process_key Self);
-  /// Limits until applyLimits() brings others.
+  /// Sets the initial limits; see dispatcher::applyLimits().
   dispatcher_builder &limits(const limits_declaration &Value);
-  /// @param Value Seed of the pauses between cancels.
+  /// @param Value Seed of the jitter between cancels.
   dispatcher_builder &seed(std::uint64_t Value);
-  dispatcher_builder &seam(dispatch_seam Value);
+  dispatcher_builder &callbacks(dispatcher_callbacks Value);
 
-  /// @return The dispatcher, or what is missing.
+  /// @return The dispatcher, or which part is missing.
   result<dispatcher, dispatcher_build_error> build();
 
 private:
   std::optional<process_key> Self;
   limits_declaration Limits;
   std::uint64_t Seed{0};
-  dispatch_seam Seam;
+  dispatcher_callbacks Callbacks;
 };
 
 } // namespace pollenstall
--- a/src/dispatch/dispatcher_dump.cpp
+++ b/src/dispatch/dispatcher_dump.cpp
@@ -18,9 +18,9 @@
   Dump.Phase = Request.Phase;
   Dump.Attempts = Request.Attempts;
   Dump.MayHaveRun = Request.mayHaveRun();
-  if (Request.Current) {
-    Dump.Backend = Request.Current->Backend;
-    Dump.State = Request.Current->Lifecycle.state();
+  if (Request.CurrentAttempt) {
+    Dump.Backend = Request.CurrentAttempt->Backend;
+    Dump.State = Request.CurrentAttempt->Lifecycle.state();
   }
   Dump.Remaining = std::chrono::duration_cast<std::chrono::milliseconds>(Facts.Deadline - Now);
   return Dump;
@@ -40,16 +40,17 @@
   return Dump;
 }
 
-std::string dispatcher::text() const {
+std::string dispatcher::stateText() const {
   std::ostringstream Out;
   Out << Requests.size() << " live, " << Abandoned.size() << " abandoned\n";
   for (const auto &[Number, Request] : Requests) {
     Out << "request " << Number << " phase " << static_cast<int>(Request.Phase) << " attempts "
         << Request.Attempts << " claim " << static_cast<int>(Request.Claim) << " may-have-run "
         << Request.mayHaveRun();
-    if (Request.Current)
-      Out << " " << toText(Request.Current->Id) << " at " << toText(Request.Current->Backend)
-          << " state " << static_cast<int>(Request.Current->Lifecycle.state());
+    if (Request.CurrentAttempt)
+      Out << " " << toText(Request.CurrentAttempt->Id) << " at "
+          << toText(Request.CurrentAttempt->Backend) << " state "
+          << static_cast<int>(Request.CurrentAttempt->Lifecycle.state());
     Out << "\n";
   }
   return Out.str();
@@ -58,9 +59,9 @@
 void dispatcher::requireConsistent() const {
   const std::uint64_t Finished = Counters.Complete + Counters.NotRun + Counters.Unknown;
   requireInvariant(Counters.Arrived == Finished + Requests.size(),
-                   "each request has one final answer or is live", [this] { return text(); });
-  requireInvariant(Claiming <= Requests.size(), "requests that wait for a claim are live",
-                   [this] { return text(); });
+                   "each request is live or has one final answer", [this] { return stateText(); });
+  requireInvariant(Claiming <= Requests.size(), "requests waiting for a claim are live",
+                   [this] { return stateText(); });
 }
 
 } // namespace pollenstall
--- a/src/dispatch/dispatcher_retry.cpp
+++ b/src/dispatch/dispatcher_retry.cpp
@@ -1,4 +1,4 @@
-/** @file dispatcher_retry.cpp Whether work is tried again, and work of servers that are lost. */
+/** @file dispatcher_retry.cpp Retry rules, and retries of work at lost backend servers. */
 #include "dispatch/dispatcher_base.h"
 
 #include <algorithm>
@@ -7,30 +7,33 @@
 
 namespace {
 
-/// Servers beyond the declared bound that may be found out of reach for one request.
-constexpr std::uint32_t MostUnsent = 6;
+/// Attempts beyond the declared limit that one request may use on unreachable backend servers.
+constexpr std::uint32_t MaxUnsentAttempts = 6;
 
 } // namespace
 
-std::uint32_t dispatcher::mostAttempts(const live_request &Request) const {
-  // A declared route bounds the servers that a request is sent to; those that could not be reached
-  // were sent nothing. When a failure domain is lost, two of its servers would use up two attempts.
+std::uint32_t dispatcher::maxAttempts(const live_request &Request) const {
+  // A declared route limits to how many backend servers a request is sent. An unreachable server
+  // was sent nothing and does not count. Otherwise, when a failure domain is lost, two of its
+  // servers would use up two attempts.
   if (Request.Facts.MaxAttempts > 0)
-    return Request.Facts.MaxAttempts + std::min(Request.Unsent, MostUnsent);
+    return Request.Facts.MaxAttempts + std::min(Request.UnsentAttempts, MaxUnsentAttempts);
   return Limits.MaxAttempts;
 }
 
 bool dispatcher::mayRetry(const live_request &Request, mono_time Now) const {
-  const bool Safe = Request.Facts.Idempotent || !Request.MayHaveRun;
-  return Safe && Request.Attempts < mostAttempts(Request) && Now < Request.Facts.Deadline;
+  const bool SafeToRepeat = Request.Facts.Idempotent || !Request.MayHaveRun;
+  return SafeToRepeat && Request.Attempts < maxAttempts(Request) && Now < Request.Facts.Deadline;
 }
 
-bool dispatcher::payForRetry(const live_request &Request, mono_time Now) {
+bool dispatcher::trySpendRetry(const live_request &Request, mono_time Now) {
   if (!mayRetry(Request, Now))
     return false;
-  // The bound is on what servers get: after attempts that reached none the next one is the first.
-  const bool Free = Request.Facts.MaxAttempts > 0 && Request.Unsent == Request.Attempts;
-  if (!Free && !Budget.spend(Now)) {
+  // The budget limits what backend servers receive. If no attempt has reached one, the next attempt
+  // counts as the first.
+  const bool ExemptFromBudget =
+      Request.Facts.MaxAttempts > 0 && Request.UnsentAttempts == Request.Attempts;
+  if (!ExemptFromBudget && !Budget.tryWithdraw(Now)) {
     ++Counters.RetriesOverBudget;
     return false;
   }
@@ -39,45 +42,47 @@
 }
 
 void dispatcher::retryOrFinish(live_request &Request, mono_time Now) {
-  if (payForRetry(Request, Now))
+  if (trySpendRetry(Request, Now))
     return submit(Request, Now);
-  const bool Forbidden = !Request.Facts.Idempotent && Request.MayHaveRun;
-  finishShort(Request, Forbidden ? failure_reason::BackendFailed : failure_reason::RetriesExhausted,
-              std::nullopt, Now);
+  const bool UnsafeToRepeat = !Request.Facts.Idempotent && Request.MayHaveRun;
+  finishWithFailure(
+      Request, UnsafeToRepeat ? failure_reason::BackendFailed : failure_reason::RetriesExhausted,
+      std::nullopt, Now);
 }
 
 void dispatcher::retryElsewhere(live_request &Request, attempt_failure Failure, mono_time Now) {
-  const bool Unanswered = Request.Current && !hasAnswered(Request.Current->Lifecycle.state());
-  if (!Unanswered || !Request.Facts.Idempotent || !payForRetry(Request, Now))
+  const bool Unanswered =
+      Request.CurrentAttempt && !hasAnswered(Request.CurrentAttempt->Lifecycle.state());
+  if (!Unanswered || !Request.Facts.Idempotent || !trySpendRetry(Request, Now))
     return;
   closeAttempt(Request, Failure, Now);
   submit(Request, Now);
 }
 
-void dispatcher::moveUnanswered(const backend_key &Backend, mono_time Now) {
-  std::vector<request_number> There;
+void dispatcher::retryUnanswered(const backend_key &Backend, mono_time Now) {
+  std::vector<request_number> Affected;
   for (const auto &[Number, Request] : Requests)
-    if (Request.Current && Request.Current->Backend == Backend)
-      There.push_back(Number);
-  for (const request_number Number : There)
+    if (Request.CurrentAttempt && Request.CurrentAttempt->Backend == Backend)
+      Affected.push_back(Number);
+  for (const request_number Number : Affected)
     if (live_request *Request = find(Number))
       retryElsewhere(*Request, attempt_failure::BrokenSent, Now);
 }
 
 void dispatcher::backendLost(const backend_key &Backend, mono_time Now) {
-  moveUnanswered(Backend, Now);
+  retryUnanswered(Backend, Now);
   sendDueCancels(Now);
 }
 
 void dispatcher::backendGone(const backend_key &Backend, mono_time Now) {
   for (auto &[Number, Request] : Requests)
-    if (Request.Current && Request.Current->Backend == Backend)
-      Request.Current->BackendGone = true;
-  for (const attempt_id &Attempt : Abandoned.onBackend(Backend)) {
+    if (Request.CurrentAttempt && Request.CurrentAttempt->Backend == Backend)
+      Request.CurrentAttempt->BackendGone = true;
+  for (const attempt_id &Attempt : Abandoned.attemptsOn(Backend)) {
     Abandoned.find(Attempt)->Lifecycle.apply(attempt_step::BackendGone);
     endAbandoned(Attempt, attempt_end::BackendGone, Now);
   }
-  moveUnanswered(Backend, Now);
+  retryUnanswered(Backend, Now);
   sendDueCancels(Now);
 }
 
--- a/src/dispatch/dispatcher_time.cpp
+++ b/src/dispatch/dispatcher_time.cpp
@@ -1,4 +1,4 @@
-/** @file dispatcher_time.cpp Deadlines, slow claims and attempts, repeated cancels, shutdown. */
+/** @file dispatcher_time.cpp Deadlines, timeouts of claims and attempts, cancels, shutdown. */
 #include "dispatch/dispatcher_base.h"
 
 #include <algorithm>
@@ -7,58 +7,58 @@
 namespace pollenstall {
 
 void dispatcher::handle(const dispatch_event &Event, mono_time Now) {
-  std::visit([this, Now](const auto &Known) { on(Known, Now); }, Event);
+  std::visit([this, Now](const auto &Alternative) { on(Alternative, Now); }, Event);
   sendDueCancels(Now);
 }
 
 void dispatcher::advance(mono_time Now) {
   if (ShutdownBy && *ShutdownBy <= Now)
     finishAll(failure_reason::ShuttingDown, Now);
-  while (const std::optional<request_number> Due = Wakes.takeDue(Now))
+  while (const std::optional<request_number> Due = Timers.popDue(Now))
     if (live_request *Request = find(*Due))
-      wakeRequest(*Request, Now);
+      handleRequestTimer(*Request, Now);
   sendDueCancels(Now);
 }
 
-void dispatcher::wakeRequest(live_request &Request, mono_time Now) {
+void dispatcher::handleRequestTimer(live_request &Request, mono_time Now) {
   if (Request.Facts.Deadline <= Now)
-    return finishShort(Request, failure_reason::DeadlineExceeded, std::nullopt, Now);
-  if (Request.Claim == claim_progress::Asked && Request.ClaimBy <= Now)
-    return finishShort(Request, failure_reason::ClaimUnavailable, std::nullopt, Now);
+    return finishWithFailure(Request, failure_reason::DeadlineExceeded, std::nullopt, Now);
+  if (Request.Claim == claim_progress::Requested && Request.ClaimDeadline <= Now)
+    return finishWithFailure(Request, failure_reason::ClaimUnavailable, std::nullopt, Now);
   const request_number Number = Request.Facts.Id;
-  if (Request.Current)
-    wakeAttempt(Request, Now);
-  if (const live_request *Still = find(Number))
-    setWake(*Still);
+  if (Request.CurrentAttempt)
+    handleAttemptTimer(Request, Now);
+  if (const live_request *Live = find(Number))
+    updateTimer(*Live);
 }
 
-void dispatcher::wakeAttempt(live_request &Request, mono_time Now) {
-  running_attempt &Current = *Request.Current;
-  if (Current.ResumeAt && *Current.ResumeAt <= Now) {
-    Current.ResumeAt.reset();
-    Actions.emplace_back(resume_attempt{Current.Id, Current.Backend});
+void dispatcher::handleAttemptTimer(live_request &Request, mono_time Now) {
+  running_attempt &CurrentAttempt = *Request.CurrentAttempt;
+  if (CurrentAttempt.ResumeAt && *CurrentAttempt.ResumeAt <= Now) {
+    CurrentAttempt.ResumeAt.reset();
+    Actions.emplace_back(resume_attempt{CurrentAttempt.Id, CurrentAttempt.Backend});
     return;
   }
-  if (hasAnswered(Current.Lifecycle.state()) || Now < Current.AnswerBy)
+  if (hasAnswered(CurrentAttempt.Lifecycle.state()) || Now < CurrentAttempt.AnswerBy)
     return;
-  // Where no retry may start, the slow attempt is still the best hope; it keeps the whole time.
-  Current.AnswerBy = Request.Facts.Deadline;
+  // If no retry may start, the slow attempt keeps running until the request's deadline.
+  CurrentAttempt.AnswerBy = Request.Facts.Deadline;
   retryElsewhere(Request, attempt_failure::TimedOut, Now);
 }
 
-void dispatcher::setWake(const live_request &Request) {
+void dispatcher::updateTimer(const live_request &Request) {
   mono_time Wake = Request.Facts.Deadline;
-  if (Request.Claim == claim_progress::Asked)
-    Wake = std::min(Wake, Request.ClaimBy);
-  if (Request.Current && Request.Current->ResumeAt)
-    Wake = std::min(Wake, *Request.Current->ResumeAt);
-  if (Request.Current && !hasAnswered(Request.Current->Lifecycle.state()))
-    Wake = std::min(Wake, Request.Current->AnswerBy);
-  Wakes.set(Request.Facts.Id, Wake);
+  if (Request.Claim == claim_progress::Requested)
+    Wake = std::min(Wake, Request.ClaimDeadline);
+  if (Request.CurrentAttempt && Request.CurrentAttempt->ResumeAt)
+    Wake = std::min(Wake, *Request.CurrentAttempt->ResumeAt);
+  if (Request.CurrentAttempt && !hasAnswered(Request.CurrentAttempt->Lifecycle.state()))
+    Wake = std::min(Wake, Request.CurrentAttempt->AnswerBy);
+  Timers.set(Request.Facts.Id, Wake);
 }
 
 void dispatcher::sendDueCancels(mono_time Now) {
-  while (const std::optional<cancel_attempt> Cancel = Abandoned.takeDueCancel(Now)) {
+  while (const std::optional<cancel_attempt> Cancel = Abandoned.popDueCancel(Now)) {
     ++Counters.CancelsSent;
     Actions.emplace_back(*Cancel);
   }
@@ -66,7 +66,7 @@
 }
 
 std::optional<mono_time> dispatcher::nextWake() const {
-  std::optional<mono_time> Next = Wakes.next();
+  std::optional<mono_time> Next = Timers.next();
   const std::optional<mono_time> Shutdown = Requests.empty() ? std::nullopt : ShutdownBy;
   for (const std::optional<mono_time> &Other : {Abandoned.nextWake(), Shutdown})
     if (Other && (!Next || *Other < *Next))
@@ -75,16 +75,16 @@
 }
 
 void dispatcher::beginShutdown(mono_time Now, mono_duration Limit) {
-  const mono_time By = Now + Limit;
-  ShutdownBy = ShutdownBy ? std::min(*ShutdownBy, By) : By;
+  const mono_time Deadline = Now + Limit;
+  ShutdownBy = ShutdownBy ? std::min(*ShutdownBy, Deadline) : Deadline;
 }
 
 void dispatcher::finishAll(failure_reason Reason, mono_time Now) {
-  std::vector<request_number> Left;
+  std::vector<request_number> Numbers;
   for (const auto &[Number, Request] : Requests)
-    Left.push_back(Number);
-  for (const request_number Number : Left)
-    finishShort(*find(Number), Reason, std::nullopt, Now);
+    Numbers.push_back(Number);
+  for (const request_number Number : Numbers)
+    finishWithFailure(*find(Number), Reason, std::nullopt, Now);
 }
 
 std::vector<dispatch_action> dispatcher::takeActions() { return std::exchange(Actions, {}); }
--- a/src/dispatch/live_request_type.h
+++ b/src/dispatch/live_request_type.h
@@ -1,4 +1,4 @@
-/** @file live_request_type.h What the dispatcher keeps of a request until its final answer. */
+/** @file live_request_type.h The dispatcher's state of a request until its final answer. */
 #ifndef POLLENSTALL_DISPATCH_LIVE_REQUEST_TYPE_H
 #define POLLENSTALL_DISPATCH_LIVE_REQUEST_TYPE_H
 
@@ -13,45 +13,46 @@
 
 namespace pollenstall {
 
-/// How far the claim on the request's key is.
+/// Progress of the claim on the request's key.
 enum class claim_progress : std::uint8_t {
-  NotNeeded, ///< Idempotent, or without a key.
-  Needed,    ///< Not asked for yet.
-  Asked,
+  NotNeeded, ///< The request is idempotent or has no key.
+  Needed,    ///< Not requested yet.
+  Requested,
   Granted,
-  HeldByOther, ///< Another send has the key; nothing of it is ours to settle.
+  HeldByOther, ///< Another request holds the claim, so this one must not settle it.
 };
 
-/// The attempt that a request waits for.
+/// The attempt that a request is waiting for.
 struct running_attempt {
   attempt_id Id;
   backend_key Backend;
   attempt_lifecycle Lifecycle;
   mono_time AnswerBy;
   std::uint32_t Resumes{0};
-  std::optional<mono_time> ResumeAt; ///< The next resume waits until then.
-  bool BackendGone{false};           ///< The backend server's life is over; nothing to cancel.
+  std::optional<mono_time> ResumeAt; ///< Time of the next resume, if one is scheduled.
+  bool BackendGone{false};           ///< The backend server's incarnation ended; no cancel needed.
 };
 
-/// One request between admission and its final answer.
+/// A request from its arrival to its final answer.
 struct live_request {
   request_facts Facts;
   request_phase Phase{request_phase::Claiming};
   claim_progress Claim{claim_progress::NotNeeded};
   std::string ClaimKey;
   std::chrono::milliseconds ClaimLifetime{0};
-  mono_time ClaimBy;
+  mono_time ClaimDeadline;
   std::uint32_t Attempts{0};
-  std::uint32_t Unsent{0}; ///< Of these, those of which no byte can have reached a server.
-  bool Answered{false};    ///< The caller has part of the answer of an attempt that broke.
-  bool MayHaveRun{false};  ///< Some ended attempt is not proved to have never started.
-  std::vector<backend_key> Tried;
-  std::optional<running_attempt> Current;
-
-  /// @return Whether a backend server may have started the work, the running attempt included.
-  [[nodiscard]] bool mayHaveRun() const { return MayHaveRun || Current.has_value(); }
-  /// @return Whether sends with this key, this one excepted, may have run: the claim would tell.
-  [[nodiscard]] bool standingUnknown() const {
+  std::uint32_t UnsentAttempts{0}; ///< Attempts of which no byte can have reached a server.
+  bool PartlyAnswered{false};      ///< The caller has part of the answer of a broken attempt.
+  bool MayHaveRun{false};          ///< An ended attempt may have started the work.
+  std::vector<backend_key> TriedBackends;
+  std::optional<running_attempt> CurrentAttempt;
+
+  /// @return Whether any attempt, including the current one, may have started the work.
+  [[nodiscard]] bool mayHaveRun() const { return MayHaveRun || CurrentAttempt.has_value(); }
+  /// @return Whether another request with the same key may have run; only a granted claim rules
+  /// this out.
+  [[nodiscard]] bool earlierSendMayHaveRun() const {
     return Claim != claim_progress::NotNeeded && Claim != claim_progress::Granted;
   }
 };
--- a/src/dispatch/outcome.cpp
+++ b/src/dispatch/outcome.cpp
@@ -1,4 +1,4 @@
-/** @file outcome.cpp The meaning of failures by state. */
+/** @file outcome.cpp Classification of attempt failures by the attempt's state. */
 #include "dispatch/outcome_func.h"
 
 namespace pollenstall {
@@ -7,7 +7,7 @@
   if (hasAnswered(State))
     return Reported == attempt_failure::BadAnswer ? Reported : attempt_failure::BrokenMidway;
   const bool BytesMayBeOut = State != attempt_state::Connecting;
-  return BytesMayBeOut && leftUnsent(Reported) ? attempt_failure::BrokenSent : Reported;
+  return BytesMayBeOut && wasNeverSent(Reported) ? attempt_failure::BrokenSent : Reported;
 }
 
 bool mayHoldMemory(attempt_failure Failure) {
--- a/src/dispatch/retry_budget.cpp
+++ b/src/dispatch/retry_budget.cpp
@@ -1,4 +1,4 @@
-/** @file retry_budget.cpp Arithmetic of the retry budget in hundredths of a retry. */
+/** @file retry_budget.cpp The retry budget, counted in hundredths of a retry. */
 #include "dispatch/retry_budget_base.h"
 
 #include <algorithm>
@@ -7,20 +7,22 @@
 
 namespace {
 
-constexpr std::uint64_t OneRetry = 100;
-constexpr std::uint64_t Burst = 100;                      ///< Retries that can be saved up at most.
-constexpr mono_duration Refill = std::chrono::seconds(1); ///< The floor regains one retry in it.
+constexpr std::uint64_t HundredthsPerRetry = 100;
+constexpr std::uint64_t MaxSavedRetries = 100; ///< Maximum balance.
+constexpr mono_duration RefillInterval =
+    std::chrono::seconds(1); ///< Time to refill one retry of the floor.
 
 } // namespace
 
 double retry_budget::share() const {
-  return static_cast<double>(RetryPercent) / static_cast<double>(OneRetry);
+  return static_cast<double>(RetryPercent) / static_cast<double>(HundredthsPerRetry);
 }
 
-void retry_budget::earn(mono_time Now) {
+void retry_budget::deposit(mono_time Now) {
   if (Window)
-    return Window->noteFirst(Now);
-  Hundredths = std::min(Hundredths + RetryPercent, Burst * OneRetry);
+    return Window->recordFirstAttempt(Now);
+  BalanceHundredths =
+      std::min(BalanceHundredths + RetryPercent, MaxSavedRetries * HundredthsPerRetry);
 }
 
 void retry_budget::setAllowance(const retry_allowance &Value) {
@@ -33,29 +35,30 @@
 void retry_budget::refillFloor(mono_time Now) {
   if (Now <= LastRefill)
     return;
-  const auto Regained = static_cast<std::uint64_t>((Now - LastRefill) / Refill);
+  const auto Regained = static_cast<std::uint64_t>((Now - LastRefill) / RefillInterval);
   if (Regained == 0)
     return;
-  LastRefill += Refill * static_cast<std::int64_t>(Regained);
-  constexpr std::uint64_t Full = Floor * OneRetry;
-  if (Hundredths < Full)
-    Hundredths = std::min(Full, Hundredths + std::min(Regained, Floor) * OneRetry);
+  LastRefill += RefillInterval * static_cast<std::int64_t>(Regained);
+  constexpr std::uint64_t FloorBalance = FloorRetries * HundredthsPerRetry;
+  if (BalanceHundredths < FloorBalance)
+    BalanceHundredths = std::min(
+        FloorBalance, BalanceHundredths + std::min(Regained, FloorRetries) * HundredthsPerRetry);
 }
 
-bool retry_budget::spend(mono_time Now) {
+bool retry_budget::tryWithdraw(mono_time Now) {
   if (Window)
-    return Window->spend(share(), Now);
+    return Window->tryWithdraw(share(), Now);
   refillFloor(Now);
-  if (Hundredths < OneRetry)
+  if (BalanceHundredths < HundredthsPerRetry)
     return false;
-  Hundredths -= OneRetry;
+  BalanceHundredths -= HundredthsPerRetry;
   return true;
 }
 
 double retry_budget::available() const {
   if (Window)
     return Window->available(share());
-  return static_cast<double>(Hundredths) / static_cast<double>(OneRetry);
+  return static_cast<double>(BalanceHundredths) / static_cast<double>(HundredthsPerRetry);
 }
 
 } // namespace pollenstall
--- a/src/dispatch/retry_budget_base.h
+++ b/src/dispatch/retry_budget_base.h
@@ -1,4 +1,4 @@
-/** @file retry_budget_base.h Bounds retries to a share of the first attempts. */
+/** @file retry_budget_base.h Limits retries to a share of the first attempts. */
 #ifndef POLLENSTALL_DISPATCH_RETRY_BUDGET_BASE_H
 #define POLLENSTALL_DISPATCH_RETRY_BUDGET_BASE_H
 
@@ -12,35 +12,36 @@
 namespace pollenstall {
 
 /**
- * Token bucket over retries: each first attempt earns RetryPercent hundredths of a retry.
- * Without it, backend servers that fail under load get up to MaxAttempts times the load, and stay
- * down. A small floor that refills with time keeps single failures retried on a quiet entry.
+ * Token bucket of retries: each first attempt adds RetryPercent hundredths of a retry.
+ * Without it, backend servers that fail under load would get up to MaxAttempts times the load and
+ * would not recover. A small floor that refills over time allows an idle entry to retry single
+ * failures. After setAllowance() a retry_window replaces the bucket.
  */
 class retry_budget {
 public:
-  /// @param Percent Retries earned by a hundred first attempts.
+  /// @param Percent Retries added by a hundred first attempts.
   explicit retry_budget(std::uint32_t Percent) : RetryPercent(Percent) {}
 
-  /// Takes a new share from the declaration; what was earned stays.
+  /// Changes the share of retries; the balance is kept.
   void setPercent(std::uint32_t Percent) { RetryPercent = Percent; }
-  /// Bounds the retries of any window in place of what is saved up.
+  /// Limits the retries of any window instead of keeping a balance.
   void setAllowance(const retry_allowance &Value);
-  /// A request's first attempt starts.
-  void earn(mono_time Now);
-  /// @return Whether a retry may start now; if so it is paid for.
-  bool spend(mono_time Now);
-  /// @return Retries that are paid for, as of the last spend().
+  /// Counts the first attempt of a request.
+  void deposit(mono_time Now);
+  /// Withdraws one retry. @return Whether a retry may start now.
+  bool tryWithdraw(mono_time Now);
+  /// @return The number of retries available at the last tryWithdraw().
   [[nodiscard]] double available() const;
 
 private:
-  static constexpr std::uint64_t Floor = 3; ///< Retries; reached again by time alone.
+  static constexpr std::uint64_t FloorRetries = 3; ///< Balance up to which time alone refills.
 
   [[nodiscard]] double share() const;
   void refillFloor(mono_time Now);
 
   std::uint32_t RetryPercent;
-  std::optional<retry_window> Window; ///< Where an allowance was set.
-  std::uint64_t Hundredths{Floor * 100};
+  std::optional<retry_window> Window; ///< Set if there is an allowance.
+  std::uint64_t BalanceHundredths{FloorRetries * 100};
   mono_time LastRefill{};
 };
 
--- a/src/dispatch/retry_window_base.h
+++ b/src/dispatch/retry_window_base.h
@@ -10,41 +10,41 @@
 
 namespace pollenstall {
 
-/// What one entry may retry in any span of a length.
+/// How many retries one entry may start in any window.
 struct retry_allowance {
-  double Extra{0};                                ///< Beside the share of first attempts.
-  mono_duration Window{std::chrono::seconds(10)}; ///< Any span of this length.
+  double Reserve{0};                              ///< In addition to the share of first attempts.
+  mono_duration Window{std::chrono::seconds(10)}; ///< Length of the window.
 };
 
 /**
- * Retries in any window are bounded by a share of its first attempts and a fixed extra. A bucket
- * that keeps to the same bound can save up a part of it only: when an engine with dozens of streams
- * is lost, most of them would be cut although the bound allows to go on with all.
+ * Limits the retries in any window to a share of its first attempts plus a fixed reserve. A token
+ * bucket that respects the same limit can accumulate only a part of it: when an engine with dozens
+ * of streams is lost, it would cut most of them although the limit allows to resume all.
  */
 class retry_window {
 public:
-  explicit retry_window(const retry_allowance &Bound) : Allowance(Bound) {}
-
-  void setAllowance(const retry_allowance &Bound) { Allowance = Bound; }
-  void noteFirst(mono_time Now) { slotAt(Now).Firsts += 1; }
-  /// @param Share Retries for each first attempt. @return Whether a retry may start now; if so it
-  /// is counted.
-  bool spend(double Share, mono_time Now);
-  /// @return Retries that may start now.
+  explicit retry_window(const retry_allowance &NewAllowance) : Allowance(NewAllowance) {}
+
+  void setAllowance(const retry_allowance &NewAllowance) { Allowance = NewAllowance; }
+  void recordFirstAttempt(mono_time Now) { slotAt(Now).FirstAttempts += 1; }
+  /// Counts a retry if one may start now. @param Share Retries for each first attempt.
+  /// @return Whether it may start.
+  bool tryWithdraw(double Share, mono_time Now);
+  /// @return The number of retries that may start now.
   [[nodiscard]] double available(double Share) const;
 
 private:
-  /// A part of the window: counts are kept in steps.
+  /// Counts over a part of the window.
   struct slot {
     mono_time Begin;
-    std::uint64_t Firsts{0};
+    std::uint64_t FirstAttempts{0};
     std::uint64_t Retries{0};
   };
 
   slot &slotAt(mono_time Now);
 
   retry_allowance Allowance;
-  std::deque<slot> Slots; ///< The oldest first.
+  std::deque<slot> Slots; ///< Oldest first.
 };
 
 } // namespace pollenstall
--- a/src/fleet_model/entry_policy.cpp
+++ b/src/fleet_model/entry_policy.cpp
@@ -56,9 +56,9 @@
     Placer->attemptEnded(Attempt, End, Now);
   };
   Policy.OwnLoads = [Placer](mono_time Now) { return Placer->ownLoads(Now); };
-  Policy.TakeOthers = [Placer](const others_work &Others, mono_time Now) {
+  Policy.TakeOthers = [Placer](const peer_work_update &Others, mono_time Now) {
     Placer->useExchange(Others.Facts);
-    Placer->takeOthersLoads(Others.Changed, Now);
+    Placer->takeOthersLoads(Others.ChangedLoads, Now);
   };
   Policy.ClaimsMade = [Placer] { return Placer->claimsMade(); };
   return Policy;
@@ -172,8 +172,8 @@
       Balancer->ended(Attempt);
     };
     Policy.OwnLoads = [Balancer](mono_time) { return Balancer->loads(); };
-    Policy.TakeOthers = [Balancer](const others_work &Others, mono_time) {
-      Balancer->takeOthersLoads(Others.Changed);
+    Policy.TakeOthers = [Balancer](const peer_work_update &Others, mono_time) {
+      Balancer->takeOthersLoads(Others.ChangedLoads);
     };
     Policy.ClaimsMade = [] { return std::uint64_t{0}; };
     return Policy;
--- a/src/fleet_model/entry_policy_type.h
+++ b/src/fleet_model/entry_policy_type.h
@@ -27,7 +27,7 @@
   std::function<void(const attempt_id &, const attempt_report &, mono_time)> Ended;
   std::function<std::vector<work_load>(mono_time)> OwnLoads;
   /// What all other entries have under way, where that changed, and how it is told.
-  std::function<void(const others_work &, mono_time)> TakeOthers;
+  std::function<void(const peer_work_update &, mono_time)> TakeOthers;
   std::function<std::uint64_t()> ClaimsMade; ///< A new one is told to the others at once.
 };
 
--- a/src/fleet_model/fleet_run_base.h
+++ b/src/fleet_model/fleet_run_base.h
@@ -88,7 +88,7 @@
     double TurnAtMs{-1};
     double ToldAtMs{-1e9};
     std::uint64_t ToldClaims{0};
-    std::unique_ptr<work_board> Board;
+    std::unique_ptr<work_view> Board;
     double ExchangeAtMs{-1};
     report_traffic Traffic;
     bool Lost{false};
--- a/src/fleet_model/fleet_run_callers.cpp
+++ b/src/fleet_model/fleet_run_callers.cpp
@@ -127,7 +127,7 @@
     Entry.Policy.UpdateBackend(Engine.Listing);
   const host_name Host("entry-" + std::to_string(Number));
   const incarnation Incarnation(static_cast<std::uint64_t>(now().time_since_epoch().count()));
-  Entry.Board = std::make_unique<work_board>(process_key{Host, Incarnation}, reportAddress(Number));
+  Entry.Board = std::make_unique<work_view>(process_key{Host, Incarnation}, reportAddress(Number));
   EntryNumbers[reportAddress(Number)] = Number;
 }
 
@@ -137,7 +137,7 @@
     All.push_back({reportAddress(Number),
                    failure_domain_name("domain-" + std::to_string(Number % Load.Domains))});
   for (entry_state &Entry : Entries)
-    Entry.Board->useEntries(All, now());
+    Entry.Board->setEntries(All, now());
 }
 
 void fleet_run::takeEvent(std::size_t Attempt) {
--- a/src/fleet_model/fleet_run_engines.cpp
+++ b/src/fleet_model/fleet_run_engines.cpp
@@ -25,7 +25,7 @@
   entry_state &Entry = Entries[Number];
   if (Entry.Lost)
     return;
-  Entry.Policy.TakeOthers({Entry.Board->othersChanged(now()), Entry.Board->facts()}, now());
+  Entry.Policy.TakeOthers({Entry.Board->changedPeerLoads(now()), Entry.Board->facts()}, now());
   const poll_outcome Outcome = Entry.Policy.Poll(now());
   for (const work_expiry &Expiry : Outcome.Expiries)
     refuse(static_cast<std::size_t>(Expiry.Request.value() - 1), Expiry.Refusal);
@@ -42,7 +42,7 @@
     return;
   Entry.ToldClaims = Entry.Policy.ClaimsMade();
   Entry.ToldAtMs = Ms;
-  Entry.Board->setOwn(Entry.Policy.OwnLoads(now()), Claimed, now());
+  Entry.Board->setOwnLoads(Entry.Policy.OwnLoads(now()), Claimed, now());
   exchange(Number);
 }
 
@@ -50,7 +50,7 @@
   entry_state &Entry = Entries[Number];
   if (Entry.Lost)
     return;
-  for (work_datagram &Datagram : Entry.Board->due(now())) {
+  for (work_datagram &Datagram : Entry.Board->dueDatagrams(now())) {
     const auto Bytes = static_cast<double>(
         workReportSize(Load.Name, Datagram.Report.Sender.Host.str(), Datagram.Report.Loads.size()));
     ++Entry.Traffic.SentDatagrams;
@@ -74,7 +74,8 @@
     return;
   ++Entries[To].Traffic.TakenDatagrams;
   Entries[To].Traffic.TakenBytes += Arrived.Bytes;
-  Entries[To].Board->take(Arrived.Datagram.Report, "entry-" + std::to_string(Arrived.From), now());
+  Entries[To].Board->receive(Arrived.Datagram.Report, "entry-" + std::to_string(Arrived.From),
+                             now());
   exchange(To);
 }
 
--- a/src/relay/crash_watch.cpp
+++ b/src/relay/crash_watch.cpp
@@ -28,7 +28,7 @@
   const auto Calls = std::move(Broken.extract(Backend).mapped());
   if (!Ended)
     co_return;
-  std::set<request_mark> Marks;
+  std::set<request_fingerprint> Marks;
   for (const broken_call &One : Calls)
     Marks.insert(requestMark(*One.Call, *One.Body));
   Tell({Backend, {Marks.begin(), Marks.end()}});
--- a/src/relay/crash_watch_base.h
+++ b/src/relay/crash_watch_base.h
@@ -24,7 +24,7 @@
  */
 class crash_watch {
 public:
-  using crash_hook = std::function<void(crash_seen)>;
+  using crash_hook = std::function<void(crash_report)>;
 
   crash_watch(boost::asio::io_context &Context, backend_links &Connections)
       : Io(Context), Links(Connections) {}
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -301,7 +301,7 @@
   State->Lists = Lists;
   if (News != nullptr) {
     // A full ring drops it: the same request is seen at the next crash.
-    State->Context.Crashes.onCrash([To = News](crash_seen Crash) { To->push(std::move(Crash)); });
+    State->Context.Crashes.onCrash([To = News](crash_report Crash) { To->push(std::move(Crash)); });
     State->Context.AtSuspectCleared = [To = News](suspect_cleared Cleared) { To->push(Cleared); };
   }
   return std::unique_ptr<relay>(new relay(std::move(State)));
--- a/src/relay/relay_type.h
+++ b/src/relay/relay_type.h
@@ -70,7 +70,7 @@
 };
 
 /// What the relay tells of crashes.
-using crash_news = std::variant<crash_seen, suspect_cleared>;
+using crash_news = std::variant<crash_report, suspect_cleared>;
 
 /// What the decision thread asks of the relay thread. Claims go to the control link instead.
 using relay_order = std::variant<start_attempt, resume_attempt, cancel_order, finish_request,
--- a/src/relay/request_mark.cpp
+++ b/src/relay/request_mark.cpp
@@ -1,4 +1,4 @@
-/** @file request_mark.cpp Hashes of requests; SHA-256 by OpenSSL. */
+/** @file request_fingerprint.cpp Hashes of requests; SHA-256 by OpenSSL. */
 #include "relay/request_mark_func.h"
 
 #include <openssl/evp.h>
@@ -36,7 +36,7 @@
   return shapeOf(headText(Call), bodyBytes(Call));
 }
 
-request_mark requestMark(const relayed_call &Call, const held_body &Body) {
+request_fingerprint requestMark(const relayed_call &Call, const held_body &Body) {
   const std::string Head = headText(Call);
   std::array<unsigned char, EVP_MAX_MD_SIZE> Digest{};
   const std::unique_ptr<EVP_MD_CTX, void (*)(EVP_MD_CTX *)> Hash(EVP_MD_CTX_new(), EVP_MD_CTX_free);
@@ -45,18 +45,19 @@
                       EVP_DigestUpdate(Hash.get(), Body.Text.data(), Body.Text.size()) == 1 &&
                       EVP_DigestFinal_ex(Hash.get(), Digest.data(), nullptr) == 1;
   requireInvariant(Hashed, "SHA-256 is available");
-  request_mark Mark;
+  request_fingerprint Mark;
   Mark.Account = stableHash(Call.Facts.Account.str());
-  Mark.Shape = shapeOf(Head, Body.Text.size());
+  Mark.HeadHash = shapeOf(Head, Body.Text.size());
   std::memcpy(&Mark.High, Digest.data(), sizeof(Mark.High));
   std::memcpy(&Mark.Low, Digest.data() + sizeof(Mark.High), sizeof(Mark.Low));
   return Mark;
 }
 
-std::optional<request_mark> markIfSuspected(const suspect_list &List, const relayed_call &Call) {
-  if (List.empty() || !Call.Request.Body || !List.hasShape(requestShape(Call)))
+std::optional<request_fingerprint> markIfSuspected(const suspect_list &List,
+                                                   const relayed_call &Call) {
+  if (List.empty() || !Call.Request.Body || !List.hasHeadHash(requestShape(Call)))
     return std::nullopt;
-  const request_mark Mark = requestMark(Call, *Call.Request.Body);
+  const request_fingerprint Mark = requestMark(Call, *Call.Request.Body);
   return List.contains(Mark) ? std::optional(Mark) : std::nullopt;
 }
 
--- a/src/relay/request_mark_func.h
+++ b/src/relay/request_mark_func.h
@@ -13,11 +13,12 @@
 std::uint64_t requestShape(const relayed_call &Call);
 
 /// Hashes the body.
-request_mark requestMark(const relayed_call &Call, const held_body &Body);
+request_fingerprint requestMark(const relayed_call &Call, const held_body &Body);
 
 /// @return The mark where the list has a request of this shape, and nothing otherwise: then the
 /// body is not looked at. Nothing, too, where the body is held no more.
-std::optional<request_mark> markIfSuspected(const suspect_list &List, const relayed_call &Call);
+std::optional<request_fingerprint> markIfSuspected(const suspect_list &List,
+                                                   const relayed_call &Call);
 
 } // namespace pollenstall
 
--- a/src/suspect/suspect.h
+++ b/src/suspect/suspect.h
@@ -1,4 +1,5 @@
-/** @file suspect.h Public header of suspect: requests under which backend servers crash. */
+/** @file suspect.h Public header of suspect: requests that are suspected to crash backend servers.
+ */
 #ifndef POLLENSTALL_SUSPECT_SUSPECT_H
 #define POLLENSTALL_SUSPECT_SUSPECT_H
 
--- a/src/suspect/suspect_list_base.h
+++ b/src/suspect/suspect_list_base.h
@@ -1,4 +1,4 @@
-/** @file suspect_list_base.h What an entry was told of suspected requests, for look-ups. */
+/** @file suspect_list_base.h An entry's list of suspected requests, indexed for lookups. */
 #ifndef POLLENSTALL_SUSPECT_SUSPECT_LIST_BASE_H
 #define POLLENSTALL_SUSPECT_SUSPECT_LIST_BASE_H
 
@@ -11,31 +11,36 @@
 namespace pollenstall {
 
 /**
- * A body is hashed only where the rest of the request is that of a suspect. Never changed once it
- * is made, so that threads may share it.
+ * The suspected requests as last published by the control hosts. It is immutable, so that threads
+ * may share it. hasHeadHash() allows to skip the hash of a request's body if the rest of the
+ * request matches no suspect.
  */
 class suspect_list {
 public:
   suspect_list() = default;
-  suspect_list(const std::vector<told_suspect> &Told, mono_time Now);
-
-  [[nodiscard]] bool empty() const { return ByShape.empty(); }
-  /// @return Whether a request of this shape is suspected.
-  [[nodiscard]] bool hasShape(std::uint64_t Shape) const { return ByShape.contains(Shape); }
-  /// @return Whether the request is suspected, blocked or not.
-  [[nodiscard]] bool contains(const request_mark &Mark) const { return find(Mark) != nullptr; }
-  /// @return Until when the request is to be refused; nothing where it may run.
-  [[nodiscard]] std::optional<mono_time> blockedUntil(const request_mark &Mark,
+  suspect_list(const std::vector<published_suspect> &Published, mono_time Now);
+
+  [[nodiscard]] bool empty() const { return ByHeadHash.empty(); }
+  /// @return Whether a suspected request has this HeadHash.
+  [[nodiscard]] bool hasHeadHash(std::uint64_t HeadHash) const {
+    return ByHeadHash.contains(HeadHash);
+  }
+  /// @return Whether the request is suspected; it need not be blocked.
+  [[nodiscard]] bool contains(const request_fingerprint &Fingerprint) const {
+    return find(Fingerprint) != nullptr;
+  }
+  /// @return Until when the request must be refused; empty if it may run.
+  [[nodiscard]] std::optional<mono_time> blockedUntil(const request_fingerprint &Fingerprint,
                                                       mono_time Now) const;
 
 private:
-  struct item {
-    request_mark Mark;
-    mono_time Until;
+  struct listed_request {
+    request_fingerprint Fingerprint;
+    mono_time BlockEnd;
   };
-  [[nodiscard]] const item *find(const request_mark &Mark) const;
+  [[nodiscard]] const listed_request *find(const request_fingerprint &Fingerprint) const;
 
-  std::unordered_multimap<std::uint64_t, item> ByShape;
+  std::unordered_multimap<std::uint64_t, listed_request> ByHeadHash;
 };
 
 } // namespace pollenstall
--- a/src/suspect/suspect_table_base.h
+++ b/src/suspect/suspect_table_base.h
@@ -1,4 +1,4 @@
-/** @file suspect_table_base.h Counts the crashes of backend servers by the requests that they ran.
+/** @file suspect_table_base.h Counts crashes of backend servers for each request that they ran.
  */
 #ifndef POLLENSTALL_SUSPECT_SUSPECT_TABLE_BASE_H
 #define POLLENSTALL_SUSPECT_SUSPECT_TABLE_BASE_H
@@ -11,43 +11,48 @@
 namespace pollenstall {
 
 /**
- * One of the requests on a backend server may be why it crashed; the others only ran there. The
- * cause is what several crashes have in common: crashes are counted by request, each life of a
- * server once, and a run that ends well clears the request.
+ * Detects requests that crash backend servers and blocks them.
+ * One of the requests on a crashed backend server may be the cause, while the others only ran
+ * there. The cause is common to several crashes, so crashes are counted for each request. Each
+ * incarnation of a server counts once, and a successful run clears the request.
  *
- * A function of the calls alone, so that it is the same on every control host.
+ * The state depends only on the sequence of calls, so that it is identical on all control hosts.
  */
 class suspect_table {
 public:
-  explicit suspect_table(const suspect_tuning &Values = {}) : Tuning(Values) {}
-
-  /// These requests were running on a backend server when it crashed.
-  /// @param Now Never less than before.
-  void noteCrash(const std::vector<request_mark> &Marks, incarnation Incarnation,
-                 std::chrono::milliseconds Now);
-  /// A run of the request ended well, or an operator says that it may run.
-  /// @param High Of its mark.
+  explicit suspect_table(const suspect_tuning &TuningValues = {}) : Tuning(TuningValues) {}
+
+  /// Records that a backend server crashed while it ran these requests.
+  /// @param Now Must not decrease between calls.
+  void recordCrash(const std::vector<request_fingerprint> &Fingerprints, incarnation Incarnation,
+                   std::chrono::milliseconds Now);
+  /// Removes a request after a successful run, or when an operator unblocks it.
+  /// @param High request_fingerprint::High.
   void clear(std::uint64_t High);
 
-  /// @return Requests to refuse or to watch, as of then.
-  [[nodiscard]] std::vector<told_suspect> told(std::chrono::milliseconds Now) const;
-  /// @return A number that rises where told() has changed otherwise than by time.
+  /// @return The requests that entries must refuse or watch at that time.
+  [[nodiscard]] std::vector<published_suspect> published(std::chrono::milliseconds Now) const;
+  /// @return A number that increases when published() changes, except by the passage of time.
   [[nodiscard]] std::uint64_t version() const { return Version; }
 
-  /// @return All records, by their marks.
+  /// @return All records, ordered by fingerprint.
   [[nodiscard]] std::vector<suspect_record> records() const;
-  /// @return Whether the records are within the bounds; otherwise nothing is taken.
-  bool restore(const std::vector<suspect_record> &Kept, std::uint64_t KeptVersion);
+  /// Restores the records of a snapshot. @return Whether they are within the limits; otherwise the
+  /// table is unchanged.
+  bool restore(const std::vector<suspect_record> &SnapshotRecords, std::uint64_t SnapshotVersion);
 
 private:
-  using record_map = std::map<request_mark, suspect_record>;
+  using record_map = std::map<request_fingerprint, suspect_record>;
 
-  void noteOne(const request_mark &Mark, incarnation Incarnation, std::chrono::milliseconds Now);
+  void recordCrashOf(const request_fingerprint &Fingerprint, incarnation Incarnation,
+                     std::chrono::milliseconds Now);
   void block(suspect_record &Record, std::chrono::milliseconds Now);
-  void forgetOld(std::chrono::milliseconds Now);
-  bool makeRoom(std::uint64_t Account, std::chrono::milliseconds Now);
-  template <typename Counts> bool dropOldest(std::chrono::milliseconds Now, const Counts &Of);
-  [[nodiscard]] static bool isTold(const suspect_record &Record, std::chrono::milliseconds Now);
+  void expireRecords(std::chrono::milliseconds Now);
+  bool evictIfFull(std::uint64_t Account, std::chrono::milliseconds Now);
+  template <typename Predicate>
+  bool evictOldest(std::chrono::milliseconds Now, const Predicate &IsCandidate);
+  [[nodiscard]] static bool isPublished(const suspect_record &Record,
+                                        std::chrono::milliseconds Now);
 
   suspect_tuning Tuning;
   record_map Records;
--- a/src/suspect/suspect_type.h
+++ b/src/suspect/suspect_type.h
@@ -1,4 +1,4 @@
-/** @file suspect_type.h Requests by what makes them the same, and bounds of what is kept of them.
+/** @file suspect_type.h Fingerprints of requests, and records of suspected ones.
  */
 #ifndef POLLENSTALL_SUSPECT_SUSPECT_TYPE_H
 #define POLLENSTALL_SUSPECT_SUSPECT_TYPE_H
@@ -15,70 +15,72 @@
 namespace pollenstall {
 
 /**
- * The same for all sends of one request, at whichever entry: of its client account, service,
- * method, target and body.
- * No key, name or prompt can be read from it.
+ * Identifies a request by its client account, service, method, target and body. Each submission of
+ * the same request has the same fingerprint at all entries. No key, name or prompt can be recovered
+ * from it.
  */
-struct request_mark {
-  std::uint64_t Account{0}; ///< Hash of the client account's name.
-  std::uint64_t Shape{0};   ///< Hash of all but the body, and of the body's length.
-  std::uint64_t High{0};    ///< Leading 128 bits of SHA-256 over all of it.
+struct request_fingerprint {
+  std::uint64_t Account{0};  ///< Hash of the client account's name.
+  std::uint64_t HeadHash{0}; ///< Hash of everything but the body, and of the body's length.
+  std::uint64_t High{0};     ///< With Low: leading 128 bits of SHA-256 over the whole request.
   std::uint64_t Low{0};
 
-  auto operator<=>(const request_mark &) const = default;
+  auto operator<=>(const request_fingerprint &) const = default;
 };
 
-/// @return Sixteen digits that name it in logs and to operators.
-std::string toText(const request_mark &Mark);
-/// @return request_mark::High of such a name, or nothing where it is none.
-std::optional<std::uint64_t> markFromText(std::string_view Text);
+/// @return High as sixteen hexadecimal digits, for logs and operators.
+std::string toText(const request_fingerprint &Fingerprint);
+/// Parses the text form of a fingerprint. @return request_fingerprint::High; empty if invalid.
+std::optional<std::uint64_t> parseFingerprint(std::string_view Text);
 
-/// These requests were on a backend server when it crashed.
-struct crash_seen {
+/// A backend server crashed while it ran these requests.
+struct crash_report {
   backend_key Backend;
-  std::vector<request_mark> Marks;
+  std::vector<request_fingerprint> Fingerprints;
 };
 
-/// A run of a suspected request ended well.
+/// A run of a suspected request succeeded.
 struct suspect_cleared {
-  request_mark Mark;
+  request_fingerprint Fingerprint;
 };
 
-/// What is known of one request; wall-clock times of the log's leaders, in Unix milliseconds.
+/// Crash record of one request. Times are Unix milliseconds of the wall clocks of the log's
+/// leaders.
 struct suspect_record {
-  request_mark Mark;
+  request_fingerprint Fingerprint;
   std::uint32_t Crashes{0};
-  std::uint32_t Blocks{0}; ///< How often it was blocked.
+  std::uint32_t Blocks{0}; ///< How many times the request was blocked.
   std::chrono::milliseconds LastCrash{0};
   std::chrono::milliseconds BlockedUntil{0};
-  std::vector<incarnation> Incarnations; ///< Of backend servers whose crashes were counted last.
+  std::vector<incarnation> Incarnations; ///< Backend servers of the crashes counted last.
 
   bool operator==(const suspect_record &) const = default;
 };
 
-/// What entries are told of a request: to refuse it, or to say when a run of it ends well.
-struct told_suspect {
-  request_mark Mark;
-  std::chrono::milliseconds BlockedFor{0}; ///< From now; 0: it may run.
+/// A suspected request as published to the entries. They refuse it while it is blocked, and report
+/// a successful run of it otherwise.
+struct published_suspect {
+  request_fingerprint Fingerprint;
+  std::chrono::milliseconds BlockedFor{0}; ///< From now; 0: the request may run.
 
-  bool operator==(const told_suspect &) const = default;
+  bool operator==(const published_suspect &) const = default;
 };
 
-/// The same on every control host, or their states part.
+/// Limits of a suspect_table. They must be the same on all control hosts, or their states diverge.
 struct suspect_tuning {
   /// A request is blocked at this many crashes.
-  std::uint32_t MostCrashes{3};
-  /// Crashes that follow each other more closely count once: a failure domain that is lost takes
-  /// all runs of an innocent request with it.
-  std::chrono::milliseconds Apart{500};
-  /// A request that was not seen at a crash for longer is forgotten.
+  std::uint32_t BlockAfterCrashes{3};
+  /// Crashes closer together than this count once. The loss of a failure domain ends all runs of an
+  /// unrelated request at the same time.
+  std::chrono::milliseconds MinCrashInterval{500};
+  /// A record expires this long after the request's last crash or block.
   std::chrono::milliseconds ForgetAfter{std::chrono::minutes(10)};
-  /// How long it is blocked; doubles each time.
-  std::chrono::milliseconds BlockFor{std::chrono::minutes(2)};
-  std::chrono::milliseconds LongestBlock{std::chrono::hours(1)};
-  std::size_t MostRecords{4096};
-  std::size_t MostOfAccount{32};
-  std::size_t MaxIncarnations{4}; ///< Remembered of one request.
+  /// Duration of the first block; each further block is twice as long.
+  std::chrono::milliseconds InitialBlock{std::chrono::minutes(2)};
+  std::chrono::milliseconds MaxBlock{std::chrono::hours(1)};
+  std::size_t MaxRecords{4096};
+  std::size_t MaxRecordsPerAccount{32};
+  std::size_t MaxIncarnations{4}; ///< Stored for each request.
 };
 
 } // namespace pollenstall
--- a/src/work_exchange/work_exchange_type.h
+++ b/src/work_exchange/work_exchange_type.h
@@ -1,4 +1,4 @@
-/** @file work_exchange_type.h What entries tell each other of their work. */
+/** @file work_exchange_type.h Reports by which entries share their work, and tuning. */
 #ifndef POLLENSTALL_WORK_EXCHANGE_WORK_EXCHANGE_TYPE_H
 #define POLLENSTALL_WORK_EXCHANGE_WORK_EXCHANGE_TYPE_H
 
@@ -12,75 +12,74 @@
 
 namespace pollenstall {
 
-/// One of the entries that place work.
+/// An entry that places work.
 struct work_entry {
-  std::string Address;        ///< "IP:port" of its work reports.
+  std::string Address;        ///< "IP:port" that receives its work reports.
   failure_domain_name Domain; ///< Entries of one domain relay for each other.
 
   auto operator<=>(const work_entry &) const = default;
 };
 
-/// Whose work a report tells of.
+/// Whose work a report contains.
 enum class report_scope : std::uint8_t {
-  Own,    ///< The sender's; to the entry that relays for it.
-  Group,  ///< That of the sender and of all that it relays for; to the other relays.
-  Others, ///< That of all entries but the receiver; from the entry that relays for it.
-  None,   ///< What the sender told the receiver counts no longer: it tells another one now.
+  Own,       ///< The work of the sender; sent to its relay.
+  Group,     ///< The work of the sender and of all its members; sent to the other relays.
+  Others,    ///< The work of all entries but the receiver; sent by its relay.
+  Withdrawn, ///< Revokes the sender's earlier reports, since it now reports to another entry.
 };
 
-/// A part of what a sender knows: backend servers that are not named are as they were told before.
+/// An incremental report: backend servers that are not listed have not changed.
 struct work_report {
   process_key Sender;
-  std::uint64_t Sequence{0}; ///< Rises within a life; a late datagram is dropped.
+  std::uint64_t Sequence{0}; ///< Rises within an incarnation; late datagrams are dropped.
   report_scope Scope{report_scope::Own};
-  bool Urgent{false}; ///< Tells of choices that are acted upon in a moment: passed on at once.
+  bool Urgent{false}; ///< Contains work that is about to start; relays forward it at once.
   std::vector<work_load> Loads;
 };
 
-/// A report on its way.
+/// A report and its receiver.
 struct work_datagram {
   std::string To;
   work_report Report;
 };
 
-/// Backend servers in one report; of more the next reports of the round tell.
+/// Maximum number of backend servers in one report; the rest go into further reports of the round.
 constexpr std::size_t MaxReportLoads = 56;
-/// Reports of one round to one receiver; what is left waits for the next round.
+/// Maximum number of reports to one receiver in one round; the rest wait for the next round.
 constexpr std::size_t MaxRoundReports = 4;
 
-/// How work is told. Each span but the first is well within the silence after which what was told
-/// counts no longer.
+/// Tuning of the work exchange. All other durations must be well below ReportLifetime.
 struct work_share_tuning {
-  /// What was told counts no longer after this; that of placement.
-  mono_duration Silence{placement_tuning().PeerSilence};
-  /// Up to so many entries each tells all others itself: a report is then as old as its way.
-  std::size_t MostDirect{16};
-  /// Least time between two reports of an entry to those that it tells; longer by as much for each
-  /// one of them, so that one entry sends no more than a thousand datagrams a second.
-  mono_duration Interval{std::chrono::milliseconds(10)};
-  mono_duration IntervalPerReceiver{std::chrono::microseconds(1'500)};
-  /// From one entry to the next one, with the turn in which it is taken.
-  mono_duration Way{std::chrono::milliseconds(3)};
-  /// What did not change is told again after this, for receivers that missed a datagram.
-  mono_duration Refresh{std::chrono::milliseconds(400)};
-  /// A relay speaks at least this often to those that it relays for.
-  mono_duration RelaySigns{std::chrono::milliseconds(100)};
-  /// A relay that is silent for longer is given up for the next one.
-  mono_duration RelaySilence{std::chrono::milliseconds(300)};
-  /// An entry that tells another relay lets the old one know after this: before, the new one may
-  /// not have passed on what it was told, and the work would count nowhere.
-  mono_duration WithdrawAfter{std::chrono::milliseconds(150)};
-  /// A process that did nothing for so long was suspended: what it knows is of another time.
-  mono_duration Suspended{std::chrono::milliseconds(700)};
-  /// Reading that is this much off what the receiver thinks is told anew, where it is also off by
-  /// the part below.
-  std::uint32_t ReadStepMs{20};
-  std::uint32_t ReadPart{8}; ///< The eighth part.
+  /// Reports expire after this time, which is the one that placement uses.
+  mono_duration ReportLifetime{placement_tuning().PeerSilence};
+  /// Up to this number of entries, each reports to all others directly, without a relay's delay.
+  std::size_t MaxDirectEntries{16};
+  /// Minimum time between two rounds of an entry. The time also grows with the number of datagrams
+  /// in a round, so that one entry sends at most a thousand datagrams a second.
+  mono_duration MinRoundInterval{std::chrono::milliseconds(10)};
+  mono_duration RoundIntervalPerReceiver{std::chrono::microseconds(1'500)};
+  /// Delay from one entry to the next, including its processing there.
+  mono_duration HopDelay{std::chrono::milliseconds(3)};
+  /// Unchanged loads are sent again after this time, for receivers that missed a datagram.
+  mono_duration RefreshInterval{std::chrono::milliseconds(400)};
+  /// A relay sends a report to its members at least this often.
+  mono_duration RelayHeartbeat{std::chrono::milliseconds(100)};
+  /// A relay that has been unresponsive for longer than this is replaced by the next one.
+  mono_duration RelayTimeout{std::chrono::milliseconds(300)};
+  /// An entry that has switched relays sends a withdrawal to the old one after this delay. Before
+  /// that, the new relay may not have forwarded the entry's work, which would then count nowhere.
+  mono_duration WithdrawDelay{std::chrono::milliseconds(150)};
+  /// A process that was inactive for longer than this was suspended, and its state is stale.
+  mono_duration SuspensionThreshold{std::chrono::milliseconds(700)};
+  /// A load's ReadMs is sent again if it differs from the receiver's estimate by more than this
+  /// and by more than the fraction below.
+  std::uint32_t MinReadChangeMs{20};
+  std::uint32_t ReadChangeDivisor{8}; ///< An eighth of the load's ReadMs.
 };
 
-/// What all other entries together have, where that changed.
-struct others_work {
-  std::vector<work_load> Changed;
+/// Changes of the summed work of all other entries.
+struct peer_work_update {
+  std::vector<work_load> ChangedLoads;
   exchange_facts Facts;
 };
 
--- a/src/work_exchange/work_feed.cpp
+++ b/src/work_exchange/work_feed.cpp
@@ -1,43 +1,43 @@
-/** @file work_feed.cpp Whether a receiver is to be told. */
+/** @file work_feed.cpp Whether a load must be sent to a receiver. */
 #include "work_exchange/work_feed_base.h"
 
 namespace pollenstall {
 
 namespace {
 
-/// The end of all work at a backend server is told so often, since a datagram may be lost.
-constexpr std::uint32_t EndsTold = 3;
+/// How many times the end of all work at a backend server is sent, since datagrams may be lost.
+constexpr std::uint32_t MaxEmptyReports = 3;
 
 } // namespace
 
-bool work_feed::isDue(incarnation Incarnation, mono_time Now) const {
-  const auto Known = Told.find(Incarnation);
-  return Known != Told.end() && Now - Known->second.At >= Tuning.Refresh;
+bool work_feed::isRefreshDue(incarnation Incarnation, mono_time Now) const {
+  const auto Sent = SentLoads.find(Incarnation);
+  return Sent != SentLoads.end() && Now - Sent->second.SentAt >= Tuning.RefreshInterval;
 }
 
-void work_feed::forgetEnded(const work_ledger &Ledger) {
+void work_feed::forgetIdleEngines(const work_tracker &Tracker) {
   constexpr std::size_t Spare = 32;
-  if (Told.size() > Ledger.engines().size() + Spare)
-    std::erase_if(Told,
-                  [&Ledger](const auto &Item) { return !Ledger.engines().contains(Item.first); });
+  if (SentLoads.size() > Tracker.engines().size() + Spare)
+    std::erase_if(SentLoads,
+                  [&Tracker](const auto &Item) { return !Tracker.engines().contains(Item.first); });
 }
 
-bool work_feed::note(const work_load &Load, bool Due, mono_time Now) {
-  const auto Known = Told.find(Load.Incarnation);
-  const bool Nothing = isEmpty(Load);
-  if (Known == Told.end()) {
-    if (Nothing)
+bool work_feed::recordIfDue(const work_load &Load, bool IsRefresh, mono_time Now) {
+  const auto Sent = SentLoads.find(Load.Incarnation);
+  const bool Empty = isEmpty(Load);
+  if (Sent == SentLoads.end()) {
+    if (Empty)
       return false;
-    Told[Load.Incarnation] = {Load, Now, 0};
+    SentLoads[Load.Incarnation] = {Load, Now, 0};
     return true;
   }
-  if (!Due && !differs(Known->second.Load, Known->second.At, Load, Now, Tuning))
+  if (!IsRefresh && !needsUpdate(Sent->second.Load, Sent->second.SentAt, Load, Now, Tuning))
     return false;
-  if (Nothing && Known->second.Nothing >= EndsTold) {
-    Told.erase(Known);
+  if (Empty && Sent->second.EmptyReports >= MaxEmptyReports) {
+    SentLoads.erase(Sent);
     return false;
   }
-  Known->second = {Load, Now, Nothing ? Known->second.Nothing + 1 : 0};
+  Sent->second = {Load, Now, Empty ? Sent->second.EmptyReports + 1 : 0};
   return true;
 }
 
--- a/src/work_exchange/work_feed_base.h
+++ b/src/work_exchange/work_feed_base.h
@@ -1,8 +1,9 @@
-/** @file work_feed_base.h What one receiver has been told, and so what it is to be told next. */
+/** @file work_feed_base.h Tracks which loads one receiver was sent and selects those to send next.
+ */
 #ifndef POLLENSTALL_WORK_EXCHANGE_WORK_FEED_BASE_H
 #define POLLENSTALL_WORK_EXCHANGE_WORK_FEED_BASE_H
 
-#include "work_exchange/work_ledger_base.h"
+#include "work_exchange/work_tracker_base.h"
 
 #include <unordered_map>
 #include <vector>
@@ -10,63 +11,65 @@
 namespace pollenstall {
 
 /**
- * Tells of each backend server when its work changed, and again after a while. The cost for the
- * receiver follows from what changes, not from how many backend servers or senders there are.
+ * Sends the load of a backend server when it changed, and refreshes it periodically. The receiver's
+ * cost depends on the number of changes, not on the number of backend servers or senders.
  */
 class work_feed {
 public:
   explicit work_feed(const work_share_tuning &Values) : Tuning(Values) {}
 
   /**
-   * @param Counts Which sources the receiver is told of.
-   * @param Again Whether what did not change is told again where that is due.
-   * @return At most so many loads; what does not fit is told by the next call.
+   * Returns the loads to send now.
+   * @param IncludesSource Returns whether a source's load is part of the sums for this receiver.
+   * @param WithRefresh Whether to include unchanged loads whose refresh is due.
+   * @return At most MaxLoads loads; the next call returns those that do not fit.
    */
   template <typename Filter>
-  std::vector<work_load> next(const work_ledger &Ledger, mono_time Now, const Filter &Counts,
-                              bool Again, std::size_t Most) {
+  std::vector<work_load> nextLoads(const work_tracker &Tracker, mono_time Now,
+                                   const Filter &IncludesSource, bool WithRefresh,
+                                   std::size_t MaxLoads) {
     std::vector<work_load> Loads;
-    forgetEnded(Ledger);
-    const auto Tell = [&](incarnation Incarnation, const work_ledger::engine_work &Engine,
-                          bool Due) {
-      if (Loads.size() >= Most)
+    forgetIdleEngines(Tracker);
+    const auto Append = [&](incarnation Incarnation, const work_tracker::engine_work &Engine,
+                            bool IsRefresh) {
+      if (Loads.size() >= MaxLoads)
         return false;
-      const work_load Load = Ledger.sum(Incarnation, Engine, Now, Counts);
-      if (note(Load, Due, Now))
+      const work_load Load = Tracker.sum(Incarnation, Engine, Now, IncludesSource);
+      if (recordIfDue(Load, IsRefresh, Now))
         Loads.push_back(Load);
       return true;
     };
-    bool Fits = true;
-    for (const auto &[Incarnation, Engine] : Ledger.engines())
-      if (Engine.Changed >= LookedAt)
-        Fits = Tell(Incarnation, Engine, false) && Fits;
-    if (Fits)
-      LookedAt = Now;
-    if (Again)
-      for (const auto &[Incarnation, Engine] : Ledger.engines())
-        if (isDue(Incarnation, Now))
-          Tell(Incarnation, Engine, true);
+    bool AllFit = true;
+    for (const auto &[Incarnation, Engine] : Tracker.engines())
+      if (Engine.ChangedAt >= CheckedUntil)
+        AllFit = Append(Incarnation, Engine, false) && AllFit;
+    if (AllFit)
+      CheckedUntil = Now;
+    if (WithRefresh)
+      for (const auto &[Incarnation, Engine] : Tracker.engines())
+        if (isRefreshDue(Incarnation, Now))
+          Append(Incarnation, Engine, true);
     return Loads;
   }
 
-  /// The sources that count are others than before: each sum is to be looked at.
-  void lookAgain() { LookedAt = mono_time::min(); }
+  /// Rechecks all sums in the next call, since IncludesSource changes.
+  void recheckAll() { CheckedUntil = mono_time::min(); }
 
 private:
-  struct told {
+  struct sent_load {
     work_load Load;
-    mono_time At;
-    std::uint32_t Nothing{0}; ///< Times in a row that it was told that there is no work.
+    mono_time SentAt;
+    std::uint32_t EmptyReports{0}; ///< How many times in a row an empty load was sent.
   };
 
-  [[nodiscard]] bool isDue(incarnation Incarnation, mono_time Now) const;
-  void forgetEnded(const work_ledger &Ledger);
-  /// @return Whether the receiver is to be told, which is noted.
-  bool note(const work_load &Load, bool Due, mono_time Now);
+  [[nodiscard]] bool isRefreshDue(incarnation Incarnation, mono_time Now) const;
+  void forgetIdleEngines(const work_tracker &Tracker);
+  /// Records the load as sent if the receiver needs it. @return Whether it does.
+  bool recordIfDue(const work_load &Load, bool IsRefresh, mono_time Now);
 
   work_share_tuning Tuning;
-  std::unordered_map<incarnation, told> Told;
-  mono_time LookedAt{mono_time::min()}; ///< What changed before has been told.
+  std::unordered_map<incarnation, sent_load> SentLoads;
+  mono_time CheckedUntil{mono_time::min()}; ///< Earlier changes were sent.
 };
 
 } // namespace pollenstall
--- a/src/work_exchange/work_groups.cpp
+++ b/src/work_exchange/work_groups.cpp
@@ -9,24 +9,24 @@
 
 namespace {
 
-std::size_t groupSize(std::size_t Entries, std::size_t MostDirect) {
-  if (Entries <= MostDirect)
+std::size_t groupSize(std::size_t Entries, std::size_t MaxDirectEntries) {
+  if (Entries <= MaxDirectEntries)
     return 1;
   return static_cast<std::size_t>(std::ceil(std::sqrt(static_cast<double>(Entries))));
 }
 
-/// Part of the mean size that a group may be larger by.
-constexpr double SpareRoom = 0.25;
+/// By which fraction a group may exceed the mean size.
+constexpr double SizeTolerance = 0.25;
 
-/// @return The group that the entry prefers among those with room. Each ranks them its own way, so
-/// that one entry more or less moves few others.
+/// Returns the highest-ranked group that is not full (rendezvous hashing). Each entry ranks the
+/// groups differently, so that adding or removing an entry moves few others.
 std::size_t preferredGroup(const std::string &Address, const std::vector<work_group> &Groups,
-                           std::size_t Room) {
+                           std::size_t MaxSize) {
   std::size_t Best = Groups.size();
   std::uint64_t BestRank = 0;
   for (std::size_t Group = 0; Group < Groups.size(); ++Group) {
     const std::uint64_t Rank = combineHashes(stableHash(Address), Group + 1);
-    if (Groups[Group].size() < Room && (Best == Groups.size() || Rank > BestRank)) {
+    if (Groups[Group].size() < MaxSize && (Best == Groups.size() || Rank > BestRank)) {
       Best = Group;
       BestRank = Rank;
     }
@@ -37,24 +37,24 @@
 std::vector<work_group> groupsOf(const std::vector<std::string> &Addresses, std::size_t Size) {
   std::vector<work_group> Groups((Addresses.size() + Size - 1) / Size);
   const double Mean = static_cast<double>(Addresses.size()) / static_cast<double>(Groups.size());
-  const auto Room = static_cast<std::size_t>(std::ceil(Mean * (1 + SpareRoom)));
+  const auto MaxSize = static_cast<std::size_t>(std::ceil(Mean * (1 + SizeTolerance)));
   for (const std::string &Address : Addresses)
-    Groups[preferredGroup(Address, Groups, Size == 1 ? 1 : Room)].push_back(Address);
+    Groups[preferredGroup(Address, Groups, Size == 1 ? 1 : MaxSize)].push_back(Address);
   std::erase_if(Groups, [](const work_group &Group) { return Group.empty(); });
   return Groups;
 }
 
 } // namespace
 
-std::vector<work_group> planGroups(std::vector<work_entry> Entries, std::size_t MostDirect) {
-  // An order by hash: neighbours by address are often replaced together.
+std::vector<work_group> planGroups(std::vector<work_entry> Entries, std::size_t MaxDirectEntries) {
+  // Sorted by hash, since entries with neighbouring addresses are often replaced together.
   const auto Rank = [](const work_entry &Entry) {
     return std::pair(combineHashes(stableHash(Entry.Address), 0), Entry.Address);
   };
   std::sort(Entries.begin(), Entries.end(),
             [&Rank](const work_entry &A, const work_entry &B) { return Rank(A) < Rank(B); });
   Entries.erase(std::unique(Entries.begin(), Entries.end()), Entries.end());
-  const std::size_t Size = groupSize(Entries.size(), MostDirect);
+  const std::size_t Size = groupSize(Entries.size(), MaxDirectEntries);
   std::map<failure_domain_name, std::vector<std::string>> Domains;
   for (const work_entry &Entry : Entries)
     Domains[Entry.Domain].push_back(Entry.Address);
--- a/src/work_exchange/work_groups_func.h
+++ b/src/work_exchange/work_groups_func.h
@@ -1,4 +1,4 @@
-/** @file work_groups_func.h Which entries relay for which. */
+/** @file work_groups_func.h Division of entries into groups with a relay. */
 #ifndef POLLENSTALL_WORK_EXCHANGE_WORK_GROUPS_FUNC_H
 #define POLLENSTALL_WORK_EXCHANGE_WORK_GROUPS_FUNC_H
 
@@ -10,16 +10,17 @@
 
 namespace pollenstall {
 
-/// Entries of one failure domain in the order in which they relay for each other.
+/// Entries of one failure domain, in the order in which they become the group's relay.
 using work_group = std::vector<std::string>;
 
 /**
- * Splits entries into groups: the same ones at every entry that knows of the same entries. Up to
- * MostDirect entries each is a group of its own. Above, a group has about as many entries as there
- * are groups, so that nobody has many more than twice the square root of their number to tell. One
- * entry more or less moves few others to another group, as long as there are as many groups.
+ * Splits entries into groups. The result depends on the set of entries only, so that all entries
+ * with the same set agree on it. Up to MaxDirectEntries entries, each is a group of its own. Above,
+ * a group has about as many entries as there are groups, so that no entry reports to many more than
+ * twice the square root of the number of entries. Adding or removing an entry moves few others to
+ * another group, as long as the number of groups stays the same.
  */
-std::vector<work_group> planGroups(std::vector<work_entry> Entries, std::size_t MostDirect);
+std::vector<work_group> planGroups(std::vector<work_entry> Entries, std::size_t MaxDirectEntries);
 
 } // namespace pollenstall
 
--- a/src/work_exchange/work_report_size_func.h
+++ b/src/work_exchange/work_report_size_func.h
@@ -1,4 +1,4 @@
-/** @file work_report_size_func.h Bytes of a report on the wire. */
+/** @file work_report_size_func.h Size of a work report on the wire. */
 #ifndef POLLENSTALL_WORK_EXCHANGE_WORK_REPORT_SIZE_FUNC_H
 #define POLLENSTALL_WORK_EXCHANGE_WORK_REPORT_SIZE_FUNC_H
 
@@ -9,12 +9,12 @@
 
 namespace pollenstall {
 
-/// @return What work_share sends for it, without the heads of UDP and IP.
+/// @return The size in bytes of a report as sent by work_share, without UDP and IP headers.
 constexpr std::size_t workReportSize(std::string_view Fleet, std::string_view Host,
                                      std::size_t Loads) {
-  constexpr std::size_t Count = 8;    // Of characters or loads.
+  constexpr std::size_t Count = 8;    // Number of characters or loads.
   constexpr std::size_t Envelope = 8; // Magic number, version and kind.
-  constexpr std::size_t Report = 18;  // Life, sequence, scope and urgency.
+  constexpr std::size_t Report = 18;  // Incarnation, sequence, scope and urgency.
   constexpr std::size_t Load = 20;
   return Envelope + Count + Fleet.size() + Count + Host.size() + Report + Count + Load * Loads;
 }
--- a/src/work_share/work_report_codec.cpp
+++ b/src/work_share/work_report_codec.cpp
@@ -1,4 +1,4 @@
-/** @file work_report_codec.cpp Loads in 20 bytes each. */
+/** @file work_report_codec.cpp Encodes each load in 20 bytes. */
 #include "work_share/work_report_codec_func.h"
 
 #include <algorithm>
@@ -8,14 +8,15 @@
 
 namespace {
 
-/// Tokens in one unit of memory on the wire.
+/// Number of tokens in one unit of memory on the wire.
 constexpr std::uint32_t MemoryUnit = 64;
 
-template <typename Small> Small cut(std::uint32_t Value) {
-  return static_cast<Small>(std::min<std::uint32_t>(Value, std::numeric_limits<Small>::max()));
+template <typename Unsigned> Unsigned saturate(std::uint32_t Value) {
+  return static_cast<Unsigned>(
+      std::min<std::uint32_t>(Value, std::numeric_limits<Unsigned>::max()));
 }
 
-/// A work_load as it travels.
+/// A work_load as encoded on the wire.
 struct packed_load {
   incarnation Incarnation;
   std::uint8_t Requests{0};
@@ -45,12 +46,12 @@
 packed_load pack(const work_load &Load) {
   packed_load Packed;
   Packed.Incarnation = Load.Incarnation;
-  Packed.Requests = cut<std::uint8_t>(Load.Requests);
-  Packed.Writers = cut<std::uint8_t>(Load.Writers);
-  Packed.ReadMs = cut<std::uint16_t>(Load.ReadMs);
-  Packed.MemoryUnits = cut<std::uint16_t>(Load.Tokens / MemoryUnit +
-                                          static_cast<std::uint32_t>(Load.Tokens % MemoryUnit > 0));
-  Packed.GapMs = cut<std::uint16_t>(Load.GapMs);
+  Packed.Requests = saturate<std::uint8_t>(Load.Requests);
+  Packed.Writers = saturate<std::uint8_t>(Load.Writers);
+  Packed.ReadMs = saturate<std::uint16_t>(Load.ReadMs);
+  Packed.MemoryUnits = saturate<std::uint16_t>(
+      Load.Tokens / MemoryUnit + static_cast<std::uint32_t>(Load.Tokens % MemoryUnit > 0));
+  Packed.GapMs = saturate<std::uint16_t>(Load.GapMs);
   Packed.FirstReader = Load.FirstReader;
   return Packed;
 }
@@ -83,7 +84,7 @@
   if (!succeeded(Decoded))
     return errorOf(Decoded);
   const packed_report &Packed = valueOf(Decoded);
-  if (Packed.Scope > report_scope::None)
+  if (Packed.Scope > report_scope::Withdrawn)
     return wire_error::Malformed;
   work_report Report{Packed.Sender, Packed.Sequence, Packed.Scope, Packed.Urgent, {}};
   for (const packed_load &Load : Packed.Loads)
--- a/src/work_share/work_report_codec_func.h
+++ b/src/work_share/work_report_codec_func.h
@@ -1,4 +1,4 @@
-/** @file work_report_codec_func.h Work reports in few bytes. */
+/** @file work_report_codec_func.h Compact wire format of work reports. */
 #ifndef POLLENSTALL_WORK_SHARE_WORK_REPORT_CODEC_FUNC_H
 #define POLLENSTALL_WORK_SHARE_WORK_REPORT_CODEC_FUNC_H
 
@@ -10,10 +10,10 @@
 
 namespace pollenstall {
 
-/// @return The datagram. Counts are cut at 255, times at a minute, and memory is rounded up.
+/// @return The datagram. Counts are limited to 255 and times to 65535 ms; memory is rounded up.
 std::string encodeWorkReport(const std::string &Fleet, const work_report &Report);
 
-/// @return The report, or why the bytes are none of this fleet.
+/// @return The report, or why the bytes are not a report of this fleet.
 result<work_report, wire_error> decodeWorkReport(const std::string &Fleet,
                                                  std::span<const char> Bytes);
 
--- a/src/work_share/work_share.cpp
+++ b/src/work_share/work_share.cpp
@@ -1,4 +1,4 @@
-/** @file work_share.cpp UDP by Asio, one thread. */
+/** @file work_share.cpp UDP transport by Asio on one thread. */
 #include "work_share/work_share_base.h"
 
 #include "address/address.h"
@@ -25,17 +25,17 @@
 namespace {
 
 constexpr std::size_t RingCapacity = 1024;
-/// Between two looks at what placement is to be told, which goes through all backend servers.
-constexpr mono_duration TellInterval = std::chrono::milliseconds(5);
+/// Minimum time between two updates for placement, each of which iterates over all backend servers.
+constexpr mono_duration PublishInterval = std::chrono::milliseconds(5);
 
 } // namespace
 
 class work_share::state {
 public:
-  state(std::string Name, process_key Process)
-      : Fleet(std::move(Name)), Self(std::move(Process)), Orders(RingCapacity),
-        Others(RingCapacity), Socket(Io), Timer(Io) {
-    Orders.onWake([this] { asio::post(Io, [this] { takeOrders(); }); });
+  state(std::string FleetName, process_key Process)
+      : Fleet(std::move(FleetName)), Self(std::move(Process)), Commands(RingCapacity),
+        PeerUpdates(RingCapacity), Socket(Io), Timer(Io) {
+    Commands.onWake([this] { asio::post(Io, [this] { processCommands(); }); });
   }
 
   ~state() {
@@ -56,150 +56,151 @@
       return work_share_error{Bind + ": " + Code.message()};
     Socket.non_blocking(true, Code);
     Listening = toText(Socket.local_endpoint());
-    Board.emplace(Self, Listening);
+    View.emplace(Self, Listening);
     return done{};
   }
 
   void start() {
     receive();
-    proceed();
+    runRound();
     Thread = std::thread([this] { Io.run(); });
   }
 
   const std::string Fleet;
   const process_key Self;
-  bounded_ring<share_order> Orders;
-  bounded_ring<others_work> Others;
+  bounded_ring<share_command> Commands;
+  bounded_ring<peer_work_update> PeerUpdates;
   std::string Listening;
   std::atomic<std::uint64_t> SentDatagrams{0};
   std::atomic<std::uint64_t> SentBytes{0};
-  std::atomic<std::uint64_t> TakenDatagrams{0};
+  std::atomic<std::uint64_t> ReceivedDatagrams{0};
 
 private:
-  void takeOrders() {
-    // Of what this entry has the newest says everything.
-    std::optional<own_work> Newest;
+  void processCommands() {
+    // Each own_work_update replaces earlier ones, so only the latest is applied.
+    std::optional<own_work_update> LatestOwnWork;
     bool Urgent = false;
-    Orders.drain([&](share_order &&Order) {
-      if (auto *Known = std::get_if<entries_known>(&Order)) {
-        Board->useEntries(Known->Entries, boot_clock::now());
+    Commands.drain([&](share_command &&Command) {
+      if (auto *Update = std::get_if<entries_update>(&Command)) {
+        View->setEntries(Update->Entries, boot_clock::now());
         return;
       }
-      Newest = std::move(std::get<own_work>(Order));
-      Urgent = Urgent || Newest->Urgent;
+      LatestOwnWork = std::move(std::get<own_work_update>(Command));
+      Urgent = Urgent || LatestOwnWork->Urgent;
     });
-    if (Newest)
-      Board->setOwn(Newest->Loads, Urgent, boot_clock::now());
-    proceed();
+    if (LatestOwnWork)
+      View->setOwnLoads(LatestOwnWork->Loads, Urgent, boot_clock::now());
+    runRound();
   }
 
-  /// Sends what is due, tells placement, and sets the timer for the next time.
-  void proceed() {
+  /// Sends due datagrams, publishes changes to placement, and sets the timer for the next round.
+  void runRound() {
     const mono_time Now = boot_clock::now();
-    for (const work_datagram &Datagram : Board->due(Now))
+    for (const work_datagram &Datagram : View->dueDatagrams(Now))
       send(Datagram);
-    if (Now - ToldAt >= TellInterval) {
-      ToldAt = Now;
-      if (std::vector<work_load> Changed = Board->othersChanged(Now); !Changed.empty())
-        Others.push({std::move(Changed), Board->facts()});
+    if (Now - LastPublishAt >= PublishInterval) {
+      LastPublishAt = Now;
+      if (std::vector<work_load> Changed = View->changedPeerLoads(Now); !Changed.empty())
+        PeerUpdates.push({std::move(Changed), View->facts()});
     }
-    Timer.expires_after(std::max(Board->nextWake(Now) - Now, TellInterval));
+    Timer.expires_after(std::max(View->nextWake(Now) - Now, PublishInterval));
     Timer.async_wait([this](boost::system::error_code Cancelled) {
       if (!Cancelled)
-        proceed();
+        runRound();
     });
   }
 
   void send(const work_datagram &Datagram) {
-    const udp::endpoint *To = endpointOf(Datagram.To);
-    if (!To)
+    const udp::endpoint *Endpoint = endpointOf(Datagram.To);
+    if (!Endpoint)
       return;
-    // Reports to several differ in nothing but their receiver.
-    if (Datagram.Report.Sequence != EncodedSequence) {
-      EncodedSequence = Datagram.Report.Sequence;
-      Encoded = encodeWorkReport(Fleet, Datagram.Report);
+    // A report to several receivers is encoded once.
+    if (Datagram.Report.Sequence != CachedSequence) {
+      CachedSequence = Datagram.Report.Sequence;
+      CachedDatagram = encodeWorkReport(Fleet, Datagram.Report);
     }
-    boost::system::error_code Ignored; // As good as lost on the way.
-    Socket.send_to(asio::buffer(Encoded), *To, 0, Ignored);
+    boost::system::error_code Ignored; // A failure counts as a lost datagram.
+    Socket.send_to(asio::buffer(CachedDatagram), *Endpoint, 0, Ignored);
     SentDatagrams.fetch_add(1, std::memory_order_relaxed);
-    SentBytes.fetch_add(Encoded.size(), std::memory_order_relaxed);
+    SentBytes.fetch_add(CachedDatagram.size(), std::memory_order_relaxed);
   }
 
   const udp::endpoint *endpointOf(const std::string &Address) {
-    constexpr std::size_t MostEndpoints = 4096;
-    const auto Known = Endpoints.find(Address);
-    if (Known != Endpoints.end())
-      return &Known->second;
-    const auto Read = udpEndpoint(Address);
-    if (!Read)
+    constexpr std::size_t MaxEndpoints = 4096;
+    const auto Found = Endpoints.find(Address);
+    if (Found != Endpoints.end())
+      return &Found->second;
+    const auto Parsed = udpEndpoint(Address);
+    if (!Parsed)
       return nullptr;
-    if (Endpoints.size() >= MostEndpoints)
+    if (Endpoints.size() >= MaxEndpoints)
       Endpoints.clear();
-    return &Endpoints.emplace(Address, *Read).first->second;
+    return &Endpoints.emplace(Address, *Parsed).first->second;
   }
 
   void receive() {
-    Socket.async_receive_from(asio::buffer(Input), From,
+    Socket.async_receive_from(asio::buffer(Buffer), SenderEndpoint,
                               [this](boost::system::error_code Code, std::size_t Count) {
                                 if (Code == asio::error::operation_aborted)
                                   return;
                                 if (!Code)
-                                  take({Input.data(), Count});
-                                drain();
+                                  handleDatagram({Buffer.data(), Count});
+                                receivePending();
                                 receive();
-                                proceed();
+                                runRound();
                               });
   }
 
-  /// What else has come is taken in the same turn: a turn costs more than a report.
-  void drain() {
+  /// Receives all pending datagrams in the same iteration of the event loop, since an iteration
+  /// costs more than a report.
+  void receivePending() {
     boost::system::error_code Code;
     while (true) {
-      const std::size_t Count = Socket.receive_from(asio::buffer(Input), From, 0, Code);
+      const std::size_t Count = Socket.receive_from(asio::buffer(Buffer), SenderEndpoint, 0, Code);
       if (Code)
         return;
-      take({Input.data(), Count});
+      handleDatagram({Buffer.data(), Count});
     }
   }
 
-  void take(std::span<const char> Bytes) {
+  void handleDatagram(std::span<const char> Bytes) {
     const auto Report = decodeWorkReport(Fleet, Bytes);
     if (!succeeded(Report))
       return;
-    TakenDatagrams.fetch_add(1, std::memory_order_relaxed);
-    Board->take(valueOf(Report), toText(From), boot_clock::now());
+    ReceivedDatagrams.fetch_add(1, std::memory_order_relaxed);
+    View->receive(valueOf(Report), toText(SenderEndpoint), boot_clock::now());
   }
 
   asio::io_context Io{1};
   udp::socket Socket;
-  udp::endpoint From;
-  std::array<char, MaxReportBytes> Input{};
+  udp::endpoint SenderEndpoint;
+  std::array<char, MaxReportBytes> Buffer{};
   asio::steady_timer Timer;
-  std::optional<work_board> Board;
-  mono_time ToldAt{};
-  std::uint64_t EncodedSequence{0};
-  std::string Encoded;
+  std::optional<work_view> View;
+  mono_time LastPublishAt{};
+  std::uint64_t CachedSequence{0};
+  std::string CachedDatagram;
   std::unordered_map<std::string, udp::endpoint> Endpoints;
   std::thread Thread;
 };
 
-work_share::work_share(std::unique_ptr<state> Made) : State(std::move(Made)) {}
+work_share::work_share(std::unique_ptr<state> NewState) : State(std::move(NewState)) {}
 work_share::~work_share() = default;
 
 result<std::unique_ptr<work_share>, work_share_error>
 work_share::create(const std::string &Fleet, process_key Self, const std::string &Bind) {
-  auto Made = std::make_unique<state>(Fleet, std::move(Self));
-  const auto Opened = Made->open(Bind);
+  auto NewState = std::make_unique<state>(Fleet, std::move(Self));
+  const auto Opened = NewState->open(Bind);
   if (!succeeded(Opened))
     return errorOf(Opened);
-  return std::unique_ptr<work_share>(new work_share(std::move(Made)));
+  return std::unique_ptr<work_share>(new work_share(std::move(NewState)));
 }
 
 std::string work_share::address() const { return State->Listening; }
-bounded_ring<share_order> &work_share::orders() { return State->Orders; }
-bounded_ring<others_work> &work_share::others() { return State->Others; }
+bounded_ring<share_command> &work_share::commands() { return State->Commands; }
+bounded_ring<peer_work_update> &work_share::peerUpdates() { return State->PeerUpdates; }
 work_share_counts work_share::counts() const {
-  return {State->SentDatagrams, State->SentBytes, State->TakenDatagrams};
+  return {State->SentDatagrams, State->SentBytes, State->ReceivedDatagrams};
 }
 void work_share::start() { State->start(); }
 
--- a/src/work_share/work_share.h
+++ b/src/work_share/work_share.h
@@ -1,5 +1,5 @@
-/** @file work_share.h Public header of work_share: entries tell each other what they have under
- * way. */
+/** @file work_share.h Public header of work_share: entries report their work in flight to each
+ * other. */
 #ifndef POLLENSTALL_WORK_SHARE_WORK_SHARE_H
 #define POLLENSTALL_WORK_SHARE_WORK_SHARE_H
 
--- a/src/work_share/work_share_base.h
+++ b/src/work_share/work_share_base.h
@@ -1,4 +1,4 @@
-/** @file work_share_base.h The thread that carries work reports over UDP. */
+/** @file work_share_base.h The thread that sends and receives work reports over UDP. */
 #ifndef POLLENSTALL_WORK_SHARE_WORK_SHARE_BASE_H
 #define POLLENSTALL_WORK_SHARE_WORK_SHARE_BASE_H
 
@@ -10,10 +10,11 @@
 
 namespace pollenstall {
 
-/// Sends what a work_board decides, and hands on what it learns. Lost datagrams stay lost.
+/// Sends the datagrams of a work_view and passes received ones to it. Lost datagrams are not
+/// resent.
 class work_share {
 public:
-  /// @param Bind "IP:port"; port 0 takes one from the kernel.
+  /// Creates a work_share. @param Bind "IP:port"; with port 0 the kernel chooses a port.
   static result<std::unique_ptr<work_share>, work_share_error>
   create(const std::string &Fleet, process_key Self, const std::string &Bind);
   ~work_share();
@@ -21,17 +22,17 @@
   work_share &operator=(const work_share &) = delete;
 
   [[nodiscard]] std::string address() const;
-  /// From the decision thread; set no hook on it.
-  bounded_ring<share_order> &orders();
-  /// To the decision thread, which looks at it in each turn: no report is worth a turn of its own.
-  bounded_ring<others_work> &others();
-  /// From any thread.
+  /// Commands from the decision thread; its wake callback is already in use.
+  bounded_ring<share_command> &commands();
+  /// Updates for the decision thread, which polls them in each iteration: they do not wake it.
+  bounded_ring<peer_work_update> &peerUpdates();
+  /// May be called from any thread.
   [[nodiscard]] work_share_counts counts() const;
   void start();
 
 private:
   class state;
-  explicit work_share(std::unique_ptr<state> Made);
+  explicit work_share(std::unique_ptr<state> NewState);
 
   std::unique_ptr<state> State;
 };
--- a/src/work_share/work_share_type.h
+++ b/src/work_share/work_share_type.h
@@ -1,4 +1,4 @@
-/** @file work_share_type.h Between the thread of work reports and that of decisions. */
+/** @file work_share_type.h Messages between the work report thread and the decision thread. */
 #ifndef POLLENSTALL_WORK_SHARE_WORK_SHARE_TYPE_H
 #define POLLENSTALL_WORK_SHARE_WORK_SHARE_TYPE_H
 
@@ -13,29 +13,29 @@
 
 constexpr std::size_t MaxReportBytes = 1400;
 
-/// Why the share does not start.
+/// Why a work_share could not be created.
 struct work_share_error {
   std::string Text;
 };
 
-/// From the decision thread: what this entry has under way.
-struct own_work {
+/// From the decision thread: the loads that this entry has in flight.
+struct own_work_update {
   std::vector<work_load> Loads;
-  bool Urgent{false}; ///< A choice among them is acted upon in a moment.
+  bool Urgent{false}; ///< Some of the work is about to start.
 };
 
 /// From the decision thread: all entries that place work.
-struct entries_known {
+struct entries_update {
   std::vector<work_entry> Entries;
 };
 
-using share_order = std::variant<own_work, entries_known>;
+using share_command = std::variant<own_work_update, entries_update>;
 
-/// Reports, since the start.
+/// Counters since the start.
 struct work_share_counts {
   std::uint64_t SentDatagrams{0};
   std::uint64_t SentBytes{0};
-  std::uint64_t TakenDatagrams{0};
+  std::uint64_t ReceivedDatagrams{0};
 };
 
 } // namespace pollenstall
--- a/tests/claim/claim_test.cpp
+++ b/tests/claim/claim_test.cpp
@@ -22,16 +22,16 @@
   const claim_holder First = send("accra-a-1", 1);
   const claim_holder Resend = send("accra-b-1", 9);
 
-  result<claim_verdict, claim_error> acquire(const claim_holder &Holder,
-                                             claim_key_hash Key = Letter) {
+  result<claim_status, claim_error> acquire(const claim_holder &Holder,
+                                            claim_key_hash Key = Letter) {
     return Table.execute(claim_acquire{Key, Holder, Day});
   }
-  result<done, claim_error> settle(const claim_holder &Holder, claim_standing Standing,
+  result<done, claim_error> settle(const claim_holder &Holder, claim_state Standing,
                                    claim_key_hash Key = Letter) {
     return Table.execute(claim_settle{Key, Holder, Standing, Day});
   }
-  void expectVerdict(const claim_holder &Holder, claim_verdict Verdict) {
-    EXPECT_EQ(acquire(Holder), (result<claim_verdict, claim_error>(Verdict)));
+  void expectVerdict(const claim_holder &Holder, claim_status Verdict) {
+    EXPECT_EQ(acquire(Holder), (result<claim_status, claim_error>(Verdict)));
   }
   template <typename Result> void expectRefused(const Result &Outcome, claim_error Why) {
     ASSERT_FALSE(succeeded(Outcome));
@@ -40,9 +40,9 @@
 };
 
 TEST_F(a_table, GrantsAKeyOnceAndTellsTheSameSendTheSameAgain) {
-  expectVerdict(First, claim_verdict::Granted);
-  expectVerdict(First, claim_verdict::Granted);
-  expectVerdict(Resend, claim_verdict::Running);
+  expectVerdict(First, claim_status::Granted);
+  expectVerdict(First, claim_status::Granted);
+  expectVerdict(Resend, claim_status::Running);
 }
 
 struct after_the_owner_died : a_table {
@@ -53,9 +53,9 @@
 // The caller resends through another entry, also much later: it is never granted again until the
 // claim's own time is over.
 TEST_F(after_the_owner_died, TheKeyStaysRunningUntilItExpires) {
-  expectVerdict(Resend, claim_verdict::Running);
+  expectVerdict(Resend, claim_status::Running);
   Table.execute(claim_expire{Day - unix_millis(1)});
-  expectVerdict(Resend, claim_verdict::Running);
+  expectVerdict(Resend, claim_status::Running);
   EXPECT_EQ(Table.nextExpiry(), Day);
   Table.execute(claim_expire{Day});
   EXPECT_EQ(Table.size(), 0U);
@@ -67,44 +67,44 @@
 };
 
 TEST_F(after_the_end, ACompleteRunIsToldToEveryResend) {
-  settle(First, claim_standing::Complete);
-  expectVerdict(Resend, claim_verdict::Complete);
-  expectVerdict(First, claim_verdict::Complete);
-  expectRefused(settle(First, claim_standing::Released), claim_error::AlreadySettled);
+  settle(First, claim_state::Complete);
+  expectVerdict(Resend, claim_status::Complete);
+  expectVerdict(First, claim_status::Complete);
+  expectRefused(settle(First, claim_state::Released), claim_error::AlreadySettled);
 }
 
 TEST_F(after_the_end, AnUnknownRunIsNeverGrantedButMayTurnOutComplete) {
-  settle(First, claim_standing::Unknown);
-  expectVerdict(First, claim_verdict::Running);
-  expectVerdict(Resend, claim_verdict::Running);
-  expectRefused(settle(First, claim_standing::Released), claim_error::AlreadySettled);
-  EXPECT_TRUE(succeeded(settle(First, claim_standing::Complete)));
-  expectVerdict(Resend, claim_verdict::Complete);
+  settle(First, claim_state::Unknown);
+  expectVerdict(First, claim_status::Running);
+  expectVerdict(Resend, claim_status::Running);
+  expectRefused(settle(First, claim_state::Released), claim_error::AlreadySettled);
+  EXPECT_TRUE(succeeded(settle(First, claim_state::Complete)));
+  expectVerdict(Resend, claim_status::Complete);
 }
 
 // The first send is refused and releases its key; the resend gets it and runs.
 // A doubled release of the first send arrives late: taken, it would free the key of running work,
 // and a third send would run beside it.
 TEST_F(after_the_end, ALateReleaseOfAnEarlierSendDoesNotFreeTheKey) {
-  settle(First, claim_standing::Released);
-  expectVerdict(Resend, claim_verdict::Granted);
-  expectRefused(settle(First, claim_standing::Released), claim_error::NotHolder);
-  expectVerdict(send("accra-c-1", 3), claim_verdict::Running);
+  settle(First, claim_state::Released);
+  expectVerdict(Resend, claim_status::Granted);
+  expectRefused(settle(First, claim_state::Released), claim_error::NotHolder);
+  expectVerdict(send("accra-c-1", 3), claim_status::Running);
 }
 
 // The entry gives up waiting for its claim and releases it, and the release overtakes the acquire.
 // Granted afterwards, the key would be held by nobody for a day.
 TEST_F(a_table, AnAcquireOvertakenByItsReleaseIsRefused) {
-  EXPECT_TRUE(succeeded(settle(First, claim_standing::Released)));
+  EXPECT_TRUE(succeeded(settle(First, claim_state::Released)));
   expectRefused(acquire(First), claim_error::Withdrawn);
-  expectVerdict(Resend, claim_verdict::Granted);
+  expectVerdict(Resend, claim_status::Granted);
 }
 
 TEST_F(a_table, RefusesWhenFullButNotForTheSakeOfReleasedKeys) {
   for (std::uint64_t Key = 1; Key <= 3; ++Key)
     acquire(First, {Key, 0});
   expectRefused(acquire(First, {4, 0}), claim_error::TableFull);
-  EXPECT_TRUE(succeeded(settle(First, claim_standing::Released, {2, 0})));
+  EXPECT_TRUE(succeeded(settle(First, claim_state::Released, {2, 0})));
   EXPECT_TRUE(succeeded(acquire(First, {4, 0})));
   EXPECT_FALSE(Table.find({2, 0}).has_value());
   EXPECT_EQ(Table.size(), 3U);
@@ -112,8 +112,8 @@
 
 TEST_F(a_table, RefusesRunningAsAnEndStrangersAndTimeThatGoesBack) {
   acquire(First);
-  expectRefused(settle(First, claim_standing::Running), claim_error::InvalidStanding);
-  expectRefused(settle(Resend, claim_standing::Complete), claim_error::NotHolder);
+  expectRefused(settle(First, claim_state::Running), claim_error::InvalidStanding);
+  expectRefused(settle(Resend, claim_state::Complete), claim_error::NotHolder);
   Table.execute(claim_expire{unix_millis(5)});
   expectRefused(Table.execute(claim_expire{unix_millis(4)}), claim_error::TimeWentBack);
 }
@@ -131,7 +131,7 @@
 }
 
 TEST_F(a_table, RefusesABrokenSnapshot) {
-  const claim_record Record{Letter, First, claim_standing::Running, Day};
+  const claim_record Record{Letter, First, claim_state::Running, Day};
   expectRefused(claim_table::restore({unix_millis(0), {Record, Record}}, 3),
                 claim_error::InvalidSnapshot);
   expectRefused(claim_table::restore({unix_millis(0), {Record}}, 0), claim_error::InvalidSnapshot);
@@ -146,7 +146,7 @@
     return claim_expire{unix_millis(*rc::gen::inRange(0, 40))};
   case 1:
   case 2: {
-    const auto Standing = static_cast<claim_standing>(*rc::gen::inRange(0, 4));
+    const auto Standing = static_cast<claim_state>(*rc::gen::inRange(0, 4));
     return claim_settle{Key, Holder, Standing, ExpiresAt};
   }
   default:
@@ -194,7 +194,7 @@
         continue;
       const auto After = Table.find(Acquire->Key);
       RC_ASSERT(After.has_value());
-      if (Before && Before->Standing != claim_standing::Released)
+      if (Before && Before->Standing != claim_state::Released)
         RC_ASSERT(After->Holder == Before->Holder);
     }
   }));
--- a/tests/control/control_cluster.cpp
+++ b/tests/control/control_cluster.cpp
@@ -225,7 +225,7 @@
 void test_entry::take(const lease_extended &Event) {
   Freshness.extend(Event.Revision, Event.Until);
 }
-void test_entry::take(const claim_answered &Event) { Verdicts[Event.Request] = Event.Verdict; }
+void test_entry::take(const claim_answered &Event) { Verdicts[Event.Request] = Event.Status; }
 void test_entry::take(const drains_changed &Event) { Drains = Event.Backends; }
 void test_entry::take(const backends_listed & /*Event*/) {}
 void test_entry::take(const entries_listed & /*Event*/) {}
@@ -233,8 +233,8 @@
 void test_entry::take(const declaration_announced & /*Event*/) {}
 void test_entry::take(const suspects_listed &Event) { Suspects = Event.Suspects; }
 
-claim_verdict test_entry::claim(std::uint64_t Request, const std::string &Key,
-                                std::chrono::milliseconds Limit) {
+claim_status test_entry::claim(std::uint64_t Request, const std::string &Key,
+                               std::chrono::milliseconds Limit) {
   const request_number Number(Request);
   Verdicts.erase(Number);
   Link->request(claim_wanted{{Number, Key, boot_clock::now() + Limit}, std::chrono::hours(1)});
@@ -242,7 +242,7 @@
   return Verdicts[Number];
 }
 
-void test_entry::settle(std::uint64_t Request, const std::string &Key, claim_standing Standing) {
+void test_entry::settle(std::uint64_t Request, const std::string &Key, claim_state Standing) {
   Link->request(claim_ended{{request_number(Request), Key, Standing}, std::chrono::hours(1)});
 }
 
--- a/tests/control/control_cluster.h
+++ b/tests/control/control_cluster.h
@@ -101,9 +101,9 @@
                  std::chrono::milliseconds Limit = TestLimit);
 
   /// @return The verdict on a claim, asked for and waited for.
-  claim_verdict claim(std::uint64_t Request, const std::string &Key,
-                      std::chrono::milliseconds Limit = std::chrono::seconds(20));
-  void settle(std::uint64_t Request, const std::string &Key, claim_standing Standing);
+  claim_status claim(std::uint64_t Request, const std::string &Key,
+                     std::chrono::milliseconds Limit = std::chrono::seconds(20));
+  void settle(std::uint64_t Request, const std::string &Key, claim_state Standing);
 
   [[nodiscard]] bool ready() const { return Freshness.ready(boot_clock::now()); }
   [[nodiscard]] revision inUse() const { return Freshness.current().value_or(revision()); }
@@ -113,7 +113,7 @@
   std::size_t Offers{0};      ///< Declarations received.
   std::size_t StaleOffers{0}; ///< Older than the one in use.
   std::vector<backend_address> Drains;
-  std::vector<told_suspect> Suspects;
+  std::vector<published_suspect> Suspects;
   bool Confirms{true}; ///< False: takes declarations but never says so.
 
 private:
@@ -129,7 +129,7 @@
   void take(const suspects_listed &Event);
 
   entry_freshness Freshness;
-  std::map<request_number, claim_verdict> Verdicts;
+  std::map<request_number, claim_status> Verdicts;
   std::unique_ptr<control_link> Link;
 };
 
--- a/tests/control/control_codec_test.cpp
+++ b/tests/control/control_codec_test.cpp
@@ -88,7 +88,7 @@
   const auto Decoded = decodeState(encodeState(State), {});
   ASSERT_TRUE(succeeded(Decoded));
   EXPECT_EQ(valueOf(Decoded).snapshot(), State.snapshot());
-  ASSERT_EQ(valueOf(Decoded).suspects().told(unix_millis(3'000)).size(), 1U);
+  ASSERT_EQ(valueOf(Decoded).suspects().published(unix_millis(3'000)).size(), 1U);
 }
 
 /// Of a command's bytes: the number of their version.
--- a/tests/control/entry_link_test.cpp
+++ b/tests/control/entry_link_test.cpp
@@ -110,21 +110,21 @@
   // resends through another entry, which must not be granted the key by the next leader.
   {
     test_entry First(Cluster.entryAddresses(), "entry-1");
-    ASSERT_EQ(First.claim(7, "acme-1:letter-1"), claim_verdict::Granted);
+    ASSERT_EQ(First.claim(7, "acme-1:letter-1"), claim_status::Granted);
   }
   Cluster.kill(Cluster.waitForLeader());
   test_entry Second(Cluster.entryAddresses(), "entry-2");
-  EXPECT_EQ(Second.claim(1, "acme-1:letter-1"), claim_verdict::Running);
-  EXPECT_EQ(Second.claim(2, "acme-1:letter-2"), claim_verdict::Granted);
+  EXPECT_EQ(Second.claim(1, "acme-1:letter-1"), claim_status::Running);
+  EXPECT_EQ(Second.claim(2, "acme-1:letter-2"), claim_status::Granted);
 }
 
 TEST_F(FollowingEntriesTest, RecordTheEndOfClaimedWorkAcrossAFailover) {
   test_entry First(Cluster.entryAddresses(), "entry-1");
   test_entry Second(Cluster.entryAddresses(), "entry-2");
-  ASSERT_EQ(First.claim(1, "key"), claim_verdict::Granted);
+  ASSERT_EQ(First.claim(1, "key"), claim_status::Granted);
   Cluster.kill(Cluster.waitForLeader());
-  First.settle(1, "key", claim_standing::Complete);
-  EXPECT_TRUE(eventually([&] { return Second.claim(2, "key") == claim_verdict::Complete; }));
+  First.settle(1, "key", claim_state::Complete);
+  EXPECT_TRUE(eventually([&] { return Second.claim(2, "key") == claim_status::Complete; }));
 }
 
 TEST_F(FollowingEntriesTest, FreeAClaimThatTheyGaveUp) {
@@ -134,11 +134,11 @@
   ASSERT_TRUE(First.pumpUntil([&] { return First.ready(); }));
   for (std::size_t Host = 0; Host < Cluster.size(); ++Host)
     Cluster.freeze(Host);
-  EXPECT_EQ(First.claim(1, "key", std::chrono::milliseconds(300)), claim_verdict::Unavailable);
+  EXPECT_EQ(First.claim(1, "key", std::chrono::milliseconds(300)), claim_status::Unavailable);
   for (std::size_t Host = 0; Host < Cluster.size(); ++Host)
     Cluster.thaw(Host);
   test_entry Second(Cluster.entryAddresses(), "entry-2");
-  EXPECT_TRUE(eventually([&] { return Second.claim(2, "key") == claim_verdict::Granted; }));
+  EXPECT_TRUE(eventually([&] { return Second.claim(2, "key") == claim_status::Granted; }));
 }
 
 /// Sends bytes and waits until the other side has closed.
--- a/tests/control/suspect_link_test.cpp
+++ b/tests/control/suspect_link_test.cpp
@@ -17,17 +17,17 @@
   bool reportUntilBlocked(test_entry &Entry) {
     return Entry.pumpUntil([&] {
       Entry.link().request(
-          crash_seen{{backend_address("127.0.0.1:1"), incarnation(++LastIncarnation)}, {Cause}});
+          crash_report{{backend_address("127.0.0.1:1"), incarnation(++LastIncarnation)}, {Cause}});
       return isBlocked(Entry);
     });
   }
   [[nodiscard]] bool isBlocked(const test_entry &Entry) const {
-    return Entry.Suspects.size() == 1 && Entry.Suspects[0].Mark == Cause &&
+    return Entry.Suspects.size() == 1 && Entry.Suspects[0].Fingerprint == Cause &&
            Entry.Suspects[0].BlockedFor.count() > 0;
   }
 
   control_cluster Cluster{Hosts};
-  const request_mark Cause{1, 2, 3, 4};
+  const request_fingerprint Cause{1, 2, 3, 4};
   std::uint64_t LastIncarnation{0};
 };
 
--- a/tests/control_state/control_link_test.cpp
+++ b/tests/control_state/control_link_test.cpp
@@ -20,7 +20,7 @@
           link_lease{1, revision(3), 5000},
           link_declared{revision(4)},
           link_not_leader{"127.0.0.1:1"},
-          link_claim_answer{4, claim_verdict::Running},
+          link_claim_answer{4, claim_status::Running},
           link_settle_answer{4},
           link_drains{2, {backend_address("127.0.0.1:9")}},
           link_declaration_change{revision(3), revision(4),
@@ -73,11 +73,11 @@
 TEST_F(OpenCallsTest, AreAskedAgainUntilTheyAreAnswered) {
   const auto Message = Ledger.acquire(wanted(1, Now + std::chrono::seconds(1)), unix_millis(0));
   EXPECT_EQ(Ledger.unanswered().size(), 1U);
-  const auto Event = Ledger.answered({Message.Call, claim_verdict::Granted});
+  const auto Event = Ledger.answered({Message.Call, claim_status::Granted});
   ASSERT_TRUE(Event);
   EXPECT_EQ(Event->Request, request_number(1));
   EXPECT_TRUE(Ledger.unanswered().empty());
-  EXPECT_FALSE(Ledger.answered({Message.Call, claim_verdict::Granted}));
+  EXPECT_FALSE(Ledger.answered({Message.Call, claim_status::Granted}));
 }
 
 TEST_F(OpenCallsTest, ThatAreGivenUpAreReleased) {
@@ -86,13 +86,13 @@
   const auto Message = Ledger.acquire(wanted(1, Now), unix_millis(0));
   const auto Events = Ledger.expire(Now);
   ASSERT_EQ(Events.size(), 1U);
-  EXPECT_EQ(Events[0].Verdict, claim_verdict::Unavailable);
+  EXPECT_EQ(Events[0].Status, claim_status::Unavailable);
   const auto Releases = Ledger.takeReleases();
   ASSERT_EQ(Releases.size(), 1U);
-  EXPECT_EQ(Releases[0].Claim.Standing, claim_standing::Released);
+  EXPECT_EQ(Releases[0].Claim.Standing, claim_state::Released);
   EXPECT_EQ(Releases[0].Claim.Holder, Message.Claim.Holder);
   EXPECT_EQ(Ledger.unanswered().size(), 1U);
-  EXPECT_FALSE(Ledger.answered({Message.Call, claim_verdict::Granted})) << "too late to run it";
+  EXPECT_FALSE(Ledger.answered({Message.Call, claim_status::Granted})) << "too late to run it";
   Ledger.settled({Releases[0].Call});
   EXPECT_TRUE(Ledger.unanswered().empty());
 }
--- a/tests/control_state/control_state_test.cpp
+++ b/tests/control_state/control_state_test.cpp
@@ -142,10 +142,10 @@
   const claim_holder Second{{host_name("e2"), incarnation(1)}, request_number(9)};
   const claim_key_hash Key{1, 2};
   EXPECT_EQ(State.execute(claim_acquire{Key, First, unix_millis(9000)}),
-            control_answer(claim_acquire_answer(claim_verdict::Granted)));
+            control_answer(claim_acquire_answer(claim_status::Granted)));
   control_state Other = reloaded(State);
   EXPECT_EQ(Other.execute(claim_acquire{Key, Second, unix_millis(9000)}),
-            control_answer(claim_acquire_answer(claim_verdict::Running)));
+            control_answer(claim_acquire_answer(claim_status::Running)));
 }
 
 TEST_F(ChangesTest, RefuseASnapshotThatBreaksARule) {
@@ -235,7 +235,7 @@
     return {{{1, 2, 3, 4}}, incarnation(Incarnation), unix_millis(Time)};
   }
   [[nodiscard]] std::size_t told(const control_state &Of) const {
-    return Of.suspects().told(unix_millis(100'000)).size();
+    return Of.suspects().published(unix_millis(100'000)).size();
   }
 };
 
--- a/tests/dispatch/random_test.cpp
+++ b/tests/dispatch/random_test.cpp
@@ -1,5 +1,5 @@
-/** @file random_test.cpp Randomised runs of two entries, three engines and the claims. */
-#include "random_world.h"
+/** @file random_test.cpp Randomised simulations of two entries, three engines and a claim table. */
+#include "dispatch_simulation.h"
 
 #include <gtest/gtest.h>
 
@@ -18,16 +18,17 @@
   return Value == nullptr ? Default : std::strtoull(Value, nullptr, 10);
 }
 
-/// The seed that runs now, for the line that a failed invariant's abort leaves behind.
+/// The seed of the current run, printed when a failed invariant aborts the process.
 volatile std::uint64_t CurrentSeed = 0;
 
 void printSeed(int /*Signal*/) { std::cerr << "failing seed " << CurrentSeed << std::endl; }
 
-// Callers send work of every kind and resend it elsewhere under the same key, while connections,
-// cancels, claims and entries are lost, answers come late, doubled or crossed, engines restart.
-// Non-idempotent work must run at most once, "not run" must be true, each request must end once,
-// only whole answers may pass as whole, and no engine may keep memory for good.
-TEST(RandomisedDispatch, HoldsItsPromisesInEverySchedule) {
+// Callers send idempotent and non-idempotent work and resend it to other entries under the same
+// key. Connections, cancels, claims and entries are lost; answers arrive late, twice or on another
+// connection; engines restart. Non-idempotent work must run at most once, "not run" must be true,
+// each request must end once, only complete answers may be reported as complete, and no engine may
+// keep memory after the end.
+TEST(RandomisedDispatch, KeepsItsInvariantsInEverySchedule) {
   const std::uint64_t First = setting("POLLENSTALL_FIRST_SEED", DefaultFirstSeed);
   const std::uint64_t Seeds = setting("POLLENSTALL_SEEDS", DefaultSeeds);
   std::signal(SIGABRT, printSeed);
@@ -35,7 +36,7 @@
   dispatch_counters Sum;
   for (std::uint64_t Seed = First; Seed < First + Seeds; ++Seed) {
     CurrentSeed = Seed;
-    random_world World(Seed);
+    dispatch_simulation World(Seed);
     for (const std::string &Violation : World.run())
       ADD_FAILURE() << "failing seed " << Seed << ": " << Violation;
     Steps += World.steps();
@@ -52,7 +53,7 @@
             << Sum.Unknown << " retries " << Sum.Retries << " resumes " << Sum.Resumes
             << " abandoned " << Sum.Abandoned << "\n";
   EXPECT_GT(Sum.Complete * Sum.NotRun * Sum.Unknown * Sum.Retries * Sum.Resumes * Sum.Abandoned, 0U)
-      << "the schedules no longer reach every case";
+      << "the simulated schedules no longer cover every case";
 }
 
 } // namespace
