--- a/tests/dispatch/retry_test.cpp
+++ b/tests/dispatch/retry_test.cpp
@@ -1,12 +1,12 @@
-/** @file retry_test.cpp What may be tried again, where, how often, and under which claim. */
-#include "dispatch_story.h"
+/** @file retry_test.cpp Which work may be retried, where, how often, and under which claim. */
+#include "dispatcher_fixture.h"
 
 namespace pollenstall {
 namespace {
 
 using std::chrono::seconds;
 
-struct idempotent_work : dispatch_story {
+struct idempotent_retry_test : dispatcher_fixture {
   void SetUp() override {
     arrive(facts(true));
     place(EngineA);
@@ -14,88 +14,86 @@
   }
 };
 
-TEST_F(idempotent_work, IsTriedElsewhereFirstAfterABreak) {
+TEST_F(idempotent_retry_test, IsRetriedElsewhereAfterABrokenConnection) {
   fail(attempt_failure::BrokenSent);
   ASSERT_EQ(Submitted.size(), 2U);
   EXPECT_EQ(Submitted[1].Avoid, std::vector<backend_key>{EngineA});
-  EXPECT_EQ(cancels(), 1U) << "the engine may compute on";
+  EXPECT_EQ(cancels(), 1U) << "the first engine may still run the attempt";
   place(EngineB);
   send(2);
   complete(2);
-  expectEnd(final_outcome::Complete, failure_reason::None);
+  expectOutcome(final_outcome::Complete, failure_reason::None);
 }
 
-TEST_F(idempotent_work, EndsAtTheCapOnAttempts) {
+TEST_F(idempotent_retry_test, StopsAtMaxAttempts) {
   fail(attempt_failure::ErrorAnswer);
   place(EngineB);
   fail(attempt_failure::NotConnected, 2);
   place(EngineB);
   fail(attempt_failure::NotConnected, 3);
-  expectEnd(final_outcome::Unknown, failure_reason::RetriesExhausted);
+  expectOutcome(final_outcome::Unknown, failure_reason::RetriesExhausted);
   EXPECT_EQ(starts(), 3U);
-  EXPECT_EQ(cancels(), 0U) << "nothing of it is held anywhere";
+  EXPECT_EQ(cancels(), 0U) << "no engine holds resources of the request";
 }
 
-TEST_F(idempotent_work, MovesAwayFromASilentEngineAndDropsItsLateAnswer) {
+TEST_F(idempotent_retry_test, MovesFromAnUnresponsiveEngineAndDropsItsLateAnswer) {
   Dispatch.backendLost(EngineA, Now);
   place(EngineB);
   send(2);
   complete(1);
-  EXPECT_TRUE(all<finish_request>().empty());
-  EXPECT_EQ(Dispatch.abandonedAttempts(), 0U) << "a whole answer frees the engine";
+  EXPECT_TRUE(actionsOf<finish_request>().empty());
+  EXPECT_EQ(Dispatch.abandonedAttempts(), 0U) << "a complete answer frees the engine's memory";
   complete(2);
-  expectEnd(final_outcome::Complete, failure_reason::None);
+  expectOutcome(final_outcome::Complete, failure_reason::None);
 }
 
-// The first attempt is given up as slow, and in the same moment its first token goes to the caller.
-// The event comes after the second attempt started. The second answer must not follow the first
-// one's token, so the request ends with an error.
-TEST_F(idempotent_work, EndsWhenTheAnswerOfAGivenUpAttemptHadBegun) {
-  pass(seconds(30));
+// The first attempt is abandoned as slow while its first token is being relayed. The event arrives
+// after the second attempt started. The second answer must not follow the first one's token, so the
+// request ends with an error.
+TEST_F(idempotent_retry_test, EndsIfAnAbandonedAttemptHadStartedAnswering) {
+  advanceTime(seconds(30));
   place(EngineB);
   answer(1);
-  expectEnd(final_outcome::Unknown, failure_reason::BackendFailed);
+  expectOutcome(final_outcome::Unknown, failure_reason::BackendFailed);
   complete(2);
-  EXPECT_EQ(all<finish_request>().size(), 1U);
+  EXPECT_EQ(actionsOf<finish_request>().size(), 1U);
 }
 
-// Engines without power answer nothing and reset nothing. Where a target is declared the first
-// event is given up at four times of it, while its caller still waits.
-TEST_F(dispatch_story, WorkWithATargetIsTriedElsewhereAtFourTimesOfIt) {
+// Engines that lost power neither answer nor reset connections. With a declared target, the attempt
+// times out at four times the target, while the caller still waits.
+TEST_F(dispatcher_fixture, RetriesElsewhereAtFourTimesTheTarget) {
   request_facts Facts = facts(true);
   Facts.Target = std::chrono::milliseconds(300);
   arrive(Facts);
   place(EngineA);
-  pass(std::chrono::milliseconds(1'190));
+  advanceTime(std::chrono::milliseconds(1'190));
   EXPECT_EQ(Submitted.size(), 1U);
-  pass(std::chrono::milliseconds(20));
+  advanceTime(std::chrono::milliseconds(20));
   ASSERT_EQ(Submitted.size(), 2U);
   EXPECT_EQ(Submitted[1].Avoid, std::vector<backend_key>{EngineA});
 }
 
-TEST_F(idempotent_work, KeepsASlowAttemptWhereNoRetryMayStart) {
+TEST_F(idempotent_retry_test, KeepsASlowAttemptIfNoRetryMayStart) {
   limits_declaration Fewer = Limits;
   Fewer.MaxAttempts = 1;
   Dispatch.applyLimits(Fewer);
-  pass(seconds(30));
+  advanceTime(seconds(30));
   Dispatch.backendLost(EngineA, Now);
   EXPECT_EQ(cancels(), 0U);
   complete();
-  expectEnd(final_outcome::Complete, failure_reason::None);
+  expectOutcome(final_outcome::Complete, failure_reason::None);
 }
 
-TEST_F(idempotent_work, IsUnknownWhenTheRetryFindsNoPlace) {
-  Refuse = work_refusal{failure_reason::QueueFull, seconds(1)};
+TEST_F(idempotent_retry_test, IsUnknownWhenTheRetryIsRefused) {
+  Refusal = work_refusal{failure_reason::QueueFull, seconds(1)};
   fail(attempt_failure::BrokenSent);
-  expectEnd(final_outcome::Unknown, failure_reason::QueueFull);
+  expectOutcome(final_outcome::Unknown, failure_reason::QueueFull);
 }
 
-// All engines fail at once. Each request would be sent MaxAttempts times, and the load of the
-// retries keeps the engines down. The budget bounds them to a share of the first attempts.
-// A failure domain is lost and its engines are still listed: two attempts meet two of them and are
-// not connected. No server was sent anything, so that neither the route's bound of two nor the
-// budget ends the request; it is run by the third.
-TEST_F(dispatch_story, ServersOutOfReachUseUpNoAttemptOfADeclaredRoute) {
+// A failure domain is lost while its engines are still listed, and three attempts cannot connect to
+// them. No backend server was sent anything, so neither the route's limit of two attempts nor the
+// budget may end the request.
+TEST_F(dispatcher_fixture, ServersOutOfReachUseUpNoAttemptOfADeclaredRoute) {
   limits_declaration None = Limits;
   None.RetryPercent = 0;
   Dispatch.applyLimits(None);
@@ -108,22 +106,22 @@
     fail(attempt_failure::NotConnected, Ordinal);
   }
   EXPECT_EQ(Submitted.size(), 4U);
-  EXPECT_TRUE(all<finish_request>().empty());
+  EXPECT_TRUE(actionsOf<finish_request>().empty());
 }
 
-TEST(ARetryWindow, BoundsTheRetriesOfAnySpanOfItsLength) {
+TEST(ARetryWindow, LimitsTheRetriesOfAnyWindow) {
   retry_window Window({3, std::chrono::seconds(10)});
   constexpr double Share = 0.2;
   std::vector<mono_time> Retries;
-  std::vector<mono_time> Firsts;
+  std::vector<mono_time> FirstAttempts;
   random_source Random(7);
   mono_time Now{std::chrono::hours(1)};
   for (int Step = 0; Step < 20'000; ++Step) {
     Now += std::chrono::milliseconds(Random.below(60));
     if (Random.chance(0.5)) {
-      Window.noteFirst(Now);
-      Firsts.push_back(Now);
-    } else if (Window.spend(Share, Now)) {
+      Window.recordFirstAttempt(Now);
+      FirstAttempts.push_back(Now);
+    } else if (Window.tryWithdraw(Share, Now)) {
       Retries.push_back(Now);
     }
   }
@@ -133,180 +131,185 @@
            std::lower_bound(Times.begin(), Times.end(), From);
   };
   for (const mono_time End : Retries) {
-    // First attempts of the half second before the window may count, as its slots do.
+    // First attempts up to half a second before the window may count, since it consists of slots.
     const mono_time Begin = End - std::chrono::seconds(10);
     const auto Allowed =
-        3 + Share * static_cast<double>(In(Firsts, Begin - std::chrono::milliseconds(600),
+        3 + Share * static_cast<double>(In(FirstAttempts, Begin - std::chrono::milliseconds(600),
                                            End + std::chrono::nanoseconds(1)));
     EXPECT_LE(static_cast<double>(In(Retries, Begin, End + std::chrono::nanoseconds(1))), Allowed);
   }
 }
 
-// Thirty streams break off at once after a minute of calm. The bound of a window allows to go on
-// with all of them; what a bucket had saved up allowed seven.
-TEST(ARetryWindow, AllowsItsWholeBoundAtOnce) {
+// Thirty streams break at once after a minute without failures. The window's limit allows to resume
+// all of them, while the balance of a token bucket allowed only seven.
+TEST(ARetryWindow, AllowsItsFullLimitAtOnce) {
   retry_window Window({12, std::chrono::seconds(10)});
   mono_time Now{std::chrono::hours(1)};
   for (int Step = 0; Step < 600; ++Step) {
     Now += std::chrono::milliseconds(100);
-    Window.noteFirst(Now);
+    Window.recordFirstAttempt(Now);
   }
   int Allowed = 0;
-  while (Window.spend(0.2, Now))
+  while (Window.tryWithdraw(0.2, Now))
     ++Allowed;
   EXPECT_GE(Allowed, 30);
 }
 
-TEST_F(dispatch_story, RetriesStayWithinTheirBudget) {
+// All engines fail at once. Without a budget each request would be sent MaxAttempts times, and the
+// load of the retries would keep the engines down. The budget limits retries to a share of the
+// first attempts.
+TEST_F(dispatcher_fixture, RetriesStayWithinTheirBudget) {
   for (std::uint64_t Number = 1; Number <= 200; ++Number) {
     arrive(facts(true, {}, Number));
     place(EngineA, Number);
     for (std::uint32_t Ordinal = 1; Ordinal <= 3; ++Ordinal) {
-      happen(attempt_failed{{Self, request_number(Number), Ordinal}, attempt_failure::Declined});
+      handleEvent(
+          attempt_failed{{Self, request_number(Number), Ordinal}, attempt_failure::Declined});
       place(EngineB, Number);
     }
   }
   EXPECT_EQ(starts(), 200U + 200U / 10U + 3U);
-  EXPECT_EQ(all<finish_request>().size(), 200U);
-  pass(seconds(2));
+  EXPECT_EQ(actionsOf<finish_request>().size(), 200U);
+  advanceTime(seconds(2));
   arrive(facts(true, {}, 201));
   place(EngineA, 201);
-  happen(attempt_failed{{Self, request_number(201), 1}, attempt_failure::Declined});
-  EXPECT_EQ(Dispatch.liveRequests(), 1U) << "the floor refills with time";
+  handleEvent(attempt_failed{{Self, request_number(201), 1}, attempt_failure::Declined});
+  EXPECT_EQ(Dispatch.liveRequests(), 1U) << "the floor must refill over time";
 }
 
-struct work_that_runs_once : dispatch_story {
+struct non_idempotent_retry_test : dispatcher_fixture {
   void SetUp() override {
     arrive(facts(false));
     place(EngineA);
   }
 };
 
-// The newsletter's request is out when its connection breaks. It may have been sent to everyone.
-// A second try could send it twice, so the caller is told "unknown".
-TEST_F(work_that_runs_once, IsNotStartedAgainAfterAPossibleFirstByte) {
+// A non-idempotent request, such as one that sends a newsletter, breaks after it was sent. A retry
+// could run it twice, so the caller gets "unknown".
+TEST_F(non_idempotent_retry_test, IsNotStartedAgainAfterAPossibleFirstByte) {
   send();
   fail(attempt_failure::BrokenSent);
-  expectEnd(final_outcome::Unknown, failure_reason::BackendFailed);
+  expectOutcome(final_outcome::Unknown, failure_reason::BackendFailed);
   EXPECT_EQ(Submitted.size(), 1U);
 }
 
-TEST_F(work_that_runs_once, DoesNotTakeAnUnsentReportForProofOnceAByteWasOut) {
+TEST_F(non_idempotent_retry_test, IgnoresAnUnsentReportAfterAByteWasSent) {
   send();
   fail(attempt_failure::NotConnected);
-  expectEnd(final_outcome::Unknown, failure_reason::BackendFailed);
+  expectOutcome(final_outcome::Unknown, failure_reason::BackendFailed);
 }
 
-TEST_F(work_that_runs_once, IsTriedElsewhereWhenProvedNotRun) {
+TEST_F(non_idempotent_retry_test, IsRetriedElsewhereWhenProvedNotRun) {
   fail(attempt_failure::NotConnected);
   place(EngineB);
   send(2);
   fail(attempt_failure::Declined, 2);
   place(EngineB);
   fail(attempt_failure::BrokenUnsent, 3);
-  expectEnd(final_outcome::NotRun, failure_reason::RetriesExhausted);
+  expectOutcome(final_outcome::NotRun, failure_reason::RetriesExhausted);
 }
 
-TEST_F(work_that_runs_once, StaysWithASilentEngine) {
+TEST_F(non_idempotent_retry_test, StaysWithAnUnresponsiveEngine) {
   send();
   Dispatch.backendLost(EngineA, Now);
   Dispatch.backendGone(EngineA, Now);
   EXPECT_EQ(Submitted.size(), 1U);
   complete();
-  expectEnd(final_outcome::Complete, failure_reason::None);
+  expectOutcome(final_outcome::Complete, failure_reason::None);
 }
 
-struct work_under_a_claim : dispatch_story {
+struct claimed_request_test : dispatcher_fixture {
   void SetUp() override { arrive(facts(false, "letter-7")); }
 };
 
-TEST_F(work_under_a_claim, WaitsForTheClaimBeforeAnythingElse) {
-  ASSERT_EQ(all<acquire_claim>().size(), 1U);
-  EXPECT_EQ(all<acquire_claim>()[0].Key, "6:acme-1:letter-7");
-  EXPECT_GE(all<acquire_claim>()[0].Lifetime, seconds(60));
+TEST_F(claimed_request_test, WaitsForItsClaim) {
+  ASSERT_EQ(actionsOf<acquire_claim>().size(), 1U);
+  EXPECT_EQ(actionsOf<acquire_claim>()[0].Key, "6:acme-1:letter-7");
+  EXPECT_GE(actionsOf<acquire_claim>()[0].Lifetime, seconds(60));
   EXPECT_TRUE(Submitted.empty());
-  answerClaim(claim_verdict::Granted);
+  answerClaim(claim_status::Granted);
   EXPECT_EQ(Submitted.size(), 1U);
 }
 
-TEST_F(dispatch_story, AClaimOutlivesItsRequestWhateverIsDeclared) {
+TEST_F(dispatcher_fixture, ClaimOutlivesItsRequest) {
   limits_declaration Short = Limits;
   Short.ClaimLifetime = std::chrono::milliseconds(1);
   Dispatch.applyLimits(Short);
   arrive(facts(false, "letter-7"));
-  EXPECT_GT(all<acquire_claim>()[0].Lifetime, seconds(60));
+  EXPECT_GT(actionsOf<acquire_claim>()[0].Lifetime, seconds(60));
 }
 
-TEST_F(work_under_a_claim, IsUnknownWhereAnotherSendRuns) {
-  answerClaim(claim_verdict::Running);
-  expectEnd(final_outcome::Unknown, failure_reason::AlreadyRunning);
+TEST_F(claimed_request_test, IsUnknownIfAnotherRequestRuns) {
+  answerClaim(claim_status::Running);
+  expectOutcome(final_outcome::Unknown, failure_reason::AlreadyRunning);
   expectSettled({});
 }
 
-TEST_F(work_under_a_claim, IsCompleteWhereAnotherSendCompleted) {
-  answerClaim(claim_verdict::Complete);
-  expectEnd(final_outcome::Complete, failure_reason::AlreadyComplete);
+TEST_F(claimed_request_test, IsCompleteIfAnotherRequestCompleted) {
+  answerClaim(claim_status::Complete);
+  expectOutcome(final_outcome::Complete, failure_reason::AlreadyComplete);
   expectSettled({});
   EXPECT_TRUE(Submitted.empty());
 }
 
-// The first send ran and its answer was lost; the caller resends, and the claims cannot be asked.
-// Told "not run", a secretary would start the letter anew under another key: sent twice.
-TEST_F(work_under_a_claim, IsUnknownWhereTheClaimsCannotBeAsked) {
-  answerClaim(claim_verdict::Unavailable);
-  expectEnd(final_outcome::Unknown, failure_reason::ClaimUnavailable);
-  EXPECT_TRUE(all<finish_request>()[0].RetryAfter.has_value());
-  expectSettled({claim_standing::Released});
+// The first request ran and its answer was lost. The caller resends it while no claim can be
+// obtained. After a "not run", the caller could send the work under another key, so that it would
+// run twice.
+TEST_F(claimed_request_test, IsUnknownIfTheClaimIsUnavailable) {
+  answerClaim(claim_status::Unavailable);
+  expectOutcome(final_outcome::Unknown, failure_reason::ClaimUnavailable);
+  EXPECT_TRUE(actionsOf<finish_request>()[0].RetryAfter.has_value());
+  expectSettled({claim_state::Released});
 }
 
-// The claims answer after the entry stopped waiting: nothing may start under the late grant.
-TEST_F(work_under_a_claim, IsGivenUpWhenNoVerdictComesAndALateGrantStartsNothing) {
-  pass(seconds(2));
-  expectEnd(final_outcome::Unknown, failure_reason::ClaimUnavailable);
-  answerClaim(claim_verdict::Granted);
+// The claim is granted after the request timed out. Nothing may start under the late grant.
+TEST_F(claimed_request_test, TimesOutWithoutAClaimAndIgnoresALateGrant) {
+  advanceTime(seconds(2));
+  expectOutcome(final_outcome::Unknown, failure_reason::ClaimUnavailable);
+  answerClaim(claim_status::Granted);
   EXPECT_TRUE(Submitted.empty());
-  expectSettled({claim_standing::Released});
+  expectSettled({claim_state::Released});
 }
 
-struct work_that_holds_its_claim : work_under_a_claim {
+struct granted_claim_test : claimed_request_test {
   void SetUp() override {
-    work_under_a_claim::SetUp();
-    answerClaim(claim_verdict::Granted);
+    claimed_request_test::SetUp();
+    answerClaim(claim_status::Granted);
   }
 };
 
-TEST_F(work_that_holds_its_claim, ReleasesItWhenProvedNotRun) {
-  pass(seconds(60));
-  expectEnd(final_outcome::NotRun, failure_reason::DeadlineExceeded);
-  expectSettled({claim_standing::Released});
+TEST_F(granted_claim_test, ReleasesItWhenProvedNotRun) {
+  advanceTime(seconds(60));
+  expectOutcome(final_outcome::NotRun, failure_reason::DeadlineExceeded);
+  expectSettled({claim_state::Released});
 }
 
-TEST_F(work_that_holds_its_claim, SettlesItComplete) {
+TEST_F(granted_claim_test, SettlesItComplete) {
   place(EngineA);
   send();
   complete();
-  expectEnd(final_outcome::Complete, failure_reason::None);
-  expectSettled({claim_standing::Complete});
+  expectOutcome(final_outcome::Complete, failure_reason::None);
+  expectSettled({claim_state::Complete});
 }
 
-TEST_F(work_that_holds_its_claim, SettlesItUnknownAndBetterWhenTheAnswerComesLate) {
+TEST_F(granted_claim_test, SettlesItUnknownThenCompleteWhenTheAnswerComesLate) {
   place(EngineA);
   send();
-  happen(caller_left{request_number(1)});
-  expectSettled({claim_standing::Unknown});
+  handleEvent(caller_left{request_number(1)});
+  expectSettled({claim_state::Unknown});
   complete();
-  expectSettled({claim_standing::Unknown, claim_standing::Complete});
-  expectEnd(final_outcome::Unknown, failure_reason::CallerLeft);
+  expectSettled({claim_state::Unknown, claim_state::Complete});
+  expectOutcome(final_outcome::Unknown, failure_reason::CallerLeft);
 }
 
-TEST_F(dispatch_story, KeysOfTwoAccountsNeverMeet) {
+TEST_F(dispatcher_fixture, ClaimKeysOfTwoAccountsDiffer) {
   request_facts One = facts(false, "b:c", 1);
   One.Account = client_account_name("a");
   request_facts Other = facts(false, "c", 2);
   Other.Account = client_account_name("a:b");
   arrive(One);
   arrive(Other);
-  EXPECT_NE(all<acquire_claim>()[0].Key, all<acquire_claim>()[1].Key);
+  EXPECT_NE(actionsOf<acquire_claim>()[0].Key, actionsOf<acquire_claim>()[1].Key);
 }
 
 } // namespace
--- a/tests/relay/crash_watch_test.cpp
+++ b/tests/relay/crash_watch_test.cpp
@@ -43,20 +43,20 @@
 
 struct request_on_a_server_that_ends : testing::Test {
   /// @return The mark under which the end of a server is reported.
-  request_mark crashOnce() {
+  request_fingerprint crashOnce() {
     const ending_server Server;
     Relay.call("the prompt");
     Relay.start(Server.key());
-    const crash_seen Crash = std::get<crash_seen>(Relay.nextNews());
+    const crash_report Crash = std::get<crash_report>(Relay.nextNews());
     EXPECT_EQ(Crash.Backend, Server.key());
-    EXPECT_EQ(Crash.Marks.size(), 1U);
+    EXPECT_EQ(Crash.Fingerprints.size(), 1U);
     Relay.finish(final_outcome::Unknown, failure_reason::BackendFailed);
     (void)Relay.answer();
-    return Crash.Marks.at(0);
+    return Crash.Fingerprints.at(0);
   }
-  void suspect(const request_mark &Mark, std::chrono::milliseconds BlockedFor) {
+  void suspect(const request_fingerprint &Mark, std::chrono::milliseconds BlockedFor) {
     Relay.order(suspects_known{std::make_shared<const suspect_list>(
-        std::vector<told_suspect>{{Mark, BlockedFor}}, boot_clock::now())});
+        std::vector<published_suspect>{{Mark, BlockedFor}}, boot_clock::now())});
   }
 
   headed_relay Relay;
@@ -93,7 +93,7 @@
 
 // Guards against a request that waited for a place when it was blocked.
 TEST_F(request_on_a_server_that_ends, IsNotSentWhereItIsBlockedBeforeItsAttempt) {
-  const request_mark Mark = crashOnce();
+  const request_fingerprint Mark = crashOnce();
   const scripted_server Server([](auto &Socket, const seen_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s1\r\nContent-Length: 2\r\n\r\nok");
   });
@@ -106,7 +106,7 @@
 
 // Guards against an innocent request that stays suspected.
 TEST_F(request_on_a_server_that_ends, IsToldToHaveEndedWellWhereItIsWatched) {
-  const request_mark Mark = crashOnce();
+  const request_fingerprint Mark = crashOnce();
   suspect(Mark, std::chrono::milliseconds(0));
   const scripted_server Server([](auto &Socket, const seen_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)) + "0\r\n\r\n");
@@ -114,7 +114,7 @@
   Relay.call("the prompt");
   Relay.start(Server);
   Relay.next<attempt_completed>();
-  EXPECT_EQ(std::get<suspect_cleared>(Relay.nextNews()).Mark, Mark);
+  EXPECT_EQ(std::get<suspect_cleared>(Relay.nextNews()).Fingerprint, Mark);
   Relay.finish(final_outcome::Complete, failure_reason::None);
 }
 
--- a/tests/relay/request_mark_test.cpp
+++ b/tests/relay/request_mark_test.cpp
@@ -28,14 +28,14 @@
         held_body{Sent.Body, body_share(BodyBytes, Sent.Body.size())});
     return Call;
   }
-  request_mark markOf(const sent_request &Sent) {
+  request_fingerprint markOf(const sent_request &Sent) {
     const relayed_call Call = callOf(Sent);
     return requestMark(Call, *Call.Request.Body);
   }
 
   boost::asio::io_context Io;
   std::size_t BodyBytes{0};
-  const request_mark Usual = markOf({});
+  const request_fingerprint Usual = markOf({});
 };
 
 // Guards against one request that counts as several since callers use the entries' addresses.
--- a/tests/suspect/suspect_table_test.cpp
+++ b/tests/suspect/suspect_table_test.cpp
@@ -1,4 +1,4 @@
-/** @file suspect_table_test.cpp Which requests are blocked for crashes of backend servers. */
+/** @file suspect_table_test.cpp Which requests are blocked after crashes of backend servers. */
 #include "suspect/suspect.h"
 
 #include <gtest/gtest.h>
@@ -9,130 +9,135 @@
 using std::chrono::milliseconds;
 using std::chrono::minutes;
 
-request_mark markOf(std::uint64_t Account, std::uint64_t Number) {
+request_fingerprint fingerprintOf(std::uint64_t Account, std::uint64_t Number) {
   return {Account, Number, Number, Number};
 }
 
-struct suspects : testing::Test {
+struct suspect_table_test : testing::Test {
   suspect_tuning Tuning;
   suspect_table Table{Tuning};
   milliseconds Now{1'000'000};
   std::uint64_t LastIncarnation{0};
-  const request_mark Cause = markOf(1, 1);
+  const request_fingerprint CrashingRequest = fingerprintOf(1, 1);
 
-  /// Another backend server crashes, this long after the one before.
-  void crash(const std::vector<request_mark> &Marks, milliseconds After) {
-    Now += After;
-    Table.noteCrash(Marks, incarnation(++LastIncarnation), Now);
+  /// Crashes another backend server, with this delay after the previous crash.
+  void crash(const std::vector<request_fingerprint> &Fingerprints, milliseconds Delay) {
+    Now += Delay;
+    Table.recordCrash(Fingerprints, incarnation(++LastIncarnation), Now);
   }
-  void crashThrice(const request_mark &Mark) {
-    for (int Time = 0; Time < 3; ++Time)
-      crash({Mark}, Tuning.Apart);
+  void crashThreeTimes(const request_fingerprint &Fingerprint) {
+    for (int Crash = 0; Crash < 3; ++Crash)
+      crash({Fingerprint}, Tuning.MinCrashInterval);
   }
-  [[nodiscard]] bool isBlocked(const request_mark &Mark) const {
-    for (const told_suspect &Told : Table.told(Now))
-      if (Told.Mark == Mark)
-        return Told.BlockedFor.count() > 0;
+  [[nodiscard]] bool isBlocked(const request_fingerprint &Fingerprint) const {
+    for (const published_suspect &Suspect : Table.published(Now))
+      if (Suspect.Fingerprint == Fingerprint)
+        return Suspect.BlockedFor.count() > 0;
     return false;
   }
 };
 
-TEST_F(suspects, AreBlockedAtTheThirdCrash) {
-  crash({Cause}, Tuning.Apart);
-  EXPECT_TRUE(Table.told(Now).empty());
-  crash({Cause}, Tuning.Apart);
-  EXPECT_EQ(Table.told(Now), (std::vector<told_suspect>{{Cause, milliseconds(0)}}));
-  crash({Cause}, Tuning.Apart);
-  EXPECT_EQ(Table.told(Now), (std::vector<told_suspect>{{Cause, Tuning.BlockFor}}));
+TEST_F(suspect_table_test, BlocksAtTheThirdCrash) {
+  crash({CrashingRequest}, Tuning.MinCrashInterval);
+  EXPECT_TRUE(Table.published(Now).empty());
+  crash({CrashingRequest}, Tuning.MinCrashInterval);
+  EXPECT_EQ(Table.published(Now),
+            (std::vector<published_suspect>{{CrashingRequest, milliseconds(0)}}));
+  crash({CrashingRequest}, Tuning.MinCrashInterval);
+  EXPECT_EQ(Table.published(Now),
+            (std::vector<published_suspect>{{CrashingRequest, Tuning.InitialBlock}}));
 }
 
-// Guards against others that only ran beside the cause being refused with it.
-TEST_F(suspects, AreNotThoseThatRanBesideTheCauseOnce) {
-  for (std::uint64_t Time = 0; Time < 3; ++Time)
-    crash({Cause, markOf(2, 10 + Time)}, Tuning.Apart);
-  EXPECT_EQ(Table.told(Now).size(), 1U);
+// Guards against refusing requests that merely ran next to the crashing one.
+TEST_F(suspect_table_test, DoesNotPublishRequestsOfASingleCrash) {
+  for (std::uint64_t Crash = 0; Crash < 3; ++Crash)
+    crash({CrashingRequest, fingerprintOf(2, 10 + Crash)}, Tuning.MinCrashInterval);
+  EXPECT_EQ(Table.published(Now).size(), 1U);
 }
 
-// Guards against several entries' reports of one crash counting as several.
-TEST_F(suspects, CountEachLifeOfAServerOnce) {
+// Guards against counting one crash several times because several entries report it.
+TEST_F(suspect_table_test, CountsEachServerIncarnationOnce) {
   for (int Entry = 0; Entry < 5; ++Entry) {
-    Now += Tuning.Apart;
-    Table.noteCrash({Cause}, incarnation(7), Now);
+    Now += Tuning.MinCrashInterval;
+    Table.recordCrash({CrashingRequest}, incarnation(7), Now);
   }
-  EXPECT_TRUE(Table.told(Now).empty());
+  EXPECT_TRUE(Table.published(Now).empty());
 }
 
-// Guards against a request in steady use being refused since a whole failure domain was lost.
-TEST_F(suspects, CountTheLossOfManyServersAtOnceAsOneCrash) {
+// Guards against refusing a frequently used request because a whole failure domain was lost.
+TEST_F(suspect_table_test, CountsTheLossOfManyServersAtOnceAsOneCrash) {
   for (int Server = 0; Server < 20; ++Server)
-    crash({Cause}, milliseconds(20));
-  EXPECT_TRUE(Table.told(Now).empty());
+    crash({CrashingRequest}, milliseconds(20));
+  EXPECT_TRUE(Table.published(Now).empty());
 }
 
-TEST_F(suspects, AreClearedByARunThatEndsWell) {
-  crashThrice(Cause);
-  Table.clear(Cause.High);
-  EXPECT_TRUE(Table.told(Now).empty());
-  crash({Cause}, Tuning.Apart);
-  EXPECT_TRUE(Table.told(Now).empty());
+TEST_F(suspect_table_test, ClearsARequestAfterASuccessfulRun) {
+  crashThreeTimes(CrashingRequest);
+  Table.clear(CrashingRequest.High);
+  EXPECT_TRUE(Table.published(Now).empty());
+  crash({CrashingRequest}, Tuning.MinCrashInterval);
+  EXPECT_TRUE(Table.published(Now).empty());
 }
 
-// Guards against three more servers lost each time that a block ends.
-TEST_F(suspects, AreBlockedForLongerAtTheFirstCrashAfterABlock) {
-  crashThrice(Cause);
-  Now += Tuning.BlockFor;
-  EXPECT_FALSE(isBlocked(Cause));
-  crash({Cause}, milliseconds(1));
-  EXPECT_EQ(Table.told(Now), (std::vector<told_suspect>{{Cause, 2 * Tuning.BlockFor}}));
+// Guards against the loss of three more servers each time that a block ends.
+TEST_F(suspect_table_test, DoublesTheBlockAtTheFirstCrashAfterIt) {
+  crashThreeTimes(CrashingRequest);
+  Now += Tuning.InitialBlock;
+  EXPECT_FALSE(isBlocked(CrashingRequest));
+  crash({CrashingRequest}, milliseconds(1));
+  EXPECT_EQ(Table.published(Now),
+            (std::vector<published_suspect>{{CrashingRequest, 2 * Tuning.InitialBlock}}));
 }
 
-// Guards against runs that were under way when the block began making it longer.
-TEST_F(suspects, AreNotBlockedForLongerByRunsFromBeforeTheBlock) {
-  crashThrice(Cause);
-  crash({Cause}, Tuning.Apart);
-  EXPECT_EQ(Table.told(Now), (std::vector<told_suspect>{{Cause, Tuning.BlockFor - Tuning.Apart}}));
+// Guards against extending a block because of runs that were in flight when it began.
+TEST_F(suspect_table_test, DoesNotExtendABlockForRunsStartedBeforeIt) {
+  crashThreeTimes(CrashingRequest);
+  crash({CrashingRequest}, Tuning.MinCrashInterval);
+  EXPECT_EQ(Table.published(Now),
+            (std::vector<published_suspect>{
+                {CrashingRequest, Tuning.InitialBlock - Tuning.MinCrashInterval}}));
 }
 
-TEST_F(suspects, AreForgottenInTheEnd) {
-  crashThrice(Cause);
-  Now += Tuning.BlockFor + Tuning.ForgetAfter + minutes(1);
-  crash({markOf(2, 2)}, Tuning.Apart);
+TEST_F(suspect_table_test, ExpiresOldRecords) {
+  crashThreeTimes(CrashingRequest);
+  Now += Tuning.InitialBlock + Tuning.ForgetAfter + minutes(1);
+  crash({fingerprintOf(2, 2)}, Tuning.MinCrashInterval);
   EXPECT_EQ(Table.records().size(), 1U);
 }
 
-// Guards against one client account making the table forget another one's request.
-TEST_F(suspects, AreNotPushedOutByAnotherAccount) {
-  crash({Cause}, Tuning.Apart);
-  crash({Cause}, Tuning.Apart);
-  for (std::uint64_t Number = 0; Number < 2 * Tuning.MostRecords; ++Number)
-    crash({markOf(2, 100 + Number)}, milliseconds(1));
-  EXPECT_EQ(Table.records().size(), 1 + Tuning.MostOfAccount);
-  crash({Cause}, Tuning.Apart);
-  EXPECT_TRUE(isBlocked(Cause));
+// Guards against one client account evicting the suspects of another.
+TEST_F(suspect_table_test, KeepsSuspectsWhenAnotherAccountAddsMany) {
+  crash({CrashingRequest}, Tuning.MinCrashInterval);
+  crash({CrashingRequest}, Tuning.MinCrashInterval);
+  for (std::uint64_t Number = 0; Number < 2 * Tuning.MaxRecords; ++Number)
+    crash({fingerprintOf(2, 100 + Number)}, milliseconds(1));
+  EXPECT_EQ(Table.records().size(), 1 + Tuning.MaxRecordsPerAccount);
+  crash({CrashingRequest}, Tuning.MinCrashInterval);
+  EXPECT_TRUE(isBlocked(CrashingRequest));
 }
 
-TEST_F(suspects, AreWithinTheirBoundWhateverComes) {
-  for (std::uint64_t Number = 0; Number < 2 * Tuning.MostRecords; ++Number)
-    crash({markOf(Number, Number)}, milliseconds(1));
-  EXPECT_EQ(Table.records().size(), Tuning.MostRecords);
+TEST_F(suspect_table_test, NeverExceedsMaxRecords) {
+  for (std::uint64_t Number = 0; Number < 2 * Tuning.MaxRecords; ++Number)
+    crash({fingerprintOf(Number, Number)}, milliseconds(1));
+  EXPECT_EQ(Table.records().size(), Tuning.MaxRecords);
 }
 
-// Guards against a new leader, or a host with a snapshot, that has forgotten them.
-TEST_F(suspects, AreTheSameAfterARestore) {
-  crashThrice(Cause);
+// Guards against losing suspects when a new leader, or a host, restores a snapshot.
+TEST_F(suspect_table_test, IsIdenticalAfterARestore) {
+  crashThreeTimes(CrashingRequest);
   suspect_table Restored(Tuning);
   ASSERT_TRUE(Restored.restore(Table.records(), Table.version()));
-  EXPECT_EQ(Restored.told(Now), Table.told(Now));
+  EXPECT_EQ(Restored.published(Now), Table.published(Now));
   EXPECT_EQ(Restored.version(), Table.version());
 }
 
-TEST(SuspectListTest, KnowsARequestByItsShapeFirst) {
+TEST(SuspectListTest, FindsRequestsByHeadHashAndFingerprint) {
   const mono_time Now{std::chrono::hours(1)};
-  const request_mark Blocked{1, 2, 3, 4};
-  const request_mark Watched{1, 2, 5, 6};
+  const request_fingerprint Blocked{1, 2, 3, 4};
+  const request_fingerprint Watched{1, 2, 5, 6};
   const suspect_list List({{Blocked, milliseconds(50)}, {Watched, milliseconds(0)}}, Now);
-  EXPECT_TRUE(List.hasShape(2));
-  EXPECT_FALSE(List.hasShape(3));
+  EXPECT_TRUE(List.hasHeadHash(2));
+  EXPECT_FALSE(List.hasHeadHash(3));
   EXPECT_EQ(List.blockedUntil(Blocked, Now), Now + milliseconds(50));
   EXPECT_FALSE(List.blockedUntil(Blocked, Now + milliseconds(50)));
   EXPECT_FALSE(List.blockedUntil(Watched, Now));
--- /dev/null
+++ b/tests/work_share/simulated_network.h
@@ -0,0 +1,193 @@
+/** @file simulated_network.h Work views on a simulated network with losses, duplicates and delays.
+ */
+#ifndef POLLENSTALL_TESTS_WORK_SHARE_SIMULATED_NETWORK_H
+#define POLLENSTALL_TESTS_WORK_SHARE_SIMULATED_NETWORK_H
+
+#include "work_exchange/work_exchange.h"
+#include "work_share/work_report_codec_func.h"
+
+#include <map>
+#include <memory>
+#include <set>
+#include <string>
+#include <vector>
+
+namespace pollenstall {
+
+using std::chrono_literals::operator""ms;
+
+/// Simulates entries of several failure domains in time steps of a millisecond.
+class simulated_network {
+public:
+  /// Faults of the network.
+  struct faults {
+    double LossRate{0};        ///< Fraction of the datagrams.
+    double DuplicationRate{0}; ///< Fraction of the datagrams.
+    std::uint64_t DelayMs{1};
+    std::uint64_t MaxExtraDelayMs{0}; ///< Random, so that datagrams overtake each other.
+  };
+
+  simulated_network(std::size_t Count, std::size_t DomainCount) : Domains(DomainCount) {
+    for (std::size_t Number = 0; Number < Count; ++Number)
+      Entries.push_back(makeEntry(Number, 1));
+    publishEntries();
+  }
+
+  static std::string address(std::size_t Number) {
+    return "10.0." + std::to_string(Number / 200) + "." + std::to_string(Number % 200 + 1) + ":7";
+  }
+  static incarnation engine(std::size_t Number) { return incarnation(1'000 + Number); }
+
+  static work_load load(std::size_t Engine, std::uint32_t Requests, std::uint32_t ReadMs = 0) {
+    work_load Load;
+    Load.Incarnation = engine(Engine);
+    Load.Requests = Requests;
+    Load.ReadMs = ReadMs;
+    return Load;
+  }
+
+  void publishEntries() {
+    std::vector<work_entry> All;
+    for (std::size_t Number = 0; Number < Entries.size(); ++Number)
+      All.push_back({address(Number), domainOf(Number)});
+    for (entry &Entry : Entries)
+      Entry.View->setEntries(All, Now);
+  }
+
+  /// Sets the entry's loads; they are set again every 250 ms, as the decision thread does.
+  void setLoads(std::size_t Number, std::vector<work_load> Loads, bool Urgent = false) {
+    entry &Entry = Entries[Number];
+    Entry.OwnLoads = std::move(Loads);
+    Entry.OwnLoadsSetAt = Now;
+    Entry.View->setOwnLoads(Entry.OwnLoads, Urgent, Now);
+  }
+
+  void run(std::chrono::milliseconds Span) {
+    for (const mono_time End = Now + Span; Now < End; Now += 1ms)
+      step();
+  }
+
+  void kill(std::size_t Number) { Entries[Number].Down = true; }
+  void resume(std::size_t Number) { Entries[Number].Down = false; }
+  void restart(std::size_t Number) {
+    Entries[Number] = makeEntry(Number, Entries[Number].Incarnation + 1);
+    publishEntries();
+  }
+
+  /// @return The load of all other entries at an engine, as known to the entry.
+  [[nodiscard]] work_load knownLoad(std::size_t Number, std::size_t Engine) const {
+    const auto Found = Entries[Number].KnownLoads.find(engine(Engine));
+    if (Found == Entries[Number].KnownLoads.end() ||
+        Now - Found->second.second > std::chrono::seconds(1))
+      return load(Engine, 0);
+    return after(Found->second.first, Now - Found->second.second);
+  }
+  [[nodiscard]] bool isRelay(std::size_t Number) const { return Entries[Number].View->isRelay(); }
+  [[nodiscard]] std::size_t size() const { return Entries.size(); }
+
+  /// What one entry has sent since the last clearCounts().
+  struct sent_counts {
+    std::size_t Datagrams{0};
+    std::size_t Bytes{0};
+    std::size_t MostReceivers{0}; ///< In one round.
+  };
+  [[nodiscard]] const sent_counts &sent(std::size_t Number) const { return Entries[Number].Sent; }
+  void clearCounts() {
+    for (entry &Entry : Entries)
+      Entry.Sent = {};
+  }
+
+  faults Faults;
+  random_source Random{1};
+  mono_time Now{std::chrono::hours(1)};
+
+private:
+  struct entry {
+    std::unique_ptr<work_view> View;
+    std::vector<work_load> OwnLoads;
+    mono_time OwnLoadsSetAt;
+    std::map<incarnation, std::pair<work_load, mono_time>> KnownLoads;
+    bool Down{false};
+    std::uint64_t Incarnation{1};
+    sent_counts Sent;
+  };
+  struct in_flight_datagram {
+    std::size_t Receiver{0};
+    std::string Sender;
+    std::string Bytes;
+  };
+
+  [[nodiscard]] failure_domain_name domainOf(std::size_t Number) const {
+    return failure_domain_name("d" + std::to_string(Number % Domains));
+  }
+
+  entry makeEntry(std::size_t Number, std::uint64_t Incarnation) const {
+    entry NewEntry;
+    const process_key Process{host_name("e" + std::to_string(Number)), incarnation(Incarnation)};
+    NewEntry.View = std::make_unique<work_view>(Process, address(Number));
+    NewEntry.OwnLoadsSetAt = Now;
+    NewEntry.Incarnation = Incarnation;
+    return NewEntry;
+  }
+
+  static std::size_t numberFromAddress(const std::string &Address) {
+    const std::size_t Dot = Address.rfind('.');
+    const std::size_t High = std::stoul(Address.substr(5));
+    return High * 200 + std::stoul(Address.substr(Dot + 1)) - 1;
+  }
+
+  void step() {
+    const auto Due = InFlight.equal_range(Now);
+    std::vector<in_flight_datagram> Arrived;
+    for (auto At = Due.first; At != Due.second; ++At)
+      Arrived.push_back(std::move(At->second));
+    InFlight.erase(Due.first, Due.second);
+    for (const in_flight_datagram &Datagram : Arrived)
+      if (!Entries[Datagram.Receiver].Down) {
+        const auto Report =
+            decodeWorkReport("fleet", {Datagram.Bytes.data(), Datagram.Bytes.size()});
+        Entries[Datagram.Receiver].View->receive(valueOf(Report), Datagram.Sender, Now);
+      }
+    for (std::size_t Number = 0; Number < Entries.size(); ++Number)
+      if (!Entries[Number].Down)
+        runEntry(Number);
+  }
+
+  void runEntry(std::size_t Number) {
+    entry &Entry = Entries[Number];
+    if (Now - Entry.OwnLoadsSetAt >= 250ms)
+      setLoads(Number, Entry.OwnLoads);
+    if (Entry.View->nextWake(Now) <= Now) {
+      const std::vector<work_datagram> OutDatagrams = Entry.View->dueDatagrams(Now);
+      std::set<std::string> Receivers;
+      for (const work_datagram &Datagram : OutDatagrams)
+        Receivers.insert(Datagram.To);
+      Entry.Sent.MostReceivers = std::max(Entry.Sent.MostReceivers, Receivers.size());
+      for (const work_datagram &Datagram : OutDatagrams)
+        send(Number, Datagram);
+    }
+    for (const work_load &Load : Entry.View->changedPeerLoads(Now))
+      Entry.KnownLoads[Load.Incarnation] = {Load, Now};
+  }
+
+  void send(std::size_t Sender, const work_datagram &Datagram) {
+    const std::string Bytes = encodeWorkReport("fleet", Datagram.Report);
+    ++Entries[Sender].Sent.Datagrams;
+    Entries[Sender].Sent.Bytes += Bytes.size();
+    const int Copies = 1 + (Random.chance(Faults.DuplicationRate) ? 1 : 0);
+    for (int Copy = 0; Copy < Copies; ++Copy)
+      if (!Random.chance(Faults.LossRate))
+        InFlight.emplace(
+            Now + std::chrono::milliseconds(Faults.DelayMs +
+                                            Random.below(Faults.MaxExtraDelayMs + 1)),
+            in_flight_datagram{numberFromAddress(Datagram.To), address(Sender), Bytes});
+  }
+
+  std::size_t Domains;
+  std::vector<entry> Entries;
+  std::multimap<mono_time, in_flight_datagram> InFlight;
+};
+
+} // namespace pollenstall
+
+#endif // POLLENSTALL_TESTS_WORK_SHARE_SIMULATED_NETWORK_H
