--- a/src/dispatch/abandoned_tracker.cpp
+++ b/src/dispatch/abandoned_tracker.cpp
@@ -65,11 +65,11 @@
 }
 
 std::vector<attempt_id> abandoned_tracker::attemptsOn(const backend_key &Backend) const {
-  std::vector<attempt_id> Found;
+  std::vector<attempt_id> Ids;
   for (const auto &[Id, Attempt] : Attempts)
     if (Attempt.Backend == Backend)
-      Found.push_back(Id);
-  return Found;
+      Ids.push_back(Id);
+  return Ids;
 }
 
 std::vector<abandoned_dump> abandoned_tracker::dump(mono_time Now) const {
--- a/src/dispatch/dispatch_dump_type.h
+++ b/src/dispatch/dispatch_dump_type.h
@@ -29,7 +29,7 @@
   std::uint64_t Retries{0};
   std::uint64_t RetriesOverBudget{0}; ///< Retries that the budget refused.
   std::uint64_t Resumes{0};
-  std::uint64_t Abandoned{0};     ///< Attempts given up while the backend server might run them.
+  std::uint64_t Abandoned{0};     ///< Attempts abandoned while the backend server may run them.
   std::uint64_t CancelsSent{0};   ///< Includes repeated cancels.
   std::uint64_t IgnoredEvents{0}; ///< Late, duplicate or misrouted events.
 };
--- a/src/dispatch/dispatcher_base.h
+++ b/src/dispatch/dispatcher_base.h
@@ -39,7 +39,7 @@
   void handle(const dispatch_event &Event, mono_time Now);
   /// Starts an attempt at the backend server that the scheduler has chosen.
   void place(const work_placement &Placement, mono_time Now);
-  /// Ends a queued request that the scheduler has given up.
+  /// Ends a queued request that the scheduler has expired.
   void expire(const work_expiry &Expiry, mono_time Now);
 
   /**
--- a/src/dispatch/dispatcher_callbacks_type.h
+++ b/src/dispatch/dispatcher_callbacks_type.h
@@ -54,7 +54,8 @@
   std::function<void(const started_attempt &, mono_time)> AttemptStarted;
   std::function<void(const attempt_id &, mono_time)> AttemptAnswering;
   std::function<void(const attempt_id &, std::uint64_t Events, mono_time)> AttemptAdvanced;
-  /// The attempt was given up or broke; its memory counts as used until AttemptEnded.
+  /// The attempt was abandoned, with the failure if it broke; its memory counts as used until
+  /// AttemptEnded.
   std::function<void(const attempt_id &, std::optional<attempt_failure>, mono_time)>
       AttemptAbandoned;
   /// Called exactly once for each started attempt, when its memory is free.
--- a/src/dispatch/dispatcher_dump.cpp
+++ b/src/dispatch/dispatcher_dump.cpp
@@ -34,7 +34,7 @@
   Dump.ShuttingDown = ShutdownBy.has_value();
   Dump.Counters = Counters;
   Dump.RetryBudget = Budget.available();
-  for (const auto &[Number, Request] : Requests)
+  for (const auto &[RequestId, Request] : Requests)
     Dump.Requests.push_back(dumpOf(Request, Now));
   Dump.Abandoned = Abandoned.dump(Now);
   return Dump;
@@ -43,8 +43,8 @@
 std::string dispatcher::stateText() const {
   std::ostringstream Out;
   Out << Requests.size() << " live, " << Abandoned.size() << " abandoned\n";
-  for (const auto &[Number, Request] : Requests) {
-    Out << "request " << Number << " phase " << static_cast<int>(Request.Phase) << " attempts "
+  for (const auto &[RequestId, Request] : Requests) {
+    Out << "request " << RequestId << " phase " << static_cast<int>(Request.Phase) << " attempts "
         << Request.Attempts << " claim " << static_cast<int>(Request.Claim) << " may-have-run "
         << Request.mayHaveRun();
     if (Request.CurrentAttempt)
--- a/src/dispatch/dispatcher_retry.cpp
+++ b/src/dispatch/dispatcher_retry.cpp
@@ -61,11 +61,11 @@
 
 void dispatcher::retryUnanswered(const backend_key &Backend, mono_time Now) {
   std::vector<request_number> Affected;
-  for (const auto &[Number, Request] : Requests)
+  for (const auto &[RequestId, Request] : Requests)
     if (Request.CurrentAttempt && Request.CurrentAttempt->Backend == Backend)
-      Affected.push_back(Number);
-  for (const request_number Number : Affected)
-    if (live_request *Request = find(Number))
+      Affected.push_back(RequestId);
+  for (const request_number RequestId : Affected)
+    if (live_request *Request = find(RequestId))
       retryElsewhere(*Request, attempt_failure::BrokenSent, Now);
 }
 
@@ -75,7 +75,7 @@
 }
 
 void dispatcher::backendGone(const backend_key &Backend, mono_time Now) {
-  for (auto &[Number, Request] : Requests)
+  for (auto &[RequestId, Request] : Requests)
     if (Request.CurrentAttempt && Request.CurrentAttempt->Backend == Backend)
       Request.CurrentAttempt->BackendGone = true;
   for (const attempt_id &Attempt : Abandoned.attemptsOn(Backend)) {
--- a/src/dispatch/dispatcher_time.cpp
+++ b/src/dispatch/dispatcher_time.cpp
@@ -25,10 +25,10 @@
     return finishWithFailure(Request, failure_reason::DeadlineExceeded, std::nullopt, Now);
   if (Request.Claim == claim_progress::Requested && Request.ClaimDeadline <= Now)
     return finishWithFailure(Request, failure_reason::ClaimUnavailable, std::nullopt, Now);
-  const request_number Number = Request.Facts.Id;
+  const request_number RequestId = Request.Facts.Id;
   if (Request.CurrentAttempt)
     handleAttemptTimer(Request, Now);
-  if (const live_request *Live = find(Number))
+  if (const live_request *Live = find(RequestId))
     updateTimer(*Live);
 }
 
@@ -75,16 +75,16 @@
 }
 
 void dispatcher::beginShutdown(mono_time Now, mono_duration Limit) {
-  const mono_time Deadline = Now + Limit;
-  ShutdownBy = ShutdownBy ? std::min(*ShutdownBy, Deadline) : Deadline;
+  const mono_time StopBy = Now + Limit;
+  ShutdownBy = ShutdownBy ? std::min(*ShutdownBy, StopBy) : StopBy;
 }
 
 void dispatcher::finishAll(failure_reason Reason, mono_time Now) {
-  std::vector<request_number> Numbers;
-  for (const auto &[Number, Request] : Requests)
-    Numbers.push_back(Number);
-  for (const request_number Number : Numbers)
-    finishWithFailure(*find(Number), Reason, std::nullopt, Now);
+  std::vector<request_number> RequestIds;
+  for (const auto &[RequestId, Request] : Requests)
+    RequestIds.push_back(RequestId);
+  for (const request_number RequestId : RequestIds)
+    finishWithFailure(*find(RequestId), Reason, std::nullopt, Now);
 }
 
 std::vector<dispatch_action> dispatcher::takeActions() { return std::exchange(Actions, {}); }
--- a/tests/dispatch/dispatch_simulation.h
+++ b/tests/dispatch/dispatch_simulation.h
@@ -95,7 +95,7 @@
   void after(mono_duration Delay, action Do) { Scheduled.emplace(Now + Delay, std::move(Do)); }
   mono_duration delay();
   bool chance(double Probability) { return Chaos && Random.chance(Probability); }
-  void addViolation(const std::string &What) { Violations.push_back(What); }
+  void addViolation(const std::string &Description) { Violations.push_back(Description); }
   void runUntilIdle(mono_time End);
 
   void startEntry(std::size_t Entry);
--- a/tests/dispatch/dispatcher_fixture.h
+++ b/tests/dispatch/dispatcher_fixture.h
@@ -39,7 +39,7 @@
       Submitted.push_back(Item);
       return done{};
     };
-    Callbacks.Withdraw = [this](request_number Number) { Withdrawn.push_back(Number); };
+    Callbacks.Withdraw = [this](request_number RequestId) { Withdrawn.push_back(RequestId); };
     Callbacks.AttemptEnded = [this](const attempt_result &End, mono_time) { Ended.push_back(End); };
     Callbacks.AttemptAbandoned = [this](const attempt_id &Id, auto, mono_time) {
       AbandonedIds.push_back(Id);
@@ -55,9 +55,9 @@
     return valueOf(std::move(Built));
   }
 
-  request_facts facts(bool Idempotent, std::string Key = {}, std::uint64_t Number = 1) {
+  request_facts facts(bool Idempotent, std::string Key = {}, std::uint64_t RequestId = 1) {
     request_facts Facts;
-    Facts.Id = request_number(Number);
+    Facts.Id = request_number(RequestId);
     Facts.Account = client_account_name("acme-1");
     Facts.Idempotent = Idempotent;
     Facts.IdempotencyKey = std::move(Key);
@@ -72,8 +72,8 @@
   }
   void arrive(const request_facts &Facts) { handleEvent(request_arrived{Facts}); }
   void answerClaim(claim_status Status) { handleEvent(claim_answered{request_number(1), Status}); }
-  void place(const backend_key &Backend, std::uint64_t Number = 1) {
-    Dispatch.place({request_number(Number), Backend, 0, {}}, Now);
+  void place(const backend_key &Backend, std::uint64_t RequestId = 1) {
+    Dispatch.place({request_number(RequestId), Backend, 0, {}}, Now);
     collectActions();
   }
   void advanceTime(mono_duration Time) {
@@ -102,11 +102,11 @@
 
   /// @return All actions of one type since the start.
   template <typename Action> std::vector<Action> actionsOf() const {
-    std::vector<Action> Found;
-    for (const dispatch_action &Any : AllActions)
-      if (const auto *Typed = std::get_if<Action>(&Any))
-        Found.push_back(*Typed);
-    return Found;
+    std::vector<Action> Actions;
+    for (const dispatch_action &AnyAction : AllActions)
+      if (const auto *Typed = std::get_if<Action>(&AnyAction))
+        Actions.push_back(*Typed);
+    return Actions;
   }
   [[nodiscard]] std::size_t starts() const { return actionsOf<start_attempt>().size(); }
   [[nodiscard]] std::size_t cancels() const { return actionsOf<cancel_attempt>().size(); }
--- a/tests/dispatch/retry_test.cpp
+++ b/tests/dispatch/retry_test.cpp
@@ -159,13 +159,13 @@
 // load of the retries would keep the engines down. The budget limits retries to a share of the
 // first attempts.
 TEST_F(dispatcher_fixture, RetriesStayWithinTheirBudget) {
-  for (std::uint64_t Number = 1; Number <= 200; ++Number) {
-    arrive(facts(true, {}, Number));
-    place(EngineA, Number);
+  for (std::uint64_t RequestId = 1; RequestId <= 200; ++RequestId) {
+    arrive(facts(true, {}, RequestId));
+    place(EngineA, RequestId);
     for (std::uint32_t Ordinal = 1; Ordinal <= 3; ++Ordinal) {
       handleEvent(
-          attempt_failed{{Self, request_number(Number), Ordinal}, attempt_failure::Declined});
-      place(EngineB, Number);
+          attempt_failed{{Self, request_number(RequestId), Ordinal}, attempt_failure::Declined});
+      place(EngineB, RequestId);
     }
   }
   EXPECT_EQ(starts(), 200U + 200U / 10U + 3U);
@@ -303,12 +303,12 @@
 }
 
 TEST_F(dispatcher_fixture, ClaimKeysOfTwoAccountsDiffer) {
-  request_facts One = facts(false, "b:c", 1);
-  One.Account = client_account_name("a");
-  request_facts Other = facts(false, "c", 2);
-  Other.Account = client_account_name("a:b");
-  arrive(One);
-  arrive(Other);
+  request_facts FirstFacts = facts(false, "b:c", 1);
+  FirstFacts.Account = client_account_name("a");
+  request_facts SecondFacts = facts(false, "c", 2);
+  SecondFacts.Account = client_account_name("a:b");
+  arrive(FirstFacts);
+  arrive(SecondFacts);
   EXPECT_NE(actionsOf<acquire_claim>()[0].Key, actionsOf<acquire_claim>()[1].Key);
 }
 
--- a/tests/suspect/suspect_table_test.cpp
+++ b/tests/suspect/suspect_table_test.cpp
@@ -9,8 +9,8 @@
 using std::chrono::milliseconds;
 using std::chrono::minutes;
 
-request_fingerprint fingerprintOf(std::uint64_t Account, std::uint64_t Number) {
-  return {Account, Number, Number, Number};
+request_fingerprint fingerprintOf(std::uint64_t Account, std::uint64_t Id) {
+  return {Account, Id, Id, Id};
 }
 
 struct suspect_table_test : testing::Test {
@@ -109,16 +109,16 @@
 TEST_F(suspect_table_test, KeepsSuspectsWhenAnotherAccountAddsMany) {
   crash({CrashingRequest}, Tuning.MinCrashInterval);
   crash({CrashingRequest}, Tuning.MinCrashInterval);
-  for (std::uint64_t Number = 0; Number < 2 * Tuning.MaxRecords; ++Number)
-    crash({fingerprintOf(2, 100 + Number)}, milliseconds(1));
+  for (std::uint64_t Id = 0; Id < 2 * Tuning.MaxRecords; ++Id)
+    crash({fingerprintOf(2, 100 + Id)}, milliseconds(1));
   EXPECT_EQ(Table.records().size(), 1 + Tuning.MaxRecordsPerAccount);
   crash({CrashingRequest}, Tuning.MinCrashInterval);
   EXPECT_TRUE(isBlocked(CrashingRequest));
 }
 
 TEST_F(suspect_table_test, NeverExceedsMaxRecords) {
-  for (std::uint64_t Number = 0; Number < 2 * Tuning.MaxRecords; ++Number)
-    crash({fingerprintOf(Number, Number)}, milliseconds(1));
+  for (std::uint64_t Id = 0; Id < 2 * Tuning.MaxRecords; ++Id)
+    crash({fingerprintOf(Id, Id)}, milliseconds(1));
   EXPECT_EQ(Table.records().size(), Tuning.MaxRecords);
 }
 
--- a/tests/work_share/simulated_network.h
+++ b/tests/work_share/simulated_network.h
@@ -28,15 +28,16 @@
   };
 
   simulated_network(std::size_t Count, std::size_t DomainCount) : Domains(DomainCount) {
-    for (std::size_t Number = 0; Number < Count; ++Number)
-      Entries.push_back(makeEntry(Number, 1));
+    for (std::size_t EntryIndex = 0; EntryIndex < Count; ++EntryIndex)
+      Entries.push_back(makeEntry(EntryIndex, 1));
     publishEntries();
   }
 
-  static std::string address(std::size_t Number) {
-    return "10.0." + std::to_string(Number / 200) + "." + std::to_string(Number % 200 + 1) + ":7";
+  static std::string address(std::size_t EntryIndex) {
+    return "10.0." + std::to_string(EntryIndex / 200) + "." + std::to_string(EntryIndex % 200 + 1) +
+           ":7";
   }
-  static incarnation engine(std::size_t Number) { return incarnation(1'000 + Number); }
+  static incarnation engine(std::size_t EngineIndex) { return incarnation(1'000 + EngineIndex); }
 
   static work_load load(std::size_t Engine, std::uint32_t Requests, std::uint32_t ReadMs = 0) {
     work_load Load;
@@ -48,15 +49,15 @@
 
   void publishEntries() {
     std::vector<work_entry> All;
-    for (std::size_t Number = 0; Number < Entries.size(); ++Number)
-      All.push_back({address(Number), domainOf(Number)});
+    for (std::size_t EntryIndex = 0; EntryIndex < Entries.size(); ++EntryIndex)
+      All.push_back({address(EntryIndex), domainOf(EntryIndex)});
     for (entry &Entry : Entries)
       Entry.View->setEntries(All, Now);
   }
 
   /// Sets the entry's loads; they are set again every 250 ms, as the decision thread does.
-  void setLoads(std::size_t Number, std::vector<work_load> Loads, bool Urgent = false) {
-    entry &Entry = Entries[Number];
+  void setLoads(std::size_t EntryIndex, std::vector<work_load> Loads, bool Urgent = false) {
+    entry &Entry = Entries[EntryIndex];
     Entry.OwnLoads = std::move(Loads);
     Entry.OwnLoadsSetAt = Now;
     Entry.View->setOwnLoads(Entry.OwnLoads, Urgent, Now);
@@ -67,22 +68,24 @@
       step();
   }
 
-  void kill(std::size_t Number) { Entries[Number].Down = true; }
-  void resume(std::size_t Number) { Entries[Number].Down = false; }
-  void restart(std::size_t Number) {
-    Entries[Number] = makeEntry(Number, Entries[Number].Incarnation + 1);
+  void kill(std::size_t EntryIndex) { Entries[EntryIndex].Down = true; }
+  void resume(std::size_t EntryIndex) { Entries[EntryIndex].Down = false; }
+  void restart(std::size_t EntryIndex) {
+    Entries[EntryIndex] = makeEntry(EntryIndex, Entries[EntryIndex].Incarnation + 1);
     publishEntries();
   }
 
   /// @return The load of all other entries at an engine, as known to the entry.
-  [[nodiscard]] work_load knownLoad(std::size_t Number, std::size_t Engine) const {
-    const auto Found = Entries[Number].KnownLoads.find(engine(Engine));
-    if (Found == Entries[Number].KnownLoads.end() ||
+  [[nodiscard]] work_load knownLoad(std::size_t EntryIndex, std::size_t Engine) const {
+    const auto Found = Entries[EntryIndex].KnownLoads.find(engine(Engine));
+    if (Found == Entries[EntryIndex].KnownLoads.end() ||
         Now - Found->second.second > std::chrono::seconds(1))
       return load(Engine, 0);
     return after(Found->second.first, Now - Found->second.second);
   }
-  [[nodiscard]] bool isRelay(std::size_t Number) const { return Entries[Number].View->isRelay(); }
+  [[nodiscard]] bool isRelay(std::size_t EntryIndex) const {
+    return Entries[EntryIndex].View->isRelay();
+  }
   [[nodiscard]] std::size_t size() const { return Entries.size(); }
 
   /// What one entry has sent since the last clearCounts().
@@ -91,7 +94,9 @@
     std::size_t Bytes{0};
     std::size_t MostReceivers{0}; ///< In one round.
   };
-  [[nodiscard]] const sent_counts &sent(std::size_t Number) const { return Entries[Number].Sent; }
+  [[nodiscard]] const sent_counts &sent(std::size_t EntryIndex) const {
+    return Entries[EntryIndex].Sent;
+  }
   void clearCounts() {
     for (entry &Entry : Entries)
       Entry.Sent = {};
@@ -117,14 +122,15 @@
     std::string Bytes;
   };
 
-  [[nodiscard]] failure_domain_name domainOf(std::size_t Number) const {
-    return failure_domain_name("d" + std::to_string(Number % Domains));
+  [[nodiscard]] failure_domain_name domainOf(std::size_t EntryIndex) const {
+    return failure_domain_name("d" + std::to_string(EntryIndex % Domains));
   }
 
-  entry makeEntry(std::size_t Number, std::uint64_t Incarnation) const {
+  entry makeEntry(std::size_t EntryIndex, std::uint64_t Incarnation) const {
     entry NewEntry;
-    const process_key Process{host_name("e" + std::to_string(Number)), incarnation(Incarnation)};
-    NewEntry.View = std::make_unique<work_view>(Process, address(Number));
+    const process_key Process{host_name("e" + std::to_string(EntryIndex)),
+                              incarnation(Incarnation)};
+    NewEntry.View = std::make_unique<work_view>(Process, address(EntryIndex));
     NewEntry.OwnLoadsSetAt = Now;
     NewEntry.Incarnation = Incarnation;
     return NewEntry;
@@ -139,8 +145,8 @@
   void step() {
     const auto Due = InFlight.equal_range(Now);
     std::vector<in_flight_datagram> Arrived;
-    for (auto At = Due.first; At != Due.second; ++At)
-      Arrived.push_back(std::move(At->second));
+    for (auto Position = Due.first; Position != Due.second; ++Position)
+      Arrived.push_back(std::move(Position->second));
     InFlight.erase(Due.first, Due.second);
     for (const in_flight_datagram &Datagram : Arrived)
       if (!Entries[Datagram.Receiver].Down) {
@@ -148,15 +154,15 @@
             decodeWorkReport("fleet", {Datagram.Bytes.data(), Datagram.Bytes.size()});
         Entries[Datagram.Receiver].View->receive(valueOf(Report), Datagram.Sender, Now);
       }
-    for (std::size_t Number = 0; Number < Entries.size(); ++Number)
-      if (!Entries[Number].Down)
-        runEntry(Number);
+    for (std::size_t EntryIndex = 0; EntryIndex < Entries.size(); ++EntryIndex)
+      if (!Entries[EntryIndex].Down)
+        runEntry(EntryIndex);
   }
 
-  void runEntry(std::size_t Number) {
-    entry &Entry = Entries[Number];
+  void runEntry(std::size_t EntryIndex) {
+    entry &Entry = Entries[EntryIndex];
     if (Now - Entry.OwnLoadsSetAt >= 250ms)
-      setLoads(Number, Entry.OwnLoads);
+      setLoads(EntryIndex, Entry.OwnLoads);
     if (Entry.View->nextWake(Now) <= Now) {
       const std::vector<work_datagram> OutDatagrams = Entry.View->dueDatagrams(Now);
       std::set<std::string> Receivers;
@@ -164,7 +170,7 @@
         Receivers.insert(Datagram.To);
       Entry.Sent.MostReceivers = std::max(Entry.Sent.MostReceivers, Receivers.size());
       for (const work_datagram &Datagram : OutDatagrams)
-        send(Number, Datagram);
+        send(EntryIndex, Datagram);
     }
     for (const work_load &Load : Entry.View->changedPeerLoads(Now))
       Entry.KnownLoads[Load.Incarnation] = {Load, Now};
--- a/tests/work_share/work_view_test.cpp
+++ b/tests/work_share/work_view_test.cpp
@@ -12,20 +12,20 @@
 namespace pollenstall {
 namespace {
 
-/// Requests of each entry at engine Number % Engines, and the loads that an entry should know.
+/// Requests of each entry at engine EntryIndex % Engines, and the loads that an entry should know.
 struct expected_work {
   std::size_t Engines{24};
 
   void applyTo(simulated_network &Net) const {
-    for (std::size_t Number = 0; Number < Net.size(); ++Number)
-      Net.setLoads(Number, {simulated_network::load(Number % Engines, 1 + Number % 3)});
+    for (std::size_t EntryIndex = 0; EntryIndex < Net.size(); ++EntryIndex)
+      Net.setLoads(EntryIndex, {simulated_network::load(EntryIndex % Engines, 1 + EntryIndex % 3)});
   }
   [[nodiscard]] std::uint32_t othersAt(const simulated_network &Net, std::size_t Entry,
                                        std::size_t Engine) const {
     std::uint32_t Sum = 0;
-    for (std::size_t Number = 0; Number < Net.size(); ++Number)
-      if (Number != Entry && Number % Engines == Engine)
-        Sum += 1 + Number % 3;
+    for (std::size_t EntryIndex = 0; EntryIndex < Net.size(); ++EntryIndex)
+      if (EntryIndex != Entry && EntryIndex % Engines == Engine)
+        Sum += 1 + EntryIndex % 3;
     return Sum;
   }
   /// @return The number of loads that entries know wrongly.
@@ -48,9 +48,9 @@
 };
 
 std::size_t findRelay(const simulated_network &Net) {
-  for (std::size_t Number = 0; Number < Net.size(); ++Number)
-    if (Net.isRelay(Number))
-      return Number;
+  for (std::size_t EntryIndex = 0; EntryIndex < Net.size(); ++EntryIndex)
+    if (Net.isRelay(EntryIndex))
+      return EntryIndex;
   return Net.size();
 }
 
@@ -58,9 +58,9 @@
 
 std::vector<work_entry> entriesOf(std::size_t Count, std::size_t Domains) {
   std::vector<work_entry> Entries;
-  for (std::size_t Number = 0; Number < Count; ++Number)
-    Entries.push_back({simulated_network::address(Number),
-                       failure_domain_name("d" + std::to_string(Number % Domains))});
+  for (std::size_t EntryIndex = 0; EntryIndex < Count; ++EntryIndex)
+    Entries.push_back({simulated_network::address(EntryIndex),
+                       failure_domain_name("d" + std::to_string(EntryIndex % Domains))});
   return Entries;
 }
 
@@ -149,10 +149,11 @@
   Net.run(200ms);
   EXPECT_EQ(Work.countWrong(Net), 0U);
   std::size_t Relays = 0;
-  for (std::size_t Number = 0; Number < Net.size(); ++Number) {
-    Relays += Net.isRelay(Number) ? 1 : 0;
+  for (std::size_t EntryIndex = 0; EntryIndex < Net.size(); ++EntryIndex) {
+    Relays += Net.isRelay(EntryIndex) ? 1 : 0;
     const auto Root = static_cast<std::size_t>(std::ceil(std::sqrt(195.0)));
-    EXPECT_LE(Net.sent(Number).MostReceivers, Net.isRelay(Number) ? 2 * Root + 5 : 1U) << Number;
+    EXPECT_LE(Net.sent(EntryIndex).MostReceivers, Net.isRelay(EntryIndex) ? 2 * Root + 5 : 1U)
+        << EntryIndex;
   }
   EXPECT_LE(Relays, 15U);
 }
@@ -168,9 +169,9 @@
     Net.clearCounts();
     Net.run(1'000ms);
     std::size_t MaxBytes = 0;
-    for (std::size_t Number = 0; Number < Count; ++Number)
-      if (!Net.isRelay(Number))
-        MaxBytes = std::max(MaxBytes, Net.sent(Number).Bytes);
+    for (std::size_t EntryIndex = 0; EntryIndex < Count; ++EntryIndex)
+      if (!Net.isRelay(EntryIndex))
+        MaxBytes = std::max(MaxBytes, Net.sent(EntryIndex).Bytes);
     Bytes.push_back(MaxBytes);
   }
   EXPECT_LE(Bytes[2], Bytes[0] + Bytes[0] / 10);
@@ -317,8 +318,8 @@
 
 TEST_F(relayed_fleet_test, RecoversFromLostDatagrams) {
   Net.Faults.LossRate = 0.2;
-  for (std::size_t Number = 0; Number < Net.size(); ++Number)
-    Net.setLoads(Number, {simulated_network::load((Number + 1) % 60, 2)});
+  for (std::size_t EntryIndex = 0; EntryIndex < Net.size(); ++EntryIndex)
+    Net.setLoads(EntryIndex, {simulated_network::load((EntryIndex + 1) % 60, 2)});
   Net.run(400ms);
   Net.Faults.LossRate = 0;
   Net.run(1'700ms);
@@ -341,19 +342,19 @@
   Net.Faults = {0.05, 0.05, 1, 6};
   Net.run(500ms);
   std::vector<std::size_t> Down;
-  const auto IsDown = [&Down](std::size_t Number) {
-    return std::find(Down.begin(), Down.end(), Number) != Down.end();
+  const auto IsDown = [&Down](std::size_t EntryIndex) {
+    return std::find(Down.begin(), Down.end(), EntryIndex) != Down.end();
   };
   for (int Step = 0; Step < 30; ++Step) {
-    const auto Number = static_cast<std::size_t>(Net.Random.below(Count));
-    if (Net.Random.chance(0.1) && Down.size() + 1 < Count && !IsDown(Number)) {
-      Net.kill(Number);
-      Down.push_back(Number);
+    const auto EntryIndex = static_cast<std::size_t>(Net.Random.below(Count));
+    if (Net.Random.chance(0.1) && Down.size() + 1 < Count && !IsDown(EntryIndex)) {
+      Net.kill(EntryIndex);
+      Down.push_back(EntryIndex);
     } else if (Net.Random.chance(0.1) && !Down.empty()) {
       Net.restart(Down.back());
       Down.pop_back();
-    } else if (!IsDown(Number)) {
-      Net.setLoads(Number, {simulated_network::load(Net.Random.below(20), 1, 200)},
+    } else if (!IsDown(EntryIndex)) {
+      Net.setLoads(EntryIndex, {simulated_network::load(Net.Random.below(20), 1, 200)},
                    Net.Random.chance(0.3));
     }
     Net.run(std::chrono::milliseconds(Net.Random.below(60)));
