--- a/tests/dispatch/dispatch_simulation.h
+++ b/tests/dispatch/dispatch_simulation.h
@@ -120,7 +120,7 @@
   void executeAcquire(std::size_t Entry, const acquire_claim &Action, bool Answer);
 
   void failConnection(std::size_t Entry, const attempt_id &Attempt, attempt_failure Failure);
-  void relayAnswerPart(std::size_t Entry, const attempt_id &From, const attempt_id &Connection,
+  void relayAnswerPart(std::size_t Entry, const attempt_id &From, const attempt_id &ConnectionId,
                        std::uint32_t Generation, std::uint32_t Part);
   void receiveAttempt(std::size_t Entry, std::size_t Engine, const attempt_id &Attempt,
                       const backend_key &Intended);
--- a/tests/dispatch/dispatch_simulation_relay.cpp
+++ b/tests/dispatch/dispatch_simulation_relay.cpp
@@ -45,10 +45,10 @@
 void dispatch_simulation::receiveAttempt(std::size_t Entry, std::size_t Index,
                                          const attempt_id &Attempt, const backend_key &Intended) {
   fake_engine &Engine = Engines.at(Index);
-  const bool Ours = Entries.at(Entry).Self == Attempt.Owner;
+  const bool IsOwner = Entries.at(Entry).Self == Attempt.Owner;
   const bool Declines = Engine.Key != Intended || chance(0.1);
   if (Declines) {
-    if (Ours)
+    if (IsOwner)
       afterAtEntry(Entry, delay(), [this, Entry, Attempt] {
         failConnection(Entry, Attempt, attempt_failure::Declined);
       });
@@ -63,7 +63,7 @@
     return; // Hangs until it is cancelled.
   if (chance(0.08)) {
     Engine.Running.erase(Attempt);
-    if (Ours)
+    if (IsOwner)
       afterAtEntry(Entry, delay(), [this, Entry, Attempt] {
         failConnection(Entry, Attempt, attempt_failure::ErrorAnswer);
       });
@@ -101,35 +101,35 @@
 }
 
 void dispatch_simulation::relayAnswerPart(std::size_t Entry, const attempt_id &From,
-                                          const attempt_id &On, std::uint32_t Generation,
+                                          const attempt_id &ConnectionId, std::uint32_t Generation,
                                           std::uint32_t Part) {
   entry_incarnation &Incarnation = Entries.at(Entry);
-  relay_connection &Connection = Incarnation.Connections[On];
+  relay_connection &Connection = Incarnation.Connections[ConnectionId];
   if (!Connection.Open)
     return;
-  if (From != On)
-    return failConnection(Entry, On, attempt_failure::BadAnswer);
+  if (From != ConnectionId)
+    return failConnection(Entry, ConnectionId, attempt_failure::BadAnswer);
   if (Generation != Connection.Generation)
     return;
-  const auto Relaying = Incarnation.Relaying.find(On.Request);
+  const auto Relaying = Incarnation.Relaying.find(ConnectionId.Request);
   const bool First = Relaying == Incarnation.Relaying.end();
   if (Part != Connection.NextPart)
-    return failConnection(Entry, On, attempt_failure::BadAnswer);
+    return failConnection(Entry, ConnectionId, attempt_failure::BadAnswer);
   if (chance(0.08))
-    return failConnection(Entry, On,
+    return failConnection(Entry, ConnectionId,
                           First ? attempt_failure::BrokenSent : attempt_failure::BrokenMidway);
-  Incarnation.Relaying[On.Request] = On;
+  Incarnation.Relaying[ConnectionId.Request] = ConnectionId;
   ++Connection.NextPart;
-  const submission_index Submission = SubmissionOf.at({On.Owner, On.Request});
+  const submission_index Submission = SubmissionOf.at({ConnectionId.Owner, ConnectionId.Request});
   Tasks[Submission.first].Submissions[Submission.second].ReceivedParts.push_back({From, Part});
   if (First)
-    postEvent(Entry, attempt_answering{On});
+    postEvent(Entry, attempt_answering{ConnectionId});
   else
-    postEvent(Entry, attempt_advanced{On, 1});
+    postEvent(Entry, attempt_advanced{ConnectionId, 1});
   if (Part + 1 < AnswerParts)
     return;
   Connection.Open = false;
-  postEvent(Entry, attempt_completed{On, {}, {}, {}});
+  postEvent(Entry, attempt_completed{ConnectionId, {}, {}, {}});
 }
 
 void dispatch_simulation::act(std::size_t Entry, const resume_attempt &Action) {
