--- a/tests/work_share/simulated_network.h
+++ b/tests/work_share/simulated_network.h
@@ -136,7 +136,7 @@
     return NewEntry;
   }
 
-  static std::size_t numberFromAddress(const std::string &Address) {
+  static std::size_t indexFromAddress(const std::string &Address) {
     const std::size_t Dot = Address.rfind('.');
     const std::size_t High = std::stoul(Address.substr(5));
     return High * 200 + std::stoul(Address.substr(Dot + 1)) - 1;
@@ -183,10 +183,9 @@
     const int Copies = 1 + (Random.chance(Faults.DuplicationRate) ? 1 : 0);
     for (int Copy = 0; Copy < Copies; ++Copy)
       if (!Random.chance(Faults.LossRate))
-        InFlight.emplace(
-            Now + std::chrono::milliseconds(Faults.DelayMs +
-                                            Random.below(Faults.MaxExtraDelayMs + 1)),
-            in_flight_datagram{numberFromAddress(Datagram.To), address(Sender), Bytes});
+        InFlight.emplace(Now + std::chrono::milliseconds(Faults.DelayMs +
+                                                         Random.below(Faults.MaxExtraDelayMs + 1)),
+                         in_flight_datagram{indexFromAddress(Datagram.To), address(Sender), Bytes});
   }
 
   std::size_t Domains;
--- a/tests/work_share/work_view_test.cpp
+++ b/tests/work_share/work_view_test.cpp
@@ -20,8 +20,8 @@
     for (std::size_t EntryIndex = 0; EntryIndex < Net.size(); ++EntryIndex)
       Net.setLoads(EntryIndex, {simulated_network::load(EntryIndex % Engines, 1 + EntryIndex % 3)});
   }
-  [[nodiscard]] std::uint32_t othersAt(const simulated_network &Net, std::size_t Entry,
-                                       std::size_t Engine) const {
+  [[nodiscard]] std::uint32_t otherRequestsAt(const simulated_network &Net, std::size_t Entry,
+                                              std::size_t Engine) const {
     std::uint32_t Sum = 0;
     for (std::size_t EntryIndex = 0; EntryIndex < Net.size(); ++EntryIndex)
       if (EntryIndex != Entry && EntryIndex % Engines == Engine)
@@ -36,7 +36,7 @@
       if (std::find(Excluded.begin(), Excluded.end(), Entry) != Excluded.end())
         continue;
       for (std::size_t Engine = 0; Engine < Engines; ++Engine) {
-        std::uint32_t Expected = othersAt(Net, Entry, Engine);
+        std::uint32_t Expected = otherRequestsAt(Net, Entry, Engine);
         for (const std::size_t Gone : Excluded)
           if (Gone % Engines == Engine)
             Expected -= 1 + static_cast<std::uint32_t>(Gone % 3);
@@ -233,12 +233,12 @@
   Report.Loads.push_back({incarnation(7), 3, 2, 450, 5'001, 250, 77});
   Report.Loads.push_back({incarnation(8), 700, 600, 100'000, 0, 0, 0});
   const std::string Bytes = encodeWorkReport("fleet", Report);
-  const auto Read = decodeWorkReport("fleet", {Bytes.data(), Bytes.size()});
-  ASSERT_TRUE(succeeded(Read));
-  EXPECT_EQ(valueOf(Read).Scope, report_scope::Group);
-  EXPECT_TRUE(valueOf(Read).Urgent);
-  EXPECT_EQ(valueOf(Read).Loads[0], (work_load{incarnation(7), 3, 2, 450, 5'056, 250, 77}));
-  EXPECT_EQ(valueOf(Read).Loads[1], (work_load{incarnation(8), 255, 255, 65'535, 0, 0, 0}));
+  const auto Decoded = decodeWorkReport("fleet", {Bytes.data(), Bytes.size()});
+  ASSERT_TRUE(succeeded(Decoded));
+  EXPECT_EQ(valueOf(Decoded).Scope, report_scope::Group);
+  EXPECT_TRUE(valueOf(Decoded).Urgent);
+  EXPECT_EQ(valueOf(Decoded).Loads[0], (work_load{incarnation(7), 3, 2, 450, 5'056, 250, 77}));
+  EXPECT_EQ(valueOf(Decoded).Loads[1], (work_load{incarnation(8), 255, 255, 65'535, 0, 0, 0}));
   EXPECT_FALSE(succeeded(decodeWorkReport("other", {Bytes.data(), Bytes.size()})));
 }
 
@@ -298,7 +298,8 @@
       for (std::size_t Engine = 0; Engine < Work.Engines; ++Engine)
         // The work of the frozen entry itself may be missing.
         ASSERT_TRUE(Entry == Frozen || Engine == Frozen ||
-                    Net.knownLoad(Entry, Engine).Requests >= Work.othersAt(Net, Entry, Engine))
+                    Net.knownLoad(Entry, Engine).Requests >=
+                        Work.otherRequestsAt(Net, Entry, Engine))
             << Step << ": entry " << Entry << ", engine " << Engine;
   }
   Net.run(1'000ms);
