--- a/src/claim/claim_base.h
+++ b/src/claim/claim_base.h
@@ -32,7 +32,7 @@
   [[nodiscard]] result<done, claim_error> check(const claim_settle &Command) const;
   [[nodiscard]] result<done, claim_error> check(const claim_expire &Command) const;
 
-  result<claim_verdict, claim_error> execute(const claim_acquire &Command);
+  result<claim_status, claim_error> execute(const claim_acquire &Command);
   result<done, claim_error> execute(const claim_settle &Command);
   result<done, claim_error> execute(const claim_expire &Command);
 
--- a/src/claim/claim_cmd.cpp
+++ b/src/claim/claim_cmd.cpp
@@ -39,15 +39,15 @@
     return claim_error::AlreadyExpired;
   if (Found == nullptr && !hasRoom())
     return claim_error::TableFull;
-  return claim_verdict::Granted;
+  return claim_status::Granted;
 }
 
 result<done, claim_error> claim_table::check(const claim_settle &Command) const {
-  if (Command.Standing == claim_standing::Running)
+  if (Command.Standing == claim_state::Running)
     return claim_error::InvalidStanding;
   const claim_record *Found = findRecord(Command.Key);
   if (Found == nullptr) {
-    if (Command.Standing != claim_standing::Released)
+    if (Command.Standing != claim_state::Released)
       return claim_error::NotHolder;
     if (Command.ExpiresAt <= ExpiredUntil)
       return claim_error::AlreadyExpired;
@@ -66,7 +66,7 @@
   return done{};
 }
 
-result<claim_verdict, claim_error> claim_table::execute(const claim_acquire &Command) {
+result<claim_status, claim_error> claim_table::execute(const claim_acquire &Command) {
   auto Checked = check(Command);
   const claim_record *Found = findRecord(Command.Key);
   const bool Claimed = Found != nullptr && Found->Standing != claim_standing::Released;
--- a/src/claim/claim_type.h
+++ b/src/claim/claim_type.h
@@ -81,7 +81,7 @@
 struct claim_record {
   claim_key_hash Key;
   claim_holder Holder;
-  claim_standing Standing{claim_standing::Running};
+  claim_state Standing{claim_state::Running};
   unix_millis ExpiresAt{0};
 
   bool operator==(const claim_record &) const = default;
--- a/tests/claim/claim_test.cpp
+++ b/tests/claim/claim_test.cpp
@@ -31,8 +31,8 @@
                                    claim_key_hash Key = DefaultKey) {
     return Table.execute(claim_settle{Key, Holder, Standing, Day});
   }
-  void expectVerdict(const claim_holder &Holder, claim_verdict Verdict) {
-    EXPECT_EQ(acquire(Holder), (result<claim_verdict, claim_error>(Verdict)));
+  void expectVerdict(const claim_holder &Holder, claim_status Verdict) {
+    EXPECT_EQ(acquire(Holder), (result<claim_status, claim_error>(Verdict)));
   }
   template <typename Result> void expectRefused(const Result &Outcome, claim_error Error) {
     ASSERT_FALSE(succeeded(Outcome));
@@ -145,7 +145,7 @@
     return claim_expire{unix_millis(*rc::gen::inRange(0, 40))};
   case 1:
   case 2: {
-    const auto Standing = static_cast<claim_standing>(*rc::gen::inRange(0, 4));
+    const auto Standing = static_cast<claim_state>(*rc::gen::inRange(0, 4));
     return claim_settle{Key, Holder, Standing, ExpiresAt};
   }
   default:
@@ -193,7 +193,7 @@
         continue;
       const auto After = Table.find(Acquire->Key);
       RC_ASSERT(After.has_value());
-      if (Before && Before->Standing != claim_standing::Released)
+      if (Before && Before->Standing != claim_state::Released)
         RC_ASSERT(After->Holder == Before->Holder);
     }
   }));
--- a/tests/control_state/control_state_test.cpp
+++ b/tests/control_state/control_state_test.cpp
@@ -148,7 +148,7 @@
             control_answer(claim_acquire_answer(claim_verdict::Granted)));
   control_state Other = restored(State);
   EXPECT_EQ(Other.execute(claim_acquire{Key, Second, unix_millis(9000)}),
-            control_answer(claim_acquire_answer(claim_verdict::Running)));
+            control_answer(claim_acquire_answer(claim_status::Running)));
 }
 
 TEST_F(ChangesTest, RefuseAnInvalidSnapshot) {
