--- a/bench/decision/work_bench.cpp
+++ b/bench/decision/work_bench.cpp
@@ -65,7 +65,7 @@
                      failure_domain_name("d" + std::to_string(Entry % (OtherDomains + 1)))});
     Board.useEntries(All, Now);
     Placer.applyDeclaration(declarationOf());
-    Placer.useExchange(Board.facts());
+    Placer.updateExchange(Board.facts());
     for (std::size_t Engine = 0; Engine < Engines; ++Engine)
       Placer.updateBackend(listingOf(Engine));
     for (std::size_t Report = 0; Report < 4 * Engines; ++Report)
@@ -84,7 +84,7 @@
       work_load Told;
       Told.Incarnation = listingOf(Random.below(Engines)).Key.Incarnation;
       Told.Requests = static_cast<std::uint32_t>(Random.below(6));
-      Told.Writers = Told.Requests;
+      Told.DecodingRequests = Told.Requests;
       Told.Tokens = Told.Requests * 5'000;
       Told.GapMs = 250;
       Report.Loads.push_back(Told);
@@ -94,7 +94,7 @@
     TakeUs += cpuMicroseconds() - Before;
   }
 
-  void tellPlacement() { Placer.takeOthersLoads(Board.othersChanged(Now), Now); }
+  void tellPlacement() { Placer.updateOthersLoads(Board.othersChanged(Now), Now); }
 
   void oneDecision() {
     Now += 10ms;
--- a/bench/policy/entry_policy.cpp
+++ b/bench/policy/entry_policy.cpp
@@ -162,7 +162,7 @@
     Own->attemptAnswering(Attempt, Now);
   };
   Policy.Advanced = [Own](const attempt_id &Attempt, std::uint64_t Events, mono_time Now) {
-    Own->attemptAdvanced(Attempt, Events, Now);
+    Own->attemptProgressed(Attempt, Events, Now);
   };
   Policy.Ended = [Own](const attempt_id &Attempt, const attempt_report &End, mono_time Now) {
     Own->attemptEnded(Attempt, End, Now);
--- a/bench/policy/summary.cpp
+++ b/bench/policy/summary.cpp
@@ -8,7 +8,7 @@
 namespace pollenstall::bench {
 namespace {
 
-constexpr std::array<const char *, LengthClasses> ClassNames{"short", "medium", "long"};
+constexpr std::array<const char *, LengthClassCount> ClassNames{"short", "medium", "long"};
 
 double percentile(const std::vector<double> &Sorted, double Part) {
   if (Sorted.empty())
@@ -98,7 +98,7 @@
     }
   }
   run_summary Summary;
-  for (std::size_t Class = 0; Class < LengthClasses; ++Class)
+  for (std::size_t Class = 0; Class < LengthClassCount; ++Class)
     Summary.Classes[Class] = summarise(All, static_cast<length_class>(Class));
   const double Seconds = (Run.Seconds - Run.WarmUp) * static_cast<double>(Seeds);
   for (const sim_record &Record : All)
@@ -121,7 +121,7 @@
   Out.precision(4);
   Out << "{\"scenario\":\"" << Run.Scenario << "\",\"policy\":\"" << Policy
       << "\",\"load\":" << Run.Load << ",\"requests\":" << Summary.Counted;
-  for (std::size_t Class = 0; Class < LengthClasses; ++Class) {
+  for (std::size_t Class = 0; Class < LengthClassCount; ++Class) {
     const class_summary &Part = Summary.Classes[Class];
     Out << ",\"" << ClassNames[Class] << "\":{\"count\":" << Part.Count << ",\"p50\":" << Part.P50
         << ",\"p95\":" << Part.P95 << ",\"p99\":" << Part.P99 << ",\"longest\":" << Part.Longest
--- a/bench/policy/summary_func.h
+++ b/bench/policy/summary_func.h
@@ -22,7 +22,7 @@
 
 /// What is reported of a scenario under a policy.
 struct run_summary {
-  std::array<class_summary, LengthClasses> Classes;
+  std::array<class_summary, LengthClassCount> Classes;
   double Goodput{0}; ///< Engine seconds a second of requests that completed in time, per engine.
   double GoodRequests{0}; ///< Of these, requests a second.
   /// Part of each account's cost that was served in time, of what could fit.
--- a/bench/policy/workload.cpp
+++ b/bench/policy/workload.cpp
@@ -18,7 +18,7 @@
 constexpr double LongTail = 1.2;
 constexpr double MeanAnswer = 200;
 constexpr std::int64_t AnswerBound = 600;
-constexpr std::array<double, LengthClasses> AllowedSeconds{60, 120, 400};
+constexpr std::array<double, LengthClassCount> AllowedSeconds{60, 120, 400};
 constexpr std::array<double, Accounts> LargeAccounts{0.30, 0.20, 0.15, 0.05, 0.05,
                                                      0.05, 0.05, 0.05, 0.05, 0.05};
 constexpr double PrefixPart = 0.4; ///< Requests that share a prefix with others of the account.
--- a/programs/pollenstall-entry/decision_seam.cpp
+++ b/programs/pollenstall-entry/decision_seam.cpp
@@ -52,12 +52,12 @@
     noteAnswering(Attempt, Now);
   };
   Hooks.AttemptAdvanced = [this](const attempt_id &Attempt, std::uint64_t Events, mono_time Now) {
-    Scheduler.attemptAdvanced(Attempt, Events, Now);
+    Scheduler.attemptProgressed(Attempt, Events, Now);
   };
   Hooks.AttemptAbandoned = [this](const attempt_id &Attempt, std::optional<attempt_failure> Failure,
                                   mono_time Now) {
     if (Failure)
-      withPolicy([&](auto &Policy) { Policy.attemptBroken(Attempt, *Failure, Now); });
+      withPolicy([&](auto &Policy) { Policy.attemptFailed(Attempt, *Failure, Now); });
   };
   Hooks.AttemptEnded = [this](const attempt_ending &Ending, mono_time Now) {
     noteEnd(Ending, Now);
--- a/programs/pollenstall-entry/decision_seam_base.h
+++ b/programs/pollenstall-entry/decision_seam_base.h
@@ -43,8 +43,8 @@
   void take(const backends_listed &Listed, mono_time Now);
   /// What all other entries have under way, where that changed, and how it is told.
   void takeOthers(const others_work &Others, mono_time Now) {
-    Placer.useExchange(Others.Facts);
-    Placer.takeOthersLoads(Others.Changed, Now);
+    Placer.updateExchange(Others.Facts);
+    Placer.updateOthersLoads(Others.Changed, Now);
   }
   [[nodiscard]] std::vector<work_load> ownLoads(mono_time Now) const {
     return Placer.ownLoads(Now);
@@ -75,7 +75,7 @@
   [[nodiscard]] bool isSuperseded() const { return Superseded; }
   [[nodiscard]] std::size_t liveRequests() const { return Dispatcher.liveRequests(); }
   [[nodiscard]] std::size_t abandonedAttempts() const { return Dispatcher.abandonedAttempts(); }
-  [[nodiscard]] bool reachesNobody() const { return usesPlacer() && Placer.reachesNobody(); }
+  [[nodiscard]] bool reachesNoBackend() const { return usesPlacer() && Placer.reachesNoBackend(); }
   [[nodiscard]] std::uint64_t claimsMade() const { return Placer.claimsMade(); }
   [[nodiscard]] std::size_t queued() const;
   /// @return JSON of requests, queue and backend servers, without prompts or keys.
--- a/programs/pollenstall-entry/decision_thread.cpp
+++ b/programs/pollenstall-entry/decision_thread.cpp
@@ -362,7 +362,7 @@
 }
 
 void decision_thread::logReach() {
-  if (ReachesNobody == Seam.reachesNobody())
+  if (ReachesNobody == Seam.reachesNoBackend())
     return;
   ReachesNobody = !ReachesNobody;
   OutOfReachGauge.Set(ReachesNobody ? 1.0 : 0.0);
--- a/src/fleet_model/engine_model.cpp
+++ b/src/fleet_model/engine_model.cpp
@@ -156,10 +156,10 @@
   }
   const double Steps = Writes ? static_cast<double>(Figures.StepsPerPass) : 1.0;
   double Budget = Steps * static_cast<double>(Figures.Chunk.value());
-  const double ReadMs = readParts(Budget) + readJobs(Budget);
-  Spent.Read += ReadMs;
+  const double PrefillMs = readParts(Budget) + readJobs(Budget);
+  Spent.Read += PrefillMs;
   Spent.Write += Writes ? Steps * StepMs : 0;
-  return Steps * StepMs + ReadMs;
+  return Steps * StepMs + PrefillMs;
 }
 
 pass_outcome engine_model::finish() {
--- a/src/fleet_model/entry_policy.cpp
+++ b/src/fleet_model/entry_policy.cpp
@@ -57,8 +57,8 @@
   };
   Policy.OwnLoads = [Placer](mono_time Now) { return Placer->ownLoads(Now); };
   Policy.TakeOthers = [Placer](const others_work &Others, mono_time Now) {
-    Placer->useExchange(Others.Facts);
-    Placer->takeOthersLoads(Others.Changed, Now);
+    Placer->updateExchange(Others.Facts);
+    Placer->updateOthersLoads(Others.Changed, Now);
   };
   Policy.ClaimsMade = [Placer] { return Placer->claimsMade(); };
   return Policy;
@@ -105,7 +105,7 @@
         Loads.push_back({Key.Incarnation, Count.Own, 0, 0, 0, 0, 0});
     return Loads;
   }
-  void takeOthersLoads(const std::vector<work_load> &Loads) {
+  void updateOthersLoads(const std::vector<work_load> &Loads) {
     for (auto &[Key, Count] : Counts)
       for (const work_load &Load : Loads)
         if (Load.Incarnation == Key.Incarnation)
@@ -173,7 +173,7 @@
     };
     Policy.OwnLoads = [Balancer](mono_time) { return Balancer->loads(); };
     Policy.TakeOthers = [Balancer](const others_work &Others, mono_time) {
-      Balancer->takeOthersLoads(Others.Changed);
+      Balancer->updateOthersLoads(Others.Changed);
     };
     Policy.ClaimsMade = [] { return std::uint64_t{0}; };
     return Policy;
--- a/src/fleet_model/fleet_run.cpp
+++ b/src/fleet_model/fleet_run.cpp
@@ -105,7 +105,7 @@
   }
 }
 
-mono_time fleet_run::momentOf(double At) { return Start + spanOf(At); }
+mono_time fleet_run::momentOf(double At) { return Start + durationFromMs(At); }
 
 double fleet_run::millisOf(mono_time Moment) { return millisUntil(Moment, Start); }
 
--- a/src/fleet_model/model_load.cpp
+++ b/src/fleet_model/model_load.cpp
@@ -95,19 +95,19 @@
 void readTuning(toml_reader &Table, placement_tuning &Tuning) {
   Tuning.GapPart = Table.number("gap_part", Part, Tuning.GapPart);
   Tuning.TargetPart = Table.number("target_part", Part, Tuning.TargetPart);
-  Tuning.WholeReadMs = Table.number("whole_read_ms", Amount, Tuning.WholeReadMs);
-  Tuning.PartMs = Table.number("part_ms", Positive, Tuning.PartMs);
-  Tuning.IdleReadMs = Table.number("idle_read_ms", Amount, Tuning.IdleReadMs);
+  Tuning.MaxSinglePrefillMs = Table.number("whole_read_ms", Amount, Tuning.MaxSinglePrefillMs);
+  Tuning.MinPartMs = Table.number("part_ms", Positive, Tuning.MinPartMs);
+  Tuning.IdlePrefillMs = Table.number("idle_read_ms", Amount, Tuning.IdlePrefillMs);
   Tuning.SlackPart = Table.number("slack_part", Part, Tuning.SlackPart);
   Tuning.WaitPart = Table.number("wait_part", Part, Tuning.WaitPart);
-  Tuning.RoomPart = Table.number("room_part", Part, Tuning.RoomPart);
+  Tuning.HeadroomPart = Table.number("room_part", Part, Tuning.HeadroomPart);
   Tuning.LongPartMs = Table.number("long_part_ms", Amount, Tuning.LongPartMs);
-  Tuning.MostReaders =
-      static_cast<std::uint32_t>(Table.whole("most_readers", Count, Tuning.MostReaders));
-  Tuning.SparePlaces =
-      static_cast<std::uint32_t>(Table.whole("spare_places", Urgencies, Tuning.SparePlaces));
-  Tuning.PackedChoices = static_cast<std::size_t>(
-      Table.whole("packed_choices", Count, static_cast<std::int64_t>(Tuning.PackedChoices)));
+  Tuning.MaxPrefillEngines =
+      static_cast<std::uint32_t>(Table.whole("most_readers", Count, Tuning.MaxPrefillEngines));
+  Tuning.SpareSlots =
+      static_cast<std::uint32_t>(Table.whole("spare_places", Urgencies, Tuning.SpareSlots));
+  Tuning.MinPackedChoices = static_cast<std::size_t>(
+      Table.whole("packed_choices", Count, static_cast<std::int64_t>(Tuning.MinPackedChoices)));
   Tuning.ChoicesPerUnknown = Table.number("choices_per_unknown", Amount, Tuning.ChoicesPerUnknown);
   Table.finish("placement's tuning");
 }
--- a/src/placement/millis_func.h
+++ b/src/placement/millis_func.h
@@ -1,4 +1,4 @@
-/** @file millis_func.h Spans as milliseconds with a fraction, in which engines' figures are. */
+/** @file millis_func.h Conversions between durations and fractional milliseconds. */
 #ifndef POLLENSTALL_PLACEMENT_MILLIS_FUNC_H
 #define POLLENSTALL_PLACEMENT_MILLIS_FUNC_H
 
@@ -8,14 +8,14 @@
 
 namespace pollenstall {
 
-/// @return Milliseconds; less than 0 where Then is over.
-inline double millisUntil(mono_time Then, mono_time Now) {
-  return std::chrono::duration<double, std::milli>(Then - Now).count();
+/// Returns the milliseconds from Now until Time; less than 0 if Time has passed.
+inline double millisUntil(mono_time Time, mono_time Now) {
+  return std::chrono::duration<double, std::milli>(Time - Now).count();
 }
 
-inline mono_duration spanOf(double Millis) {
+inline mono_duration durationFromMs(double Milliseconds) {
   return std::chrono::duration_cast<mono_duration>(
-      std::chrono::duration<double, std::milli>(Millis));
+      std::chrono::duration<double, std::milli>(Milliseconds));
 }
 
 } // namespace pollenstall
--- a/src/placement/pass_model.cpp
+++ b/src/placement/pass_model.cpp
@@ -1,4 +1,4 @@
-/** @file pass_model.cpp Reading and writing times of an engine. */
+/** @file pass_model.cpp Prefill and decode times of an engine. */
 #include "placement/pass_model_func.h"
 
 namespace pollenstall {
@@ -10,17 +10,17 @@
 
 } // namespace
 
-double readMs(const engine_figures &Figures, tokens Prompt) {
+double prefillMs(const engine_figures &Figures, tokens Prompt) {
   const auto Count = static_cast<double>(Prompt.value());
   const double Pairs = Count * Count / 2.0;
   return Count / Figures.ReadPerSecond * Thousand + Pairs / Million * Figures.PairsMs;
 }
 
-double passMs(const engine_figures &Figures, std::uint32_t Writers, double Context) {
-  if (Writers == 0)
+double passMs(const engine_figures &Figures, std::uint32_t DecodingRequests, double Context) {
+  if (DecodingRequests == 0)
     return 0;
-  const double Step =
-      Figures.StepMs + Writers * Figures.PerSequenceMs + Context / Thousand * Figures.PerContextMs;
+  const double Step = Figures.StepMs + DecodingRequests * Figures.PerSequenceMs +
+                      Context / Thousand * Figures.PerContextMs;
   return Figures.StepsPerPass * Step;
 }
 
--- a/src/placement/pass_model_func.h
+++ b/src/placement/pass_model_func.h
@@ -1,4 +1,4 @@
-/** @file pass_model_func.h How long an engine takes, from its declared figures. */
+/** @file pass_model_func.h Prefill and decode times of an engine from its declared figures. */
 #ifndef POLLENSTALL_PLACEMENT_PASS_MODEL_FUNC_H
 #define POLLENSTALL_PLACEMENT_PASS_MODEL_FUNC_H
 
@@ -6,13 +6,15 @@
 
 namespace pollenstall {
 
-/// @return Milliseconds in which an engine that does nothing else reads the prompt. The pairs of a
-/// token and each earlier one grow with the square of the prompt.
-double readMs(const engine_figures &Figures, tokens Prompt);
+/// Returns the milliseconds that an otherwise idle engine takes to prefill the prompt. The cost of
+/// attention, over pairs of a token and an earlier one, grows with the square of the prompt length.
+double prefillMs(const engine_figures &Figures, tokens Prompt);
 
-/// @return Milliseconds of one pass without reading, and so between two events of each stream.
-/// @param Writers Requests that write. @param Context All their tokens.
-double passMs(const engine_figures &Figures, std::uint32_t Writers, double Context);
+/// Returns the milliseconds of one pass without prefill, which is the time between two events of
+/// each stream.
+/// @param DecodingRequests Number of requests in decode.
+/// @param Context Total number of tokens of these requests.
+double passMs(const engine_figures &Figures, std::uint32_t DecodingRequests, double Context);
 
 } // namespace pollenstall
 
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -1,4 +1,4 @@
-/** @file placement.h Public header of placement: work on engines whose figures are declared. */
+/** @file placement.h Public header of placement on engines with declared performance figures. */
 #ifndef POLLENSTALL_PLACEMENT_PLACEMENT_H
 #define POLLENSTALL_PLACEMENT_PLACEMENT_H
 
--- a/src/placement/placement_type.h
+++ b/src/placement/placement_type.h
@@ -1,4 +1,4 @@
-/** @file placement_type.h Loads that entries tell each other, and what placement is tuned by. */
+/** @file placement_type.h Loads that entries exchange, and the parameters of placement. */
 #ifndef POLLENSTALL_PLACEMENT_PLACEMENT_TYPE_H
 #define POLLENSTALL_PLACEMENT_PLACEMENT_TYPE_H
 
@@ -12,98 +12,100 @@
 
 namespace pollenstall {
 
-/// What entries have under way at one backend server: one of them, or several together.
+/// Work in flight of one or several entries on one backend server.
 struct work_load {
-  incarnation Incarnation;   ///< Of the backend server.
-  std::uint32_t Requests{0}; ///< Started and not ended.
-  std::uint32_t Writers{0};  ///< Of these, those that have answered.
-  std::uint32_t ReadMs{0};   ///< Reading that is still to be done there, parts of others' included.
-  std::uint32_t Tokens{0};   ///< Memory that they take.
-  std::uint32_t GapMs{0};    ///< The shortest that their callers allow between two events; 0: any.
-  /// Of the entries that read for long there the one that goes first, by precedenceOf(); 0: none.
-  std::uint32_t FirstReader{0};
+  incarnation Incarnation;           ///< Incarnation of the backend server.
+  std::uint32_t Requests{0};         ///< Requests started and not ended.
+  std::uint32_t DecodingRequests{0}; ///< Requests that have begun to answer.
+  std::uint32_t PrefillMs{0}; ///< Pending prefill, including parts of prompts answered elsewhere.
+  std::uint32_t Tokens{0};    ///< Allocated memory.
+  std::uint32_t GapMs{0};     ///< Shortest event gap that the callers allow; 0: unlimited.
+  /// Lowest precedenceOf() of the entries with a long prefill on this server; 0: none.
+  std::uint32_t LowestPrecedence{0};
 
   bool operator==(const work_load &) const = default;
 };
 
-/// @return Whether nothing is under way.
+/// Returns whether the load contains no work.
 bool isEmpty(const work_load &Load);
 
-/// @return What decides between entries that would read on one engine in the same moment: the lower
-/// one goes on. Never 0.
+/// Returns the precedence of an entry, never 0. If two entries claim one engine at the same time,
+/// the one with the lower value keeps its claim.
 inline std::uint32_t precedenceOf(const host_name &Host) {
   return static_cast<std::uint32_t>(stableHash(Host.str())) | 1U;
 }
 
-/// @return The work of both at the same backend server.
+/// Returns the sum of two loads of the same backend server.
 work_load operator+(work_load A, const work_load &B);
 
-/// @return What is left of it after so long: what is read goes on, the rest stays.
-work_load after(work_load Load, mono_duration Passed);
+/// Returns the load after some time in which the engine continued its prefill.
+work_load loadAfter(work_load Load, mono_duration Elapsed);
 
-/// How entries tell each other of their work, as far as placement depends on it.
-struct exchange_facts {
-  std::size_t Entries{1}; ///< That place work, this one included.
-  mono_duration Age{0};   ///< From a choice until the others know of it, on the average.
-  /// So long an entry holds its choice for a long prompt back after it has told it: two entries
-  /// that see an engine become free in the same moment would both read there, and the part that
-  /// came first would be done last, seconds late. The way to the farthest entry at least; the
-  /// longer it is, the more claims meet and give way again.
-  mono_duration ClaimSpan{std::chrono::milliseconds(6)};
+/// Properties of the load exchange between entries that placement depends on.
+struct load_exchange_stats {
+  std::size_t Entries{1};            ///< Number of entries that place work, including this one.
+  mono_duration PropagationDelay{0}; ///< Average time until the others know of a placement.
+  /// Time between publishing a claim for a long prompt and acting on it. Two entries that see an
+  /// engine become free at the same time would both place a prefill there, and the part that came
+  /// first would be finished last, seconds late. It must be at least the delay to the farthest
+  /// entry; with a longer delay, more claims conflict and are withdrawn.
+  mono_duration ClaimDelay{std::chrono::milliseconds(6)};
 };
 
-/// Milliseconds unless said otherwise.
+/// Placement parameters. Numbers are in milliseconds unless noted.
 struct placement_tuning {
-  /// Part of the longest declared gap that a pass may last with what it reads: the rest is for
-  /// delays on the way and for what other entries place in the same moment.
+  /// Part of the shortest allowed gap that a pass with its prefill may take. The rest covers
+  /// network delays and work that other entries place at the same time.
   double GapPart{0.65};
-  /// A long gap need leave no more than this: delays on the way do not grow with it.
+  /// Upper bound of the reserved rest of a gap: network delays do not grow with the gap.
   double GapMarginMs{90.0};
-  /// Part of the time to the target at which the first event is expected at the latest.
+  /// Part of the time remaining to the target within which the first event must be expected.
   double TargetPart{0.6};
-  /// Reading up to this is done by one engine beside others' writing.
-  double WholeReadMs{60.0};
-  /// Part of an engine's memory that one prompt may take: the rest is for what came a moment
+  /// Prefill up to this duration runs on a single engine, alongside its decoding requests.
+  double MaxSinglePrefillMs{60.0};
+  /// Part of an engine's memory that one prompt may use. The rest covers work that was placed just
   /// before.
   double MemoryPart{0.94};
-  /// Engines beside the first that keep memory of one prompt.
-  std::uint32_t MostHolders{3};
-  /// A prompt is not cut into shorter parts.
-  double PartMs{80.0};
-  /// An engine with no more than this to read counts as idle.
-  double IdleReadMs{30.0};
-  /// Part of the engines, rounded down, that must be left with room for a short prompt where a read
-  /// takes each of its engines for longer than LongPartMs. One prompt of 570,000 tokens that took
-  /// all idle engines for two seconds made 51 short ones late.
-  double RoomPart{0.12};
-  /// A short prompt can wait for less than that beside its target of some hundred milliseconds.
+  /// Maximum number of engines, besides the first, that hold memory for one prompt.
+  std::uint32_t MaxHolders{3};
+  /// Minimum duration of a part when a prompt is split.
+  double MinPartMs{80.0};
+  /// An engine with at most this much pending prefill counts as idle.
+  double IdlePrefillMs{30.0};
+  /// Part of the engines, rounded down, that must keep headroom for a short prompt if a prefill
+  /// occupies each of its engines for longer than LongPartMs. One prompt of 570,000 tokens that
+  /// occupied all idle engines for two seconds made 51 short ones late.
+  double HeadroomPart{0.12};
+  /// A short prompt, with a target of some hundred milliseconds, can wait for less than this.
   double LongPartMs{500.0};
-  /// Part of the target that must be left for work to wait for more idle engines.
+  /// Work waits for more idle engines only while more than this part of its target would remain.
   double SlackPart{0.25};
-  /// Engines that can begin within this of each other are the same to a stream that broke off.
-  double SameStartMs{10.0};
-  /// Places of an engine that stay free: two entries may choose it in the same moment.
-  std::uint32_t SparePlaces{2};
-  /// Engines, first in the common order, among which short work is spread at random at the least:
-  /// few, so that the others stay free for long reads.
-  std::size_t PackedChoices{2};
-  /// And so many for each request that all entries place before they know of each other's: entries
-  /// that choose among fewer meet on one engine, whose streams then all pause. With two choices for
-  /// 195 entries 46 in 100 short prompts began within 20 ms of another one at the same engine.
+  /// For a resumed stream, engines whose start times differ by at most this are equivalent.
+  double StartToleranceMs{10.0};
+  /// Slots of an engine that stay free, because two entries may choose it at the same time.
+  std::uint32_t SpareSlots{2};
+  /// Minimum number of engines, from the start of the common order, among which short work is
+  /// spread at random. It is low so that the other engines stay free for long prefill.
+  std::size_t MinPackedChoices{2};
+  /// Number of engines for each request that all entries place before they know of each other's
+  /// placements. With fewer, entries choose the same engine, and all its streams pause. With two
+  /// choices for 195 entries, 46 in 100 short prompts began within 20 ms of another one on the same
+  /// engine.
   double ChoicesPerUnknown{2.0};
-  /// Over which the rate of requests is averaged.
-  mono_duration RateSpan{std::chrono::seconds(2)};
-  std::uint32_t MostReaders{17}; ///< Of one prompt, the first one included.
-  mono_duration PollInterval{std::chrono::milliseconds(10)};  ///< While work waits.
-  mono_duration PeerSilence{std::chrono::seconds(1)};         ///< A peer's loads count no longer.
-  mono_duration FailurePause{std::chrono::milliseconds(500)}; ///< After a failure; doubles.
-  mono_duration LongestPause{std::chrono::seconds(8)};
-  /// After a pause one request tries a server, and no other for so long unless it answers. A server
-  /// that is dark seems free of work: all that came in the time until the next failure was seen
-  /// (0.3 s to connect, 1.2 s without an answer) was lost to it, again after each pause.
-  mono_duration TrialSpan{std::chrono::milliseconds(1500)};
-  /// Part of the time limit after which work that waits is refused, so that its caller can come
-  /// back.
+  /// Averaging window of the request rate.
+  mono_duration RateWindow{std::chrono::seconds(2)};
+  std::uint32_t MaxPrefillEngines{17}; ///< Maximum for one prompt, including the first engine.
+  mono_duration PollInterval{std::chrono::milliseconds(10)}; ///< While work waits.
+  mono_duration PeerLoadTimeout{std::chrono::seconds(1)};    ///< Older loads of peers are ignored.
+  /// Backoff after the first failure; doubles with each further one.
+  mono_duration FailureBackoff{std::chrono::milliseconds(500)};
+  mono_duration MaxBackoff{std::chrono::seconds(8)};
+  /// After a backoff, a server receives one trial request, and no other request for this time
+  /// unless the trial is answered. An unreachable server appears idle: without the limit, all
+  /// requests until the next detected failure (0.3 s to connect, 1.2 s without an answer) went
+  /// there and were lost, again after each backoff.
+  mono_duration TrialTimeout{std::chrono::milliseconds(1500)};
+  /// Part of the time limit after which waiting work is refused, so that its caller can retry.
   double WaitPart{0.3};
 };
 
--- a/src/placement/placer.cpp
+++ b/src/placement/placer.cpp
@@ -1,4 +1,4 @@
-/** @file placer.cpp The queue and polls. */
+/** @file placer.cpp Queue, polls and claims of the placer. */
 #include "placement/placer_base.h"
 
 #include "placement/millis_func.h"
@@ -10,17 +10,17 @@
 
 namespace {
 
-constexpr std::chrono::seconds RetrySoon{1}; ///< The least that callers are told.
-/// Part of the time that a caller has left after which it does not come back any more.
-constexpr double LongestReturnPart = 1.0 / 3;
-/// Waiting requests looked at in one poll: bounds its time under overload.
-constexpr std::size_t TriesPerPoll = 64;
+constexpr std::chrono::seconds MinRetryAfter{1};
+/// A caller does not retry after more than this part of its remaining time.
+constexpr double MaxRetryPart = 1.0 / 3;
+/// Maximum number of waiting requests to try per poll, which bounds its duration under overload.
+constexpr std::size_t MaxTriesPerPoll = 64;
 
 } // namespace
 
-placer::placer(const host_name &Host, std::uint64_t Seed, const placement_tuning &Values)
+placer::placer(const host_name &Host, std::uint64_t Seed, const placement_tuning &InitialTuning)
     : Precedence(precedenceOf(Host)), Random(combineHashes(Seed, stableHash(Host.str()))),
-      Tuning(Values), Rate(Values.RateSpan) {}
+      Tuning(InitialTuning), Rate(InitialTuning.RateWindow) {}
 
 void placer::applyDeclaration(const fleet_declaration &Declaration) {
   Services.clear();
@@ -29,32 +29,34 @@
 }
 
 void placer::updateBackend(const backend_listing &Listing) {
-  const auto [Known, Fresh] = Engines.try_emplace(Listing.Key, Listing);
-  if (!Fresh)
-    Known->second.update(Listing);
-  EnginesByIncarnation[Listing.Key.Incarnation] = &Known->second;
+  const auto [Existing, IsNew] = Engines.try_emplace(Listing.Key, Listing);
+  if (!IsNew)
+    Existing->second.update(Listing);
+  EnginesByIncarnation[Listing.Key.Incarnation] = &Existing->second;
 }
 
 void placer::removeBackend(const backend_key &Backend) {
-  const auto Known = Engines.find(Backend);
-  if (Known == Engines.end())
+  const auto Existing = Engines.find(Backend);
+  if (Existing == Engines.end())
     return;
   const auto ByIncarnation = EnginesByIncarnation.find(Backend.Incarnation);
-  if (ByIncarnation != EnginesByIncarnation.end() && ByIncarnation->second == &Known->second)
+  if (ByIncarnation != EnginesByIncarnation.end() && ByIncarnation->second == &Existing->second)
     EnginesByIncarnation.erase(ByIncarnation);
-  Engines.erase(Known);
+  Engines.erase(Existing);
 }
 
-void placer::takeOthersLoads(const std::vector<work_load> &Loads, mono_time Now) {
+void placer::updateOthersLoads(const std::vector<work_load> &Loads, mono_time Now) {
   for (const work_load &Load : Loads) {
     const auto Found = EnginesByIncarnation.find(Load.Incarnation);
     if (Found == EnginesByIncarnation.end())
       continue;
-    // What ended meanwhile hides as many that began: the rate is a little low under load.
-    const std::uint32_t Before = Found->second->othersWork(Now, Tuning.PeerSilence).Requests;
-    if (Load.Requests > Before)
-      Rate.add(Load.Requests - Before, Now);
-    Found->second->takeOthers(Load, Now);
+    // Requests that ended since the last report hide as many new ones, so the rate is slightly too
+    // low under load.
+    const std::uint32_t PreviousRequests =
+        Found->second->othersLoad(Now, Tuning.PeerLoadTimeout).Requests;
+    if (Load.Requests > PreviousRequests)
+      Rate.add(Load.Requests - PreviousRequests, Now);
+    Found->second->setOthersLoad(Load, Now);
   }
 }
 
@@ -63,17 +65,17 @@
   return static_cast<double>((Item.Prompt + Answer).value());
 }
 
-std::optional<service_name> placer::drawService(const work_item &Item) {
+std::optional<service_name> placer::pickService(const work_item &Item) {
   std::uint64_t Total = 0;
   for (const candidate_group &Candidate : Item.Groups)
     Total += Candidate.Weight;
   if (Total == 0)
     return std::nullopt;
-  std::uint64_t Draw = Random.below(Total);
+  std::uint64_t Remaining = Random.below(Total);
   for (const candidate_group &Candidate : Item.Groups) {
-    if (Draw < Candidate.Weight)
+    if (Remaining < Candidate.Weight)
       return service_name(Candidate.Group.str());
-    Draw -= Candidate.Weight;
+    Remaining -= Candidate.Weight;
   }
   return std::nullopt;
 }
@@ -82,20 +84,20 @@
                                                const service_name &Service) const {
   const auto Declared = Services.find(Service);
   if (Declared == Services.end())
-    return work_refusal{failure_reason::NoBackend, RetrySoon};
+    return work_refusal{failure_reason::NoBackend, MinRetryAfter};
   const std::optional<engine_figures> &Figures = Declared->second.Engine;
-  const double Most = Figures ? static_cast<double>(Figures->Memory.value()) *
-                                    (1 + Tuning.MostHolders) * Tuning.MemoryPart
-                              : 0;
-  if (Figures && memoryOf(Item) > Most)
+  const double MaxTokens = Figures ? static_cast<double>(Figures->Memory.value()) *
+                                         (1 + Tuning.MaxHolders) * Tuning.MemoryPart
+                                   : 0;
+  if (Figures && memoryOf(Item) > MaxTokens)
     return work_refusal{failure_reason::TooLargeForFleet, std::nullopt};
   return std::nullopt;
 }
 
 std::variant<done, work_refusal> placer::submit(const work_item &Item, mono_time Now) {
-  const std::optional<service_name> Service = drawService(Item);
+  const std::optional<service_name> Service = pickService(Item);
   if (!Service)
-    return work_refusal{failure_reason::NoBackend, RetrySoon};
+    return work_refusal{failure_reason::NoBackend, MinRetryAfter};
   if (const auto Refusal = refusalFor(Item, *Service))
     return *Refusal;
   Waiting.insert_or_assign(Item.Request, waiting_work{Item, *Service, Now});
@@ -109,166 +111,172 @@
   Placed.erase(Request);
 }
 
-bool placer::isLate(const waiting_work &Work, mono_time Now) const {
+bool placer::isPastTarget(const waiting_work &Work, mono_time Now) const {
   return Work.Item.Target.count() > 0 && Now > Work.Item.Arrived + Work.Item.Target;
 }
 
-std::vector<request_number> placer::order(mono_time Now) const {
-  // What can still be answered in time goes first, by declared urgency and then by what is left of
-  // its time. What is late already earns little; it runs on what the others leave.
+std::vector<request_number> placer::pollOrder(mono_time Now) const {
+  // Resumed requests come first, then those that can still meet their target; each group is ordered
+  // by declared urgency and then by target time. A late request is worth little, so it only gets
+  // the capacity that the others leave.
   std::vector<const waiting_work *> Order;
   for (const auto &[Request, Work] : Waiting)
     Order.push_back(&Work);
   const auto Rank = [this, Now](const waiting_work *Work) {
-    const bool Late = !Work->Item.Resumed && isLate(*Work, Now);
-    return std::tuple(Late, !Work->Item.Resumed, Work->Item.Urgency,
+    const bool IsLate = !Work->Item.Resumed && isPastTarget(*Work, Now);
+    return std::tuple(IsLate, !Work->Item.Resumed, Work->Item.Urgency,
                       Work->Item.Arrived + Work->Item.Target);
   };
   std::sort(Order.begin(), Order.end(),
             [&Rank](const waiting_work *A, const waiting_work *B) { return Rank(A) < Rank(B); });
   std::vector<request_number> Requests;
   for (const waiting_work *Work : Order)
-    if (Requests.size() < TriesPerPoll)
+    if (Requests.size() < MaxTriesPerPoll)
       Requests.push_back(Work->Item.Request);
   return Requests;
 }
 
-void placer::expireLate(mono_time Now, poll_outcome &Outcome) {
-  for (auto At = Waiting.begin(); At != Waiting.end();) {
-    const work_item &Item = At->second.Item;
-    const double Whole = millisUntil(Item.Deadline, Item.Arrived);
-    // A refusal would cut an answer that the caller has a part of: it waits until its deadline.
-    if (Item.Resumed || millisUntil(Now, At->second.Since) < Whole * Tuning.WaitPart) {
-      ++At;
+void placer::expireWaiting(mono_time Now, poll_outcome &Outcome) {
+  for (auto Iterator = Waiting.begin(); Iterator != Waiting.end();) {
+    const work_item &Item = Iterator->second.Item;
+    const double TimeLimitMs = millisUntil(Item.Deadline, Item.Arrived);
+    // The caller of a resumed request has a part of the answer, and a refusal would truncate it. It
+    // waits until its deadline.
+    if (Item.Resumed ||
+        millisUntil(Now, Iterator->second.WaitingSince) < TimeLimitMs * Tuning.WaitPart) {
+      ++Iterator;
       continue;
     }
     Outcome.Expiries.push_back(
-        {Item.Request, {failure_reason::QueueFull, returnAfter(At->second, Now)}});
-    At = Waiting.erase(At);
+        {Item.Request, {failure_reason::QueueFull, retryAfter(Iterator->second, Now)}});
+    Iterator = Waiting.erase(Iterator);
   }
 }
 
-/// @return Milliseconds until all reading that is under way or waits is done, by all engines of the
-/// service. Each entry is taken to have as much waiting as this one.
-double placer::readingAheadMs(const service_declaration &Service) {
-  double ReadingMs = 0;
-  std::size_t Readers = 0;
+/// Returns the milliseconds until the engines of the service have finished all prefill in flight
+/// and all waiting prefill. Each entry is assumed to have as much waiting work as this one.
+double placer::prefillBacklogMs(const service_declaration &Service) {
+  double InFlightMs = 0;
+  std::size_t PrefillEngines = 0;
   for (const auto &[Key, Engine] : Engines) {
     if (Engine.service() != Service.Name || !Engine.active())
       continue;
-    ReadingMs += AllWork[Key].ReadMs;
-    ++Readers;
+    InFlightMs += AllWork[Key].PrefillMs;
+    ++PrefillEngines;
   }
   double WaitingMs = 0;
   for (const auto &[Request, Other] : Waiting)
     if (Other.Service == Service.Name)
-      WaitingMs += readMs(*Service.Engine, Other.Item.Prompt);
+      WaitingMs += prefillMs(*Service.Engine, Other.Item.Prompt);
   WaitingMs *= static_cast<double>(Exchange.Entries);
-  return (ReadingMs + WaitingMs) / static_cast<double>(std::max<std::size_t>(1, Readers));
+  return (InFlightMs + WaitingMs) / static_cast<double>(std::max<std::size_t>(1, PrefillEngines));
 }
 
 /**
- * A prompt that comes back after a fixed second finds the queue that it left, waits again and is
- * refused for good. It is told when what is before it can be done, as far as its caller still comes
- * back then.
+ * Returns when the caller of a refused request should retry: when the work ahead of it is expected
+ * to be done, but not later than the caller would retry at all. After a fixed second, it would find
+ * the same queue, wait again and finally be refused.
  */
-std::chrono::seconds placer::returnAfter(const waiting_work &Work, mono_time Now) {
+std::chrono::seconds placer::retryAfter(const waiting_work &Work, mono_time Now) {
   const auto Service = Services.find(Work.Service);
   if (Service == Services.end() || !Service->second.Engine)
-    return RetrySoon;
-  const double LongestMs = millisUntil(Work.Item.Deadline, Now) * LongestReturnPart;
-  const double Ms = std::min(readingAheadMs(Service->second), LongestMs);
-  return std::max(RetrySoon, std::chrono::floor<std::chrono::seconds>(spanOf(Ms)));
+    return MinRetryAfter;
+  const double MaxDelayMs = millisUntil(Work.Item.Deadline, Now) * MaxRetryPart;
+  const double DelayMs = std::min(prefillBacklogMs(Service->second), MaxDelayMs);
+  return std::max(MinRetryAfter, std::chrono::floor<std::chrono::seconds>(durationFromMs(DelayMs)));
 }
 
 poll_outcome placer::poll(mono_time Now) {
   poll_outcome Outcome;
-  settleClaims(Now, Outcome);
+  resolveClaims(Now, Outcome);
   if (!Waiting.empty())
     AllWork = allWork(Now);
-  expireLate(Now, Outcome);
-  for (const request_number Request : order(Now)) {
+  expireWaiting(Now, Outcome);
+  for (const request_number Request : pollOrder(Now)) {
     if (!mayPlace(Now))
       break;
     const waiting_work Work = Waiting.at(Request);
-    const std::optional<read_plan> Plan = choose(Work, Now);
+    const std::optional<prefill_plan> Plan = choose(Work, Now);
     if (!Plan)
       continue;
     Waiting.erase(Request);
-    start(Work, *Plan, Now, Outcome);
-    if (Reach.isOut())
-      Reach.noteTry(Now);
+    placeWork(Work, *Plan, Now, Outcome);
+    if (Reachability.isIsolated())
+      Reachability.recordProbe(Now);
   }
   setNextWake(Now);
   return Outcome;
 }
 
-bool placer::mayPlace(mono_time Now) const { return !Reach.isOut() || Reach.mayTry(Now); }
+bool placer::mayPlace(mono_time Now) const {
+  return !Reachability.isIsolated() || Reachability.mayProbe(Now);
+}
 
 void placer::setNextWake(mono_time Now) {
   NextWake.reset();
   if (!Waiting.empty())
     NextWake = Now + Tuning.PollInterval;
   for (const auto &[Request, Claim] : Claimed)
-    NextWake = std::min(NextWake.value_or(Claim.Due), Claim.Due);
+    NextWake = std::min(NextWake.value_or(Claim.DueTime), Claim.DueTime);
 }
 
-void placer::settleClaims(mono_time Now, poll_outcome &Outcome) {
-  for (auto At = Claimed.begin(); At != Claimed.end();) {
-    claimed_work &Claim = At->second;
-    if (Now < Claim.Due) {
-      ++At;
+void placer::resolveClaims(mono_time Now, poll_outcome &Outcome) {
+  for (auto Iterator = Claimed.begin(); Iterator != Claimed.end();) {
+    claimed_work &Claim = Iterator->second;
+    if (Now < Claim.DueTime) {
+      ++Iterator;
       continue;
     }
-    if (givesWay(Claim, Now)) {
-      Waiting.insert_or_assign(At->first, std::move(Claim.Work));
+    if (isClaimLost(Claim, Now)) {
+      Waiting.insert_or_assign(Iterator->first, std::move(Claim.Work));
     } else {
-      Placed.insert_or_assign(At->first, std::move(Claim.Started));
+      Placed.insert_or_assign(Iterator->first, std::move(Claim.Started));
       Outcome.Placements.push_back(std::move(Claim.Placement));
     }
-    At = Claimed.erase(At);
+    Iterator = Claimed.erase(Iterator);
   }
 }
 
-bool placer::givesWay(const claimed_work &Claim, mono_time Now) const {
-  return std::any_of(
-      Claim.Started.Parts.begin(), Claim.Started.Parts.end(), [&](const reading_part &Part) {
-        const auto Engine = Engines.find(Part.Backend);
-        return Engine == Engines.end() || !Engine->second.active() ||
-               Engine->second.readBefore(Precedence, Tuning.IdleReadMs, Now, Tuning.PeerSilence);
-      });
+bool placer::isClaimLost(const claimed_work &Claim, mono_time Now) const {
+  return std::any_of(Claim.Started.Parts.begin(), Claim.Started.Parts.end(),
+                     [&](const prefill_part &Part) {
+                       const auto Engine = Engines.find(Part.Backend);
+                       return Engine == Engines.end() || !Engine->second.active() ||
+                              Engine->second.hasPriorClaim(Precedence, Tuning.IdlePrefillMs, Now,
+                                                           Tuning.PeerLoadTimeout);
+                     });
 }
 
-void placer::start(const waiting_work &Work, const read_plan &Plan, mono_time Now,
-                   poll_outcome &Outcome) {
+void placer::placeWork(const waiting_work &Work, const prefill_plan &Plan, mono_time Now,
+                       poll_outcome &Outcome) {
   running_work Started;
   Started.Request = Work.Item.Request;
   Started.GapMs = static_cast<double>(Work.Item.LongestGap.count());
-  double Kept = memoryOf(Work.Item);
+  double RemainingTokens = memoryOf(Work.Item);
   work_placement Placement;
   Placement.Request = Work.Item.Request;
-  Placement.Backend = Plan.Readers.front().Engine->key();
-  Placement.ExpectedFirstToken = spanOf(Plan.FinishMs);
-  for (const engine_option &Reader : Plan.Readers) {
-    const backend_key &Key = Reader.Engine->key();
-    Reader.Engine->notePlaced(Tuning, Now);
-    Started.Parts.push_back({Key, Plan.PartMs, Now + spanOf(Plan.FinishMs)});
+  Placement.Backend = Plan.PrefillEngines.front().Engine->key();
+  Placement.ExpectedFirstToken = durationFromMs(Plan.FirstEventMs);
+  for (const engine_option &PrefillEngine : Plan.PrefillEngines) {
+    const backend_key &Key = PrefillEngine.Engine->key();
+    PrefillEngine.Engine->recordPlacement(Tuning, Now);
+    Started.Parts.push_back({Key, Plan.PartMs, Now + durationFromMs(Plan.FirstEventMs)});
     if (Key != Placement.Backend)
       Placement.Helpers.push_back(Key);
-    if (const auto Held = Plan.Held.find(Key); Held != Plan.Held.end()) {
-      Started.Parts.back().Tokens = Held->second;
-      Kept -= Held->second;
+    if (const auto FoundHold = Plan.HeldTokens.find(Key); FoundHold != Plan.HeldTokens.end()) {
+      Started.Parts.back().Tokens = FoundHold->second;
+      RemainingTokens -= FoundHold->second;
     }
   }
-  Started.Parts.front().Tokens = Kept;
-  for (const auto &[Key, Amount] : Plan.Held)
+  Started.Parts.front().Tokens = RemainingTokens;
+  for (const auto &[Key, Amount] : Plan.HeldTokens)
     Placement.Holds.push_back({Key, tokens(static_cast<std::int64_t>(Amount))});
   addWork(AllWork, Started, Now);
-  if (Plan.Readers.size() > 1 || Plan.PartMs > Tuning.WholeReadMs) {
+  if (Plan.PrefillEngines.size() > 1 || Plan.PartMs > Tuning.MaxSinglePrefillMs) {
     ++ClaimsMade;
     Claimed.insert_or_assign(
         Work.Item.Request,
-        claimed_work{Work, std::move(Started), std::move(Placement), Now + Exchange.ClaimSpan});
+        claimed_work{Work, std::move(Started), std::move(Placement), Now + Exchange.ClaimDelay});
     return;
   }
   Placed.insert_or_assign(Work.Item.Request, std::move(Started));
--- a/src/placement/placer_choice.cpp
+++ b/src/placement/placer_choice.cpp
@@ -1,4 +1,4 @@
-/** @file placer_choice.cpp Which engines read and answer one waiting request. */
+/** @file placer_choice.cpp Chooses the engines that prefill and answer a waiting request. */
 #include "placement/millis_func.h"
 #include "placement/pass_model_func.h"
 #include "placement/placer_base.h"
@@ -11,29 +11,32 @@
 
 namespace {
 
-/// Requests beyond its places that a server without declared figures may be given: they wait there.
+/// Maximum requests per slot of a server without declared figures. Requests above 1 per slot wait
+/// at the server.
 constexpr double FullFactor = 1.5;
-/// Part of what is left of the time limit that work which is late already may still take.
+/// Part of the remaining time limit that work past its target may use.
 constexpr double LatePart = 0.5;
 
 } // namespace
 
-std::vector<placer::engine_option> placer::options(const waiting_work &Work, mono_time Now) {
-  std::vector<engine_option> Fresh;
-  std::vector<engine_option> Second; // Tried before, or failing: better than none.
+std::vector<placer::engine_option> placer::candidateEngines(const waiting_work &Work,
+                                                            mono_time Now) {
+  std::vector<engine_option> Preferred;
+  // Engines that were tried before or are in backoff; used only if there is no other.
+  std::vector<engine_option> Fallback;
   const std::vector<backend_key> &Avoid = Work.Item.Avoid;
   for (auto &[Key, Engine] : Engines) {
     if (Engine.service() != Work.Service || !Engine.active())
       continue;
     const engine_option Option{&Engine, AllWork[Key]};
-    const bool Tried = std::find(Avoid.begin(), Avoid.end(), Key) != Avoid.end();
-    (Tried || Engine.paused(Now) ? Second : Fresh).push_back(Option);
+    const bool WasTried = std::find(Avoid.begin(), Avoid.end(), Key) != Avoid.end();
+    (WasTried || Engine.inBackoff(Now) ? Fallback : Preferred).push_back(Option);
   }
-  return Fresh.empty() ? Second : Fresh;
+  return Preferred.empty() ? Fallback : Preferred;
 }
 
-std::optional<placer::read_plan> placer::choose(const waiting_work &Work, mono_time Now) {
-  std::vector<engine_option> Options = options(Work, Now);
+std::optional<placer::prefill_plan> placer::choose(const waiting_work &Work, mono_time Now) {
+  std::vector<engine_option> Options = candidateEngines(Work, Now);
   const auto Service = Services.find(Work.Service);
   if (Options.empty() || Service == Services.end())
     return std::nullopt;
@@ -42,236 +45,252 @@
   return chooseEngines(Work, *Service->second.Engine, std::move(Options), Now);
 }
 
-std::optional<placer::read_plan> placer::chooseServer(std::vector<engine_option> Options) {
-  const auto Load = [](const engine_option &Option) {
-    return static_cast<double>(Option.View.Requests) / Option.Engine->places();
+std::optional<placer::prefill_plan> placer::chooseServer(std::vector<engine_option> Options) {
+  const auto RelativeLoad = [](const engine_option &Option) {
+    return static_cast<double>(Option.View.Requests) / Option.Engine->slots();
   };
-  double Least = std::numeric_limits<double>::max();
+  double LowestLoad = std::numeric_limits<double>::max();
   for (const engine_option &Option : Options)
-    Least = std::min(Least, Load(Option));
-  if (Least >= FullFactor)
+    LowestLoad = std::min(LowestLoad, RelativeLoad(Option));
+  if (LowestLoad >= FullFactor)
     return std::nullopt;
-  std::erase_if(Options, [&](const engine_option &Option) { return Load(Option) > Least; });
-  read_plan Plan;
-  Plan.Readers.push_back(Options[Random.below(Options.size())]);
+  std::erase_if(Options,
+                [&](const engine_option &Option) { return RelativeLoad(Option) > LowestLoad; });
+  prefill_plan Plan;
+  Plan.PrefillEngines.push_back(Options[Random.below(Options.size())]);
   return Plan;
 }
 
-std::optional<placer::read_plan> placer::chooseEngines(const waiting_work &Work,
-                                                       const engine_figures &Figures,
-                                                       std::vector<engine_option> Options,
-                                                       mono_time Now) {
-  const double Memory = memoryOf(Work.Item);
-  const auto Holds = static_cast<double>(Figures.Memory.value());
-  std::vector<reader_option> Readers;
-  for (std::size_t Place = 0; Place < Options.size(); ++Place) {
-    const engine_option &Option = Options[Place];
-    reader_option Reader;
-    Reader.Option = Option;
-    Reader.Place = Place;
-    Reader.PassMs = passMs(Figures, Option.View.Writers, Option.View.Tokens);
-    Reader.StartMs = Reader.PassMs + Option.View.ReadMs;
+std::optional<placer::prefill_plan> placer::chooseEngines(const waiting_work &Work,
+                                                          const engine_figures &Figures,
+                                                          std::vector<engine_option> Options,
+                                                          mono_time Now) {
+  const double NeededTokens = memoryOf(Work.Item);
+  const auto EngineTokens = static_cast<double>(Figures.Memory.value());
+  std::vector<prefill_candidate> Candidates;
+  for (std::size_t Rank = 0; Rank < Options.size(); ++Rank) {
+    const engine_option &Option = Options[Rank];
+    prefill_candidate Candidate;
+    Candidate.Option = Option;
+    Candidate.Rank = Rank;
+    Candidate.PassMs = passMs(Figures, Option.View.DecodingRequests, Option.View.Tokens);
+    Candidate.StartMs = Candidate.PassMs + Option.View.PrefillMs;
     const double GapMs = Option.View.GapMs;
-    Reader.RoomMs =
-        GapMs > 0 ? std::max(GapMs * Tuning.GapPart, GapMs - Tuning.GapMarginMs) - Reader.StartMs
+    Candidate.MaxPartMs =
+        GapMs > 0 ? std::max(GapMs * Tuning.GapPart, GapMs - Tuning.GapMarginMs) - Candidate.StartMs
                   : std::numeric_limits<double>::max();
-    Reader.MayAnswer = Option.View.Requests + Tuning.SparePlaces < Figures.Places &&
-                       Option.View.Tokens + Memory <= Holds;
-    Readers.push_back(Reader);
+    Candidate.CanAnswer = Option.View.Requests + Tuning.SpareSlots < Figures.Places &&
+                          Option.View.Tokens + NeededTokens <= EngineTokens;
+    Candidates.push_back(Candidate);
   }
-  const bool Late = Work.Item.Resumed || Work.Item.Target.count() == 0 || isLate(Work, Now);
-  const double LeftMs = Late ? millisUntil(Work.Item.Deadline, Now) * LatePart
-                             : millisUntil(Work.Item.Arrived + Work.Item.Target, Now);
-  const double WholeMs = readMs(Figures, Work.Item.Prompt);
-  if (Memory > Holds * Tuning.MemoryPart)
-    return chooseHolders(Readers, Figures, Memory, WholeMs, LeftMs);
-  if (Work.Item.Resumed && WholeMs <= Tuning.WholeReadMs)
-    if (auto Plan = soonest(Readers, WholeMs))
+  const bool IsLate = Work.Item.Resumed || Work.Item.Target.count() == 0 || isPastTarget(Work, Now);
+  const double RemainingMs = IsLate ? millisUntil(Work.Item.Deadline, Now) * LatePart
+                                    : millisUntil(Work.Item.Arrived + Work.Item.Target, Now);
+  const double PromptMs = prefillMs(Figures, Work.Item.Prompt);
+  if (NeededTokens > EngineTokens * Tuning.MemoryPart)
+    return chooseHolders(Candidates, Figures, NeededTokens, PromptMs, RemainingMs);
+  if (Work.Item.Resumed && PromptMs <= Tuning.MaxSinglePrefillMs)
+    if (auto Plan = chooseSoonest(Candidates, PromptMs))
       return Plan;
-  if (WholeMs <= Tuning.WholeReadMs)
-    if (auto Plan = packShort(Readers, WholeMs, LeftMs, Now))
+  if (PromptMs <= Tuning.MaxSinglePrefillMs)
+    if (auto Plan = packShort(Candidates, PromptMs, RemainingMs, Now))
       return Plan;
-  return gather(Readers, WholeMs, LeftMs, static_cast<double>(Work.Item.Target.count()));
+  return spreadLongPrompt(Candidates, PromptMs, RemainingMs,
+                          static_cast<double>(Work.Item.Target.count()));
 }
 
-std::size_t placer::packedChoices(mono_time Now) const {
-  const double Unknown = Rate.in(Exchange.Age, Now);
-  return std::max(Tuning.PackedChoices,
-                  static_cast<std::size_t>(std::ceil(Unknown * Tuning.ChoicesPerUnknown)));
+std::size_t placer::packedChoiceCount(mono_time Now) const {
+  const double UnseenRequests = Rate.expectedRequests(Exchange.PropagationDelay, Now);
+  return std::max(Tuning.MinPackedChoices,
+                  static_cast<std::size_t>(std::ceil(UnseenRequests * Tuning.ChoicesPerUnknown)));
 }
 
 /**
- * Short work goes to the first engines in an order that all entries share, as far as their passes
- * stay short enough: engines that write nothing are what long prompts need.
+ * Packs short work onto the first engines in the order that all entries share, as long as their
+ * passes stay short enough. The other engines stay without decoding requests, as long prompts need.
  */
-std::optional<placer::read_plan> placer::packShort(const std::vector<reader_option> &Readers,
-                                                   double WholeMs, double LeftMs, mono_time Now) {
-  const std::size_t Choices = packedChoices(Now);
-  std::vector<const reader_option *> Fits;
-  for (const reader_option &Reader : Readers) {
-    const bool InTime = Reader.StartMs + WholeMs <= LeftMs * Tuning.TargetPart;
-    if (Reader.MayAnswer && InTime && WholeMs <= Reader.RoomMs)
-      Fits.push_back(&Reader);
-    if (Fits.size() >= Choices)
+std::optional<placer::prefill_plan>
+placer::packShort(const std::vector<prefill_candidate> &Candidates, double PromptMs,
+                  double RemainingMs, mono_time Now) {
+  const std::size_t ChoiceCount = packedChoiceCount(Now);
+  std::vector<const prefill_candidate *> Suitable;
+  for (const prefill_candidate &Candidate : Candidates) {
+    const bool IsInTime = Candidate.StartMs + PromptMs <= RemainingMs * Tuning.TargetPart;
+    if (Candidate.CanAnswer && IsInTime && PromptMs <= Candidate.MaxPartMs)
+      Suitable.push_back(&Candidate);
+    if (Suitable.size() >= ChoiceCount)
       break;
   }
-  if (Fits.empty())
+  if (Suitable.empty())
     return std::nullopt;
-  const reader_option &Chosen = *Fits[Random.below(Fits.size())];
-  return read_plan{{Chosen.Option}, WholeMs, Chosen.StartMs + WholeMs};
+  const prefill_candidate &Chosen = *Suitable[Random.below(Suitable.size())];
+  return prefill_plan{{Chosen.Option}, PromptMs, Chosen.StartMs + PromptMs};
 }
 
 /**
- * A stream that broke off goes on where it can go on first: its caller counts the time since the
- * last event. When an entry dies many come back in the same moment, to entries that have not heard
- * of each other's choices: packed, they would all wait for the same two engines.
+ * Places a resumed stream on an engine that can start it earliest, since its caller measures the
+ * time since the last event. When an entry fails, many streams resume at the same time on entries
+ * that do not know of each other's placements. If packed, they would all wait for the same two
+ * engines.
  */
-std::optional<placer::read_plan> placer::soonest(const std::vector<reader_option> &Readers,
-                                                 double WholeMs) {
-  std::vector<const reader_option *> Best;
-  for (const reader_option &Reader : Readers) {
-    if (!Reader.MayAnswer || WholeMs > Reader.RoomMs)
+std::optional<placer::prefill_plan>
+placer::chooseSoonest(const std::vector<prefill_candidate> &Candidates, double PromptMs) {
+  std::vector<const prefill_candidate *> Soonest;
+  for (const prefill_candidate &Candidate : Candidates) {
+    if (!Candidate.CanAnswer || PromptMs > Candidate.MaxPartMs)
       continue;
-    if (!Best.empty() && Reader.StartMs > Best.front()->StartMs + Tuning.SameStartMs)
+    if (!Soonest.empty() && Candidate.StartMs > Soonest.front()->StartMs + Tuning.StartToleranceMs)
       continue;
-    if (!Best.empty() && Reader.StartMs + Tuning.SameStartMs < Best.front()->StartMs)
-      Best.clear();
-    Best.push_back(&Reader);
+    if (!Soonest.empty() && Candidate.StartMs + Tuning.StartToleranceMs < Soonest.front()->StartMs)
+      Soonest.clear();
+    Soonest.push_back(&Candidate);
   }
-  if (Best.empty())
+  if (Soonest.empty())
     return std::nullopt;
-  const reader_option &Chosen = *Best[Random.below(Best.size())];
-  return read_plan{{Chosen.Option}, WholeMs, Chosen.StartMs + WholeMs};
+  const prefill_candidate &Chosen = *Soonest[Random.below(Soonest.size())];
+  return prefill_plan{{Chosen.Option}, PromptMs, Chosen.StartMs + PromptMs};
 }
 
-placer::idle_readers placer::idleReaders(const std::vector<reader_option> &Readers) const {
-  idle_readers Idle;
-  for (const reader_option &Reader : Readers)
-    if (Reader.Option.View.ReadMs <= Tuning.IdleReadMs)
-      (Reader.occupied() ? Idle.Writing : Idle.Free).push_back(Reader);
-  // The last in the common order first: short work comes from the other end.
-  std::reverse(Idle.Free.begin(), Idle.Free.end());
-  return Idle;
+placer::idle_engines
+placer::findIdleEngines(const std::vector<prefill_candidate> &Candidates) const {
+  idle_engines IdleEngines;
+  for (const prefill_candidate &Candidate : Candidates)
+    if (Candidate.Option.View.PrefillMs <= Tuning.IdlePrefillMs)
+      (Candidate.occupied() ? IdleEngines.Decoding : IdleEngines.Free).push_back(Candidate);
+  // Reverse of the common order, because short work is placed from its start.
+  std::reverse(IdleEngines.Free.begin(), IdleEngines.Free.end());
+  return IdleEngines;
 }
 
 /**
- * A long read that takes the last engines with room makes every short prompt late that comes before
- * it is done: each waits for its whole target and then longer. As many as are missing are left out.
+ * Removes engines from Free so that enough engines keep headroom for short prompts. If a long
+ * prefill took the last engines with headroom, each short prompt that arrives before its end would
+ * wait for longer than its target.
  */
-void placer::leaveRoom(std::vector<reader_option> &Free, const std::vector<reader_option> &Writing,
-                       std::size_t All, double WholeMs) const {
-  const auto Wanted = static_cast<std::size_t>(static_cast<double>(All) * Tuning.RoomPart);
-  const auto Roomy = static_cast<std::size_t>(
-      std::count_if(Writing.begin(), Writing.end(), [this](const reader_option &Reader) {
-        return Reader.MayAnswer && Reader.RoomMs >= Tuning.WholeReadMs;
+void placer::keepHeadroom(std::vector<prefill_candidate> &Free,
+                          const std::vector<prefill_candidate> &Decoding,
+                          std::size_t CandidateCount, double PromptMs) const {
+  const auto WantedCount =
+      static_cast<std::size_t>(static_cast<double>(CandidateCount) * Tuning.HeadroomPart);
+  const auto WithHeadroom = static_cast<std::size_t>(
+      std::count_if(Decoding.begin(), Decoding.end(), [this](const prefill_candidate &Candidate) {
+        return Candidate.CanAnswer && Candidate.MaxPartMs >= Tuning.MaxSinglePrefillMs;
       }));
-  const std::size_t Readers = std::clamp<std::size_t>(Free.size(), 1, Tuning.MostReaders);
-  if (Roomy >= Wanted || WholeMs / static_cast<double>(Readers) <= Tuning.LongPartMs)
+  const std::size_t EngineCount = std::clamp<std::size_t>(Free.size(), 1, Tuning.MaxPrefillEngines);
+  if (WithHeadroom >= WantedCount ||
+      PromptMs / static_cast<double>(EngineCount) <= Tuning.LongPartMs)
     return;
-  Free.resize(Free.size() - std::min(Free.size(), Wanted - Roomy));
+  Free.resize(Free.size() - std::min(Free.size(), WantedCount - WithHeadroom));
 }
 
 /**
- * A prompt that takes long is read by as many engines as are idle: each is held for a moment only,
- * and nothing queues at an engine, where a part for another prompt would be read first and what
- * waits there would wait for good. What finds too few idle engines waits here, where the order is
- * kept.
+ * Splits the prefill of a long prompt over as many idle engines as possible, so that each is
+ * occupied only briefly. No work queues at an engine: there, parts of other prompts would be
+ * processed first, and queued work could wait forever. A prompt that finds too few idle engines
+ * waits here, where the order is kept.
  */
-std::optional<placer::read_plan> placer::gather(const std::vector<reader_option> &Readers,
-                                                double WholeMs, double LeftMs,
-                                                double TargetMs) const {
-  auto [Free, Writing] = idleReaders(Readers);
-  leaveRoom(Free, Writing, Readers.size(), WholeMs);
-  auto Plan = split(Free, Writing, WholeMs, false);
-  if (!Plan || Plan->FinishMs > LeftMs * Tuning.TargetPart)
-    if (auto Wider = split(Free, Writing, WholeMs, true))
-      if (!Plan || Wider->FinishMs < Plan->FinishMs)
-        Plan = std::move(Wider);
-  if (!Plan || Plan->FinishMs <= LeftMs * Tuning.TargetPart)
+std::optional<placer::prefill_plan>
+placer::spreadLongPrompt(const std::vector<prefill_candidate> &Candidates, double PromptMs,
+                         double RemainingMs, double TargetMs) const {
+  auto [Free, Decoding] = findIdleEngines(Candidates);
+  keepHeadroom(Free, Decoding, Candidates.size(), PromptMs);
+  auto Plan = splitPrefill(Free, Decoding, PromptMs, false);
+  if (!Plan || Plan->FirstEventMs > RemainingMs * Tuning.TargetPart)
+    if (auto WidePlan = splitPrefill(Free, Decoding, PromptMs, true))
+      if (!Plan || WidePlan->FirstEventMs < Plan->FirstEventMs)
+        Plan = std::move(WidePlan);
+  if (!Plan || Plan->FirstEventMs <= RemainingMs * Tuning.TargetPart)
     return Plan;
-  const bool MayWait = LeftMs - Plan->FinishMs > TargetMs * Tuning.SlackPart;
-  const bool InTime = Plan->FinishMs <= LeftMs;
-  return InTime && !MayWait ? Plan : std::nullopt;
+  const bool CanWait = RemainingMs - Plan->FirstEventMs > TargetMs * Tuning.SlackPart;
+  const bool IsInTime = Plan->FirstEventMs <= RemainingMs;
+  return IsInTime && !CanWait ? Plan : std::nullopt;
 }
 
 /**
- * A prompt that no engine can keep alone: the first one keeps what it can, others set memory aside
- * for the rest. Only idle engines that write nothing take part: each is held for long.
+ * Places a prompt that exceeds the memory of one engine. The first engine holds as much as it can,
+ * other engines hold the rest. Only engines without requests take part, because each is occupied
+ * for a long time.
  */
-std::optional<placer::read_plan> placer::chooseHolders(const std::vector<reader_option> &All,
-                                                       const engine_figures &Figures, double Memory,
-                                                       double WholeMs, double LeftMs) const {
-  const double Whole = static_cast<double>(Figures.Memory.value()) * Tuning.MemoryPart;
-  auto [Readers, Writing] = idleReaders(All);
-  leaveRoom(Readers, Writing, All.size(), WholeMs);
-  std::stable_sort(Readers.begin(), Readers.end(),
-                   [](const reader_option &A, const reader_option &B) {
+std::optional<placer::prefill_plan>
+placer::chooseHolders(const std::vector<prefill_candidate> &AllCandidates,
+                      const engine_figures &Figures, double NeededTokens, double PromptMs,
+                      double RemainingMs) const {
+  const double MaxTokensPerEngine = static_cast<double>(Figures.Memory.value()) * Tuning.MemoryPart;
+  auto [IdleCandidates, Decoding] = findIdleEngines(AllCandidates);
+  keepHeadroom(IdleCandidates, Decoding, AllCandidates.size(), PromptMs);
+  std::stable_sort(IdleCandidates.begin(), IdleCandidates.end(),
+                   [](const prefill_candidate &A, const prefill_candidate &B) {
                      return A.Option.View.Tokens < B.Option.View.Tokens;
                    });
-  if (Readers.size() > Tuning.MostReaders)
-    Readers.resize(Tuning.MostReaders);
-  read_plan Plan;
-  double Missing = Memory;
-  for (const reader_option &Reader : Readers) {
-    const double Room = Whole - Reader.Option.View.Tokens;
-    const bool First = Plan.Readers.empty();
-    Plan.Readers.push_back(Reader.Option);
-    if (Missing <= 0 || Room <= 0 || Plan.Held.size() >= Tuning.MostHolders)
+  if (IdleCandidates.size() > Tuning.MaxPrefillEngines)
+    IdleCandidates.resize(Tuning.MaxPrefillEngines);
+  prefill_plan Plan;
+  double MissingTokens = NeededTokens;
+  for (const prefill_candidate &Candidate : IdleCandidates) {
+    const double FreeTokens = MaxTokensPerEngine - Candidate.Option.View.Tokens;
+    const bool IsFirst = Plan.PrefillEngines.empty();
+    Plan.PrefillEngines.push_back(Candidate.Option);
+    if (MissingTokens <= 0 || FreeTokens <= 0 || Plan.HeldTokens.size() >= Tuning.MaxHolders)
       continue;
-    const double Taken = std::min(Room, Missing);
-    if (!First)
-      Plan.Held[Reader.Option.Engine->key()] = std::ceil(Taken);
-    Missing -= Taken;
+    const double KeptTokens = std::min(FreeTokens, MissingTokens);
+    if (!IsFirst)
+      Plan.HeldTokens[Candidate.Option.Engine->key()] = std::ceil(KeptTokens);
+    MissingTokens -= KeptTokens;
   }
-  if (Plan.Readers.empty() || Missing > 0)
+  if (Plan.PrefillEngines.empty() || MissingTokens > 0)
     return std::nullopt;
-  Plan.PartMs = WholeMs / static_cast<double>(Plan.Readers.size());
-  Plan.FinishMs = Plan.PartMs;
-  return Plan.FinishMs <= LeftMs ? std::optional(std::move(Plan)) : std::nullopt;
+  Plan.PartMs = PromptMs / static_cast<double>(Plan.PrefillEngines.size());
+  Plan.FirstEventMs = Plan.PartMs;
+  return Plan.FirstEventMs <= RemainingMs ? std::optional(std::move(Plan)) : std::nullopt;
 }
 
-/// @param Widely Whether engines that write read parts too, as far as their streams allow.
-std::optional<placer::read_plan> placer::split(const std::vector<reader_option> &Free,
-                                               const std::vector<reader_option> &Writing,
-                                               double WholeMs, bool Widely) const {
-  const auto Wanted = static_cast<std::size_t>(std::ceil(WholeMs / Tuning.PartMs));
-  const std::size_t Most = std::clamp<std::size_t>(Wanted, 1, Tuning.MostReaders);
-  for (std::size_t Count = Most; Count >= 1; --Count)
-    if (auto Plan = withReaders(Free, Writing, Count, WholeMs / static_cast<double>(Count), Widely))
+/// @param UseDecoding Whether engines with decoding requests also prefill parts, as far as the gaps
+/// of their streams allow.
+std::optional<placer::prefill_plan>
+placer::splitPrefill(const std::vector<prefill_candidate> &Free,
+                     const std::vector<prefill_candidate> &Decoding, double PromptMs,
+                     bool UseDecoding) const {
+  const auto WantedCount = static_cast<std::size_t>(std::ceil(PromptMs / Tuning.MinPartMs));
+  const std::size_t MaxCount = std::clamp<std::size_t>(WantedCount, 1, Tuning.MaxPrefillEngines);
+  for (std::size_t Count = MaxCount; Count >= 1; --Count)
+    if (auto Plan = planWithEngines(Free, Decoding, Count, PromptMs / static_cast<double>(Count),
+                                    UseDecoding))
       return Plan;
   return std::nullopt;
 }
 
-std::optional<placer::read_plan> placer::withReaders(const std::vector<reader_option> &Free,
-                                                     const std::vector<reader_option> &Writing,
-                                                     std::size_t Count, double PartMs,
-                                                     bool Widely) {
-  // Whoever answers writes for a while: an engine that does so anyway leaves the free ones free.
-  const auto Answers = [PartMs](const reader_option &Reader) {
-    return Reader.MayAnswer && PartMs <= Reader.RoomMs;
+std::optional<placer::prefill_plan>
+placer::planWithEngines(const std::vector<prefill_candidate> &Free,
+                        const std::vector<prefill_candidate> &Decoding, std::size_t Count,
+                        double PartMs, bool UseDecoding) {
+  // The engine that answers will decode for some time. Preferring one that already decodes keeps
+  // free engines free.
+  const auto CanAnswerPart = [PartMs](const prefill_candidate &Candidate) {
+    return Candidate.CanAnswer && PartMs <= Candidate.MaxPartMs;
   };
-  auto First = std::find_if(Writing.begin(), Writing.end(), Answers);
-  if (First == Writing.end()) {
-    First = std::find_if(Free.begin(), Free.end(), Answers);
-    if (First == Free.end())
+  auto FirstEngine = std::find_if(Decoding.begin(), Decoding.end(), CanAnswerPart);
+  if (FirstEngine == Decoding.end()) {
+    FirstEngine = std::find_if(Free.begin(), Free.end(), CanAnswerPart);
+    if (FirstEngine == Free.end())
       return std::nullopt;
   }
-  std::vector<const reader_option *> Chosen{&*First};
-  const auto Add = [&](const std::vector<reader_option> &Options) {
-    for (const reader_option &Reader : Options)
-      if (Chosen.size() < Count && Reader.Place != First->Place && PartMs <= Reader.RoomMs)
-        Chosen.push_back(&Reader);
+  std::vector<const prefill_candidate *> ChosenEngines{&*FirstEngine};
+  const auto AddEngines = [&](const std::vector<prefill_candidate> &Options) {
+    for (const prefill_candidate &Candidate : Options)
+      if (ChosenEngines.size() < Count && Candidate.Rank != FirstEngine->Rank &&
+          PartMs <= Candidate.MaxPartMs)
+        ChosenEngines.push_back(&Candidate);
   };
-  Add(Free);
-  if (Widely)
-    Add(Writing);
-  if (Chosen.size() < Count)
+  AddEngines(Free);
+  if (UseDecoding)
+    AddEngines(Decoding);
+  if (ChosenEngines.size() < Count)
     return std::nullopt;
-  read_plan Plan;
+  prefill_plan Plan;
   Plan.PartMs = PartMs;
-  for (const reader_option *Reader : Chosen) {
-    Plan.Readers.push_back(Reader->Option);
-    Plan.FinishMs = std::max(Plan.FinishMs, Reader->StartMs + PartMs);
+  for (const prefill_candidate *Candidate : ChosenEngines) {
+    Plan.PrefillEngines.push_back(Candidate->Option);
+    Plan.FirstEventMs = std::max(Plan.FirstEventMs, Candidate->StartMs + PartMs);
   }
   return Plan;
 }
--- a/src/placement/placer_work.cpp
+++ b/src/placement/placer_work.cpp
@@ -1,4 +1,4 @@
-/** @file placer_work.cpp What is under way at each engine, and how attempts went there. */
+/** @file placer_work.cpp Tracks the work on each engine and the results of attempts. */
 #include "placement/millis_func.h"
 #include "placement/placer_base.h"
 
@@ -9,52 +9,53 @@
 
 namespace {
 
-/// Part of its length that a part counts for that should be done and has not been seen to be.
+/// Fraction of a prefill part's duration that it counts for if it is past its expected end but not
+/// known to be done.
 constexpr double OverduePart = 0.25;
-/// A connection that is refused fails within that, and shows that the server's host was reached;
-/// one that meets silence fails at the connect timeout.
-constexpr mono_duration RefusedWithin = std::chrono::milliseconds(100);
+/// A refused connection fails within this time, which shows that the server's host was reached. A
+/// connection without any response fails at the connect timeout.
+constexpr mono_duration RefusalTimeout = std::chrono::milliseconds(100);
 
 } // namespace
 
-void placer::addWork(work_views &Sum, const running_work &Work, mono_time Now) {
-  for (const reading_part &Part : Work.Parts) {
+void placer::addWork(engine_views &Views, const running_work &Work, mono_time Now) {
+  for (const prefill_part &Part : Work.Parts) {
     if (Part.Tokens > 0)
-      Sum[Part.Backend].Tokens += Part.Tokens;
+      Views[Part.Backend].Tokens += Part.Tokens;
     if (Work.Answered)
       continue;
-    const double Left = std::min(Part.Ms, millisUntil(Part.Until, Now));
-    Sum[Part.Backend].ReadMs += std::max(Left, Part.Ms * OverduePart);
+    const double RemainingMs = std::min(Part.DurationMs, millisUntil(Part.Until, Now));
+    Views[Part.Backend].PrefillMs += std::max(RemainingMs, Part.DurationMs * OverduePart);
   }
-  engine_view &First = Sum[Work.Parts.front().Backend];
-  First.noteGap(Work.GapMs);
-  ++First.Requests;
-  First.Writers += Work.Answered ? 1 : 0;
+  engine_view &AnsweringView = Views[Work.Parts.front().Backend];
+  AnsweringView.limitGap(Work.GapMs);
+  ++AnsweringView.Requests;
+  AnsweringView.DecodingRequests += Work.Answered ? 1 : 0;
 }
 
-placer::work_views placer::ownWork(mono_time Now) const {
-  work_views Sum;
+placer::engine_views placer::ownWork(mono_time Now) const {
+  engine_views Views;
   for (const auto &[Request, Claim] : Claimed)
-    addWork(Sum, Claim.Started, Now);
+    addWork(Views, Claim.Started, Now);
   for (const auto &[Request, Work] : Placed)
-    addWork(Sum, Work, Now);
+    addWork(Views, Work, Now);
   for (const auto &[Attempt, Work] : Running)
-    addWork(Sum, Work, Now);
-  return Sum;
+    addWork(Views, Work, Now);
+  return Views;
 }
 
-placer::work_views placer::allWork(mono_time Now) const {
-  work_views Sum = ownWork(Now);
+placer::engine_views placer::allWork(mono_time Now) const {
+  engine_views Views = ownWork(Now);
   for (const auto &[Key, Engine] : Engines) {
-    const engine_view Others = Engine.othersWork(Now, Tuning.PeerSilence);
-    engine_view &View = Sum[Key];
+    const engine_view Others = Engine.othersLoad(Now, Tuning.PeerLoadTimeout);
+    engine_view &View = Views[Key];
     View.Requests += Others.Requests;
-    View.Writers += Others.Writers;
-    View.ReadMs += Others.ReadMs;
+    View.DecodingRequests += Others.DecodingRequests;
+    View.PrefillMs += Others.PrefillMs;
     View.Tokens += Others.Tokens;
-    View.noteGap(Others.GapMs);
+    View.limitGap(Others.GapMs);
   }
-  return Sum;
+  return Views;
 }
 
 std::vector<work_load> placer::ownLoads(mono_time Now) const {
@@ -63,11 +64,11 @@
     work_load Load;
     Load.Incarnation = Backend.Incarnation;
     Load.Requests = View.Requests;
-    Load.Writers = View.Writers;
-    Load.ReadMs = static_cast<std::uint32_t>(View.ReadMs);
+    Load.DecodingRequests = View.DecodingRequests;
+    Load.PrefillMs = static_cast<std::uint32_t>(View.PrefillMs);
     Load.Tokens = static_cast<std::uint32_t>(View.Tokens);
     Load.GapMs = static_cast<std::uint32_t>(View.GapMs);
-    Load.FirstReader = View.ReadMs > Tuning.IdleReadMs ? Precedence : 0;
+    Load.LowestPrecedence = View.PrefillMs > Tuning.IdlePrefillMs ? Precedence : 0;
     Loads.push_back(Load);
   }
   return Loads;
@@ -78,7 +79,7 @@
   Rate.add(1, Now);
   const auto Found = Placed.find(Item.Request);
   if (Found != Placed.end()) {
-    Found->second.Sent = Now;
+    Found->second.SentTime = Now;
     Running.insert_or_assign(Attempt, std::move(Found->second));
     Placed.erase(Found);
     return;
@@ -86,7 +87,7 @@
   running_work Started;
   Started.Request = Item.Request;
   Started.GapMs = static_cast<double>(Item.LongestGap.count());
-  Started.Sent = Now;
+  Started.SentTime = Now;
   Started.Parts.push_back({Backend, 0, Now, memoryOf(Item)});
   Running.insert_or_assign(Attempt, std::move(Started));
 }
@@ -96,10 +97,10 @@
   if (Found == Running.end())
     return;
   Found->second.Answered = true;
-  Reach.noteReached();
-  for (const reading_part &Part : Found->second.Parts)
+  Reachability.recordReachable();
+  for (const prefill_part &Part : Found->second.Parts)
     if (const auto Engine = Engines.find(Part.Backend); Engine != Engines.end())
-      Engine->second.noteSuccess();
+      Engine->second.recordSuccess();
   NextWake = Now;
 }
 
@@ -107,32 +108,34 @@
   const auto Found = Running.find(Attempt);
   if (Found == Running.end())
     return;
-  const auto AtFault = std::find_if(Engines.begin(), Engines.end(), [&End](const auto &Item) {
-    return !End.AtFault.empty() && Item.first.Address == End.AtFault;
-  });
+  const auto AtFault =
+      std::find_if(Engines.begin(), Engines.end(), [&End](const auto &EngineEntry) {
+        return !End.AtFault.empty() && EngineEntry.first.Address == End.AtFault;
+      });
   if (AtFault != Engines.end())
-    AtFault->second.noteFailure(Tuning, Now);
+    AtFault->second.recordFailure(Tuning, Now);
   else if (End.Failure)
-    blame(Attempt, *End.Failure, Now);
+    recordAttemptFailure(Attempt, *End.Failure, Now);
   const auto Engine = Engines.find(Found->second.Parts.front().Backend);
   if (End.Completed)
-    Reach.noteReached();
+    Reachability.recordReachable();
   if (End.Completed && Engine != Engines.end())
-    Engine->second.noteSuccess();
+    Engine->second.recordSuccess();
   Running.erase(Found);
   NextWake = Now;
 }
 
-void placer::attemptBroken(const attempt_id &Attempt, attempt_failure Failure, mono_time Now) {
-  blame(Attempt, Failure, Now);
+void placer::attemptFailed(const attempt_id &Attempt, attempt_failure Failure, mono_time Now) {
+  recordAttemptFailure(Attempt, Failure, Now);
 }
 
-void placer::blame(const attempt_id &Attempt, attempt_failure Failure, mono_time Now) {
+void placer::recordAttemptFailure(const attempt_id &Attempt, attempt_failure Failure,
+                                  mono_time Now) {
   if (Failure == attempt_failure::NotWanted)
     return;
-  // A server that declines is full, and an answer with an error status may be the caller's fault.
+  // A server that declines is full, and an error status may be the fault of the caller.
   if (Failure == attempt_failure::Declined || Failure == attempt_failure::ErrorAnswer)
-    return Reach.noteReached();
+    return Reachability.recordReachable();
   const auto Found = Running.find(Attempt);
   if (Found == Running.end())
     return;
@@ -140,38 +143,39 @@
   if (Engine == Engines.end())
     return;
   if (Failure == attempt_failure::NotConnected)
-    noteNotConnected(Found->second, Engine->second, Now);
-  if (!Reach.isOut())
-    Engine->second.noteFailure(Tuning, Now);
+    recordConnectFailure(Found->second, Engine->second, Now);
+  if (!Reachability.isIsolated())
+    Engine->second.recordFailure(Tuning, Now);
 }
 
-void placer::noteNotConnected(const running_work &Work, const engine_state &Engine, mono_time Now) {
-  if (Now - Work.Sent < RefusedWithin)
-    return Reach.noteReached();
-  const bool WasOut = Reach.isOut();
-  Reach.noteUnreached(Engine.key(), Engine.domain(), Now);
-  if (WasOut || !Reach.isOut())
+void placer::recordConnectFailure(const running_work &Work, const tracked_engine &Engine,
+                                  mono_time Now) {
+  if (Now - Work.SentTime < RefusalTimeout)
+    return Reachability.recordReachable();
+  const bool WasIsolated = Reachability.isIsolated();
+  Reachability.recordUnreachable(Engine.key(), Engine.domain(), Now);
+  if (WasIsolated || !Reachability.isIsolated())
     return;
-  for (const backend_key &Unreached : Reach.unreached())
+  for (const backend_key &Unreached : Reachability.unreachableServers())
     if (const auto Found = Engines.find(Unreached); Found != Engines.end())
-      Found->second.forgive();
-  Reach.noteTry(Now);
+      Found->second.clearFailures();
+  Reachability.recordProbe(Now);
 }
 
 std::string placer::dump(mono_time Now) const {
   std::ostringstream Out;
   Out << R"({"waiting":)" << Waiting.size() << R"(,"running":)" << Running.size()
       << R"(,"backends":[)";
-  const work_views Sum = ownWork(Now);
+  const engine_views Views = ownWork(Now);
   const char *Comma = "";
   for (const auto &[Key, Engine] : Engines) {
-    const auto Mine = Sum.find(Key);
-    const engine_view Others = Engine.othersWork(Now, Tuning.PeerSilence);
-    const engine_view Ours = Mine == Sum.end() ? engine_view{} : Mine->second;
+    const auto OwnEntry = Views.find(Key);
+    const engine_view Others = Engine.othersLoad(Now, Tuning.PeerLoadTimeout);
+    const engine_view OwnView = OwnEntry == Views.end() ? engine_view{} : OwnEntry->second;
     Out << Comma << R"({"backend":")" << toText(Key) << R"(","active":)"
-        << (Engine.active() ? "true" : "false") << R"(,"own_requests":)" << Ours.Requests
-        << R"(,"own_read_ms":)" << Ours.ReadMs << R"(,"others_requests":)" << Others.Requests
-        << R"(,"others_read_ms":)" << Others.ReadMs << "}";
+        << (Engine.active() ? "true" : "false") << R"(,"own_requests":)" << OwnView.Requests
+        << R"(,"own_read_ms":)" << OwnView.PrefillMs << R"(,"others_requests":)" << Others.Requests
+        << R"(,"others_read_ms":)" << Others.PrefillMs << "}";
     Comma = ",";
   }
   Out << "]}";
--- a/src/placement/request_rate_base.h
+++ b/src/placement/request_rate_base.h
@@ -1,4 +1,4 @@
-/** @file request_rate_base.h How many requests come, averaged over the last seconds. */
+/** @file request_rate_base.h Request rate with exponential decay. */
 #ifndef POLLENSTALL_PLACEMENT_REQUEST_RATE_BASE_H
 #define POLLENSTALL_PLACEMENT_REQUEST_RATE_BASE_H
 
@@ -10,31 +10,32 @@
 
 namespace pollenstall {
 
-/// An average in which a request counts less the longer ago it came.
+/// Average rate of requests, in which the weight of a request decays exponentially with its age.
 class request_rate {
 public:
-  explicit request_rate(mono_duration Averaged) : Span(Averaged) {}
+  explicit request_rate(mono_duration AveragingWindow) : Window(AveragingWindow) {}
 
   void add(double Requests, mono_time Now) {
-    Sum = decayed(Now) + Requests;
-    At = Now;
+    DecayedRequests = decayedSum(Now) + Requests;
+    Updated = Now;
   }
-  /// @return Requests in so much time.
-  [[nodiscard]] double in(mono_duration Time, mono_time Now) const {
-    return decayed(Now) * secondsOf(Time) / secondsOf(Span);
+  /// Returns the number of requests expected in a period.
+  [[nodiscard]] double expectedRequests(mono_duration Period, mono_time Now) const {
+    return decayedSum(Now) * secondsOf(Period) / secondsOf(Window);
   }
 
 private:
-  static double secondsOf(mono_duration Time) {
-    return std::chrono::duration<double>(Time).count();
+  static double secondsOf(mono_duration Period) {
+    return std::chrono::duration<double>(Period).count();
   }
-  [[nodiscard]] double decayed(mono_time Now) const {
-    return Sum * std::exp(-secondsOf(std::max(Now - At, mono_duration::zero())) / secondsOf(Span));
+  [[nodiscard]] double decayedSum(mono_time Now) const {
+    return DecayedRequests *
+           std::exp(-secondsOf(std::max(Now - Updated, mono_duration::zero())) / secondsOf(Window));
   }
 
-  mono_duration Span;
-  double Sum{0};
-  mono_time At{};
+  mono_duration Window;
+  double DecayedRequests{0};
+  mono_time Updated{};
 };
 
 } // namespace pollenstall
--- /dev/null
+++ b/src/placement/tracked_engine.cpp
@@ -0,0 +1,47 @@
+/** @file tracked_engine.cpp Reported work of other entries, and backoff after failures. */
+#include "placement/tracked_engine_base.h"
+
+#include <algorithm>
+
+namespace pollenstall {
+
+void tracked_engine::setOthersLoad(const work_load &Load, mono_time Now) {
+  Others = Load;
+  OthersReceived = Now;
+}
+
+bool tracked_engine::hasPriorClaim(std::uint32_t Precedence, double ThresholdMs, mono_time Now,
+                                   mono_duration MaxAge) const {
+  return Others.LowestPrecedence != 0 && Others.LowestPrecedence < Precedence &&
+         othersLoad(Now, MaxAge).PrefillMs > ThresholdMs;
+}
+
+engine_view tracked_engine::othersLoad(mono_time Now, mono_duration MaxAge) const {
+  engine_view View;
+  if (OthersReceived == mono_time::min() || Now - OthersReceived > MaxAge)
+    return View;
+  const work_load CurrentLoad = loadAfter(Others, Now - OthersReceived);
+  View.Requests = CurrentLoad.Requests;
+  View.DecodingRequests = CurrentLoad.DecodingRequests;
+  View.PrefillMs = CurrentLoad.PrefillMs;
+  View.Tokens = CurrentLoad.Tokens;
+  View.limitGap(CurrentLoad.GapMs);
+  return View;
+}
+
+void tracked_engine::recordFailure(const placement_tuning &Tuning, mono_time Now) {
+  // Streams that break off at the same time count as one failure.
+  if (Now < BackoffUntil)
+    return;
+  constexpr std::uint32_t MaxDoublings = 6;
+  const mono_duration Backoff = Tuning.FailureBackoff * (1U << std::min(Failures, MaxDoublings));
+  BackoffUntil = Now + std::min(Backoff, Tuning.MaxBackoff);
+  ++Failures;
+}
+
+void tracked_engine::recordPlacement(const placement_tuning &Tuning, mono_time Now) {
+  if (Failures > 0)
+    TrialUntil = Now + Tuning.TrialTimeout;
+}
+
+} // namespace pollenstall
--- /dev/null
+++ b/src/placement/tracked_engine_base.h
@@ -0,0 +1,78 @@
+/** @file tracked_engine_base.h An entry's view of the work on one backend server. */
+#ifndef POLLENSTALL_PLACEMENT_TRACKED_ENGINE_BASE_H
+#define POLLENSTALL_PLACEMENT_TRACKED_ENGINE_BASE_H
+
+#include "declaration/declaration_type.h"
+#include "directory/directory_type.h"
+#include "placement/placement_type.h"
+
+#include <algorithm>
+
+namespace pollenstall {
+
+/// Sum of the work in flight on one backend server.
+struct engine_view {
+  std::uint32_t Requests{0};
+  std::uint32_t DecodingRequests{0};
+  double PrefillMs{0}; ///< Pending prefill.
+  double Tokens{0};    ///< Allocated memory.
+  double GapMs{0};     ///< Shortest event gap that the requests allow; 0: unlimited.
+
+  /// Lowers the allowed gap to that of another request; 0: unlimited.
+  void limitGap(double Ms) {
+    if (Ms > 0)
+      GapMs = GapMs > 0 ? std::min(GapMs, Ms) : Ms;
+  }
+};
+
+/// A backend server with the reported work of other entries, and its failure backoff.
+class tracked_engine {
+public:
+  explicit tracked_engine(backend_listing NewListing) : Listing(std::move(NewListing)) {}
+
+  void update(backend_listing NewListing) { Listing = std::move(NewListing); }
+  /// Replaces the reported work of all other entries on this server.
+  void setOthersLoad(const work_load &Load, mono_time Now);
+
+  /// Returns the work of other entries, reduced by the prefill since the last report. The result is
+  /// empty if that report is older than MaxAge.
+  [[nodiscard]] engine_view othersLoad(mono_time Now, mono_duration MaxAge) const;
+
+  /// Returns whether an entry with a lower precedence number claims this server and other entries
+  /// have more than ThresholdMs of prefill pending here.
+  [[nodiscard]] bool hasPriorClaim(std::uint32_t Precedence, double ThresholdMs, mono_time Now,
+                                   mono_duration MaxAge) const;
+
+  /// Starts a backoff after an attempt failed because of the server.
+  void recordFailure(const placement_tuning &Tuning, mono_time Now);
+  void recordSuccess() { Failures = 0; }
+  /// Ends the backoff, for failures that were not the server's fault.
+  void clearFailures() {
+    Failures = 0;
+    BackoffUntil = TrialUntil = mono_time();
+  }
+  /// Records a placement. After a failure it is a trial, and no other work is placed on the server
+  /// for TrialTimeout.
+  void recordPlacement(const placement_tuning &Tuning, mono_time Now);
+  [[nodiscard]] bool inBackoff(mono_time Now) const {
+    return Now < BackoffUntil || (Failures > 0 && Now < TrialUntil);
+  }
+  [[nodiscard]] bool active() const { return Listing.State == listing_state::Active; }
+  [[nodiscard]] const backend_key &key() const { return Listing.Key; }
+  [[nodiscard]] const service_name &service() const { return Listing.Service; }
+  [[nodiscard]] const failure_domain_name &domain() const { return Listing.Domain; }
+  /// Returns the number of concurrent requests that the server announced.
+  [[nodiscard]] std::uint32_t slots() const { return Listing.Places; }
+
+private:
+  backend_listing Listing;
+  work_load Others; ///< As of OthersReceived.
+  mono_time OthersReceived{mono_time::min()};
+  std::uint32_t Failures{0}; ///< Consecutive failures.
+  mono_time BackoffUntil;
+  mono_time TrialUntil;
+};
+
+} // namespace pollenstall
+
+#endif // POLLENSTALL_PLACEMENT_TRACKED_ENGINE_BASE_H
--- a/src/placement/work_load.cpp
+++ b/src/placement/work_load.cpp
@@ -1,4 +1,4 @@
-/** @file work_load.cpp Work of several entries together, and after some time. */
+/** @file work_load.cpp Sums of loads, and loads after some time. */
 #include "placement/millis_func.h"
 #include "placement/placement_type.h"
 
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// @return The lower of two where 0 stands for none.
-std::uint32_t lowerGiven(std::uint32_t A, std::uint32_t B) {
+/// Returns the lower of two values, in which 0 means none.
+std::uint32_t lowerNonZero(std::uint32_t A, std::uint32_t B) {
   if (A == 0 || B == 0)
     return std::max(A, B);
   return std::min(A, B);
@@ -18,22 +18,22 @@
 } // namespace
 
 bool isEmpty(const work_load &Load) {
-  return Load.Requests == 0 && Load.ReadMs == 0 && Load.Tokens == 0;
+  return Load.Requests == 0 && Load.PrefillMs == 0 && Load.Tokens == 0;
 }
 
 work_load operator+(work_load A, const work_load &B) {
   A.Requests += B.Requests;
-  A.Writers += B.Writers;
-  A.ReadMs += B.ReadMs;
+  A.DecodingRequests += B.DecodingRequests;
+  A.PrefillMs += B.PrefillMs;
   A.Tokens += B.Tokens;
-  A.GapMs = lowerGiven(A.GapMs, B.GapMs);
-  A.FirstReader = lowerGiven(A.FirstReader, B.FirstReader);
+  A.GapMs = lowerNonZero(A.GapMs, B.GapMs);
+  A.LowestPrecedence = lowerNonZero(A.LowestPrecedence, B.LowestPrecedence);
   return A;
 }
 
-work_load after(work_load Load, mono_duration Passed) {
-  const double Left = Load.ReadMs - millisUntil(mono_time(Passed), mono_time());
-  Load.ReadMs = static_cast<std::uint32_t>(std::max(0.0, Left));
+work_load loadAfter(work_load Load, mono_duration Elapsed) {
+  const double RemainingMs = Load.PrefillMs - millisUntil(mono_time(Elapsed), mono_time());
+  Load.PrefillMs = static_cast<std::uint32_t>(std::max(0.0, RemainingMs));
   return Load;
 }
 
--- a/src/scheduling/account_queue_base.h
+++ b/src/scheduling/account_queue_base.h
@@ -1,4 +1,4 @@
-/** @file account_queue_base.h Waiting work, shared fairly between client accounts by cost. */
+/** @file account_queue_base.h Queue of waiting requests with fair sharing by cost. */
 #ifndef POLLENSTALL_SCHEDULING_ACCOUNT_QUEUE_BASE_H
 #define POLLENSTALL_SCHEDULING_ACCOUNT_QUEUE_BASE_H
 
@@ -13,91 +13,93 @@
 
 namespace pollenstall {
 
-constexpr std::size_t LengthClasses = 3;
+constexpr std::size_t LengthClassCount = 3;
 
 /// A request that waits for a backend server.
 struct waiting_work {
   work_item Item;
   length_class Class{length_class::Short};
-  group_name Group;      ///< Drawn by weight from the item's candidates.
+  group_name Group;      ///< Chosen at random by weight from the candidate groups of the item.
   double Cost{0};        ///< Expected engine seconds.
-  mono_time LatestStart; ///< Started later, it could not end within its deadline.
+  mono_time LatestStart; ///< A request that starts later cannot end by its deadline.
 };
 
-/// Whether the queue took a request.
-enum class queue_verdict : std::uint8_t { Accepted, QueueFull, AccountLimit };
+/// Result of account_queue::push().
+enum class enqueue_status : std::uint8_t { Accepted, QueueFull, AccountLimit };
 
 /**
- * Fair queueing by virtual time over accounts, after start-time fair queueing (Goyal, Vin, Cheng
- * 1996): each placement moves its account's finish tag on by cost over share, and the account with
- * the least start tag goes first. Virtual time is the least tag of the accounts that wait and not
- * that of the last one served, because classes are served out of order: otherwise the short work of
- * an account far ahead would pull everybody's tag up to its own. Within an account and a length
- * class the oldest goes first.
+ * Start-time fair queueing over accounts (Goyal, Vin, Cheng 1996). Each placement advances the
+ * finish tag of its account by cost divided by share; the account with the lowest start tag is
+ * served first. Virtual time is the lowest finish tag of the accounts with waiting requests, not
+ * the tag of the account served last: length classes are served out of order, so the short requests
+ * of an account with a high tag would raise the start tags of all accounts to its own. Requests of
+ * one account and length class are served in arrival order.
  */
 class account_queue {
 public:
-  /// @param Bound Requests that wait in all.
-  void setBound(std::uint32_t Bound) { MostQueued = Bound; }
-  /// @param Share Relative share by cost. @param Bound Requests of the account that wait.
-  void setAccount(const client_account_name &Account, std::uint32_t Share, std::uint32_t Bound);
-  /// Forgets accounts that have nothing waiting; those declared are set again afterwards.
+  /// Sets the maximum number of waiting requests over all accounts.
+  void setQueueLimit(std::uint32_t Limit) { QueueLimit = Limit; }
+  /// @param Share Relative share of the cost.
+  /// @param Limit Maximum number of waiting requests of the account.
+  void setAccount(const client_account_name &Account, std::uint32_t Share, std::uint32_t Limit);
+  /// Removes accounts without waiting requests; setAccount() must follow for each declared account.
   void dropIdleAccounts();
 
-  queue_verdict push(waiting_work Work);
-  /// Takes a request out without a charge. @return The request, if it waits.
+  enqueue_status push(waiting_work Work);
+  /// Removes a request without charging its account. @return The request if it was waiting.
   std::optional<waiting_work> withdraw(request_number Request);
-  /// Takes a request out because it was placed, and charges its account.
+  /// Removes a placed request and charges its account. @return The request if it was waiting.
   std::optional<waiting_work> place(request_number Request, mono_time Now);
-  /// Adds to, or takes from, what an account was charged once the real cost is known.
-  void correct(const client_account_name &Account, double CostDifference);
-  /// @return Requests that can no longer start in time, taken out.
-  std::vector<waiting_work> takeLate(mono_time Now);
+  /// Adds the difference, which may be negative, to the charge of an account once the actual cost
+  /// of a request is known.
+  void adjustCharge(const client_account_name &Account, double CostDifference);
+  /// Removes and returns the requests whose latest start has passed.
+  std::vector<waiting_work> removeExpired(mono_time Now);
 
   /**
-   * @param PerAccount Requests of one account at most. @param Most Requests in all at most.
-   * @return Waiting requests of a class in the order in which they are to be tried.
+   * @param MaxPerAccount Maximum number of requests of one account.
+   * @param MaxTotal Maximum number of requests over all accounts.
+   * @return Waiting requests of a class in the order in which to try to place them.
    */
   [[nodiscard]] std::vector<const waiting_work *>
-  candidates(length_class Class, std::size_t PerAccount, std::size_t Most) const;
-  /// @return When the request that waits longest in the class arrived.
-  [[nodiscard]] std::optional<mono_time> oldest(length_class Class) const;
-  /// @return The least latest start of all that wait.
-  [[nodiscard]] std::optional<mono_time> nextLate() const;
+  candidates(length_class Class, std::size_t MaxPerAccount, std::size_t MaxTotal) const;
+  /// Returns the arrival time of the oldest waiting request of the class.
+  [[nodiscard]] std::optional<mono_time> oldestArrival(length_class Class) const;
+  /// Returns the earliest latest-start time over all waiting requests.
+  [[nodiscard]] std::optional<mono_time> nextExpiry() const;
   /**
-   * @return What the account had placed lately against its fair share of what all active accounts
-   * had placed; 1 is exactly fair.
-   */
-  [[nodiscard]] double usageAgainstShare(const client_account_name &Account, mono_time Now) const;
-  /**
-   * @return Cost that is served before a new request of the account, as fair shares would have it.
+   * Returns the recent placed cost of the account divided by its fair share of the recent placed
+   * cost of all active accounts. 1 is exactly the fair share.
    */
+  [[nodiscard]] double relativeUsage(const client_account_name &Account, mono_time Now) const;
+  /// Returns the queued cost of the class that fair sharing serves before a new request of the
+  /// account.
   [[nodiscard]] double costAhead(const client_account_name &Account, length_class Class) const;
-  [[nodiscard]] std::size_t size() const { return Items.size(); }
+  [[nodiscard]] std::size_t size() const { return WaitingRequests.size(); }
   [[nodiscard]] std::size_t size(length_class Class) const;
-  [[nodiscard]] bool empty() const { return Items.empty(); }
+  [[nodiscard]] bool empty() const { return WaitingRequests.empty(); }
 
 private:
   using arrival = std::pair<mono_time, request_number>;
   struct account_state {
     double Share{1};
-    std::uint32_t MostQueued{256};
+    std::uint32_t QueueLimit{256};
     std::uint32_t Queued{0};
-    double Finish{0};
-    double Usage{0}; ///< Decaying sum of placed cost.
-    mono_time UsageAt;
-    std::array<std::set<arrival>, LengthClasses> Waiting;
-    std::array<double, LengthClasses> QueuedCost{};
+    double FinishTag{0};
+    double Usage{0}; ///< Exponentially decaying sum of the placed cost, as of UsageUpdated.
+    mono_time UsageUpdated;
+    std::array<std::set<arrival>, LengthClassCount> Waiting;
+    std::array<double, LengthClassCount> QueuedCost{};
   };
 
-  waiting_work takeOut(std::map<request_number, waiting_work>::iterator Found);
-  void advance();
+  waiting_work dequeue(std::map<request_number, waiting_work>::iterator Found);
+  void advanceVirtualTime();
   static double usage(const account_state &State, mono_time Now);
 
-  std::uint32_t MostQueued{2'048};
+  std::uint32_t QueueLimit{2'048};
   double VirtualTime{0};
   std::map<client_account_name, account_state> Accounts;
-  std::map<request_number, waiting_work> Items;
+  std::map<request_number, waiting_work> WaitingRequests;
   std::set<arrival> ByLatestStart;
 };
 
--- a/src/scheduling/backend_pool.cpp
+++ b/src/scheduling/backend_pool.cpp
@@ -1,4 +1,4 @@
-/** @file backend_pool.cpp Keeps records of backend servers and the groups they belong to. */
+/** @file backend_pool.cpp Records of backend servers and the groups that they belong to. */
 #include "scheduling/backend_pool_base.h"
 
 #include "scheduling/long_placement_func.h"
@@ -8,20 +8,20 @@
 namespace pollenstall {
 namespace {
 
-constexpr double FastGuess = 100'000.0; ///< Prompt tokens per second.
-/// Samples of 4,096 tokens; the estimate moves by a factor of two a sample at most.
-constexpr double SamplesToRefuseBy = 6.0;
+constexpr double OptimisticRate = 100'000.0; ///< Prompt tokens per second.
+/// In samples of 4,096 tokens. One sample changes an estimate by at most a factor of two.
+constexpr double MinSamplesForRefusal = 6.0;
 
-bool carries(const label_set &Announced, const label_set &Wanted) {
+bool hasLabels(const label_set &Announced, const label_set &Wanted) {
   return std::all_of(Wanted.begin(), Wanted.end(), [&Announced](const auto &Label) {
     const auto Found = Announced.find(Label.first);
     return Found != Announced.end() && Found->second == Label.second;
   });
 }
 
-double medianOf(std::vector<double> &Values, double Otherwise) {
+double medianOf(std::vector<double> &Values, double Default) {
   if (Values.empty())
-    return Otherwise;
+    return Default;
   const auto Middle = Values.begin() + static_cast<std::ptrdiff_t>(Values.size() / 2);
   std::nth_element(Values.begin(), Middle, Values.end());
   return *Middle;
@@ -29,12 +29,12 @@
 
 } // namespace
 
-double scheduled_backend::requests() const {
+double scheduled_backend::requestCount() const {
   const double Reported = static_cast<double>(View.Load.Running) + View.Load.Waiting;
   return std::max(0.0, Reported - OwnInReport) + Outstanding;
 }
 
-memory_blocks scheduled_backend::need(const work_item &Item) const {
+memory_blocks scheduled_backend::blocksNeeded(const work_item &Item) const {
   const std::int64_t BlockTokens = std::max<std::int64_t>(1, View.Announcement.BlockTokens.value());
   const std::int64_t Tokens = Item.Prompt.value() + Item.AnswerLimit.value();
   return memory_blocks((Tokens + BlockTokens - 1) / BlockTokens);
@@ -60,9 +60,9 @@
 scheduled_backend &backend_pool::update(const backend_view &View, mono_time Now) {
   const auto [Found, Added] = Records.try_emplace(View.Announcement.Key);
   scheduled_backend &Record = Found->second;
-  const backend_announcement &Before = Record.View.Announcement;
-  if (Added || Before.Labels != View.Announcement.Labels ||
-      Before.Service != View.Announcement.Service || Record.View.Standing != View.Standing)
+  const backend_announcement &Previous = Record.View.Announcement;
+  if (Added || Previous.Labels != View.Announcement.Labels ||
+      Previous.Service != View.Announcement.Service || Record.View.Standing != View.Standing)
     Stale = true;
   if (Added) {
     Record.Prefill.setLongFrom(LongFrom);
@@ -76,8 +76,9 @@
 
 void backend_pool::remove(const backend_key &Backend) {
   Records.erase(Backend);
-  Ejections.forget(Backend);
-  // Groups hold pointers into the map: rebuilt here and not later, so that none dangles.
+  OutlierDetector.eraseBackend(Backend);
+  // Groups hold pointers into the map, so they are rebuilt at once: a later rebuild would leave
+  // dangling pointers.
   rebuild();
 }
 
@@ -93,7 +94,7 @@
   for (auto &[Name, Group] : Groups) {
     Group.Servers.clear();
     for (scheduled_backend *Record : Services[Group.Service])
-      if (carries(Record->View.Announcement.Labels, Group.Labels))
+      if (hasLabels(Record->View.Announcement.Labels, Group.Labels))
         Group.Servers.push_back(Record);
   }
   Stale = false;
@@ -105,53 +106,54 @@
     rebuild();
   if (Group.empty()) {
     const auto Found = Services.find(Service);
-    return Found == Services.end() ? Nobody : Found->second;
+    return Found == Services.end() ? NoServers : Found->second;
   }
   const auto Found = Groups.find(Group);
-  return Found == Groups.end() ? Nobody : Found->second.Servers;
+  return Found == Groups.end() ? NoServers : Found->second.Servers;
 }
 
-void backend_pool::chooseLongEngines(double GreatestShare, double LongDemand) {
+void backend_pool::selectLongEngines(double MaxShare, double LongCostShare) {
   if (Stale)
     rebuild();
   for (auto &[Name, Group] : Groups) {
-    std::vector<long_candidate> Candidates;
+    std::vector<long_work_candidate> Candidates;
     for (const scheduled_backend *Record : Group.Servers)
-      if (Record->active() && Ejections.state(Record->key()) == ejection_state::Admitted)
+      if (Record->active() && OutlierDetector.state(Record->key()) == ejection_state::Admitted)
         Candidates.push_back({Record->key(), Record->View.Announcement.Domain});
     std::vector<backend_key> Order = longWorkOrder(Candidates);
-    Order.resize(longEngineCount(Order.size(), GreatestShare, LongDemand));
+    Order.resize(longEngineCount(Order.size(), MaxShare, LongCostShare));
     Group.LongEngines.clear();
     for (const backend_key &Backend : Order)
       Group.LongEngines.emplace(Backend, Group.LongEngines.size());
   }
 }
 
-bool backend_pool::takesLong(const group_name &Group, const backend_key &Backend,
-                             double Part) const {
+bool backend_pool::acceptsLongWork(const group_name &Group, const backend_key &Backend,
+                                   double EngineShare) const {
   const auto Found = Groups.find(Group);
   if (Found == Groups.end())
     return true;
   const auto &Engines = Found->second.LongEngines;
-  const auto Place = Engines.find(Backend);
-  return Place != Engines.end() &&
-         static_cast<double>(Place->second) < static_cast<double>(Engines.size()) * Part;
+  const auto Position = Engines.find(Backend);
+  return Position != Engines.end() &&
+         static_cast<double>(Position->second) < static_cast<double>(Engines.size()) * EngineShare;
 }
 
-double backend_pool::refusalRate() const {
-  return RateLearnt ? TypicalRate : std::max(TypicalRate, FastGuess);
+double backend_pool::admissionPrefillRate() const {
+  return TypicalRateLearned ? TypicalRate : std::max(TypicalRate, OptimisticRate);
 }
 
-void backend_pool::learnTypical() {
+void backend_pool::updateTypicalRates() {
   std::vector<double> Rates;
   std::vector<double> Steps;
-  RateLearnt = false;
+  TypicalRateLearned = false;
   for (const auto &[Key, Record] : Records) {
     if (!Record.active() || Record.Costs.prefillSamples() < 1.0)
       continue;
     Rates.push_back(Record.Costs.prefillRate());
     Steps.push_back(Record.Costs.secondsPerStep());
-    RateLearnt = RateLearnt || Record.Costs.prefillSamples() >= SamplesToRefuseBy;
+    TypicalRateLearned =
+        TypicalRateLearned || Record.Costs.prefillSamples() >= MinSamplesForRefusal;
   }
   TypicalRate = medianOf(Rates, TypicalRate);
   TypicalStep = medianOf(Steps, TypicalStep);
@@ -159,17 +161,17 @@
     Record.Costs.adoptPeerRate(TypicalRate);
 }
 
-void backend_pool::review(std::uint32_t MostPercent, mono_time Now) {
+void backend_pool::updateEjections(std::uint32_t MaxEjectPercent, mono_time Now) {
   if (Stale)
     rebuild();
-  learnTypical();
+  updateTypicalRates();
   for (auto &[Name, Servers] : Services) {
     std::vector<peer_speed> Peers;
     for (scheduled_backend *Record : Servers)
       if (Record->active())
         Peers.push_back(
             {Record->key(), Record->Costs.prefillRate(), Record->Costs.prefillSamples()});
-    Ejections.review(Peers, MostPercent, Now);
+    OutlierDetector.updateEjections(Peers, MaxEjectPercent, Now);
   }
 }
 
--- a/src/scheduling/backend_pool_base.h
+++ b/src/scheduling/backend_pool_base.h
@@ -1,14 +1,13 @@
-/** @file backend_pool_base.h The backend servers one scheduler knows, with what it learnt of each.
- */
+/** @file backend_pool_base.h Backend servers known to a scheduler and their learned state. */
 #ifndef POLLENSTALL_SCHEDULING_BACKEND_POOL_BASE_H
 #define POLLENSTALL_SCHEDULING_BACKEND_POOL_BASE_H
 
 #include "declaration/declaration_type.h"
 #include "membership/membership_type.h"
 #include "scheduling/cost_model_base.h"
-#include "scheduling/ejection_base.h"
-#include "scheduling/memory_ledger_base.h"
-#include "scheduling/prefill_ledger_base.h"
+#include "scheduling/memory_tracker_base.h"
+#include "scheduling/outlier_detector_base.h"
+#include "scheduling/prefill_tracker_base.h"
 
 #include <map>
 #include <set>
@@ -16,80 +15,86 @@
 
 namespace pollenstall {
 
-/// One backend server: its announcement and report, and this host's ledgers of it.
+/// A backend server with its latest announcement and load report, and this host's trackers for it.
 struct scheduled_backend {
   backend_view View;
   cost_model Costs;
-  prefill_ledger Prefill;
-  memory_ledger Memory;
+  prefill_tracker Prefill;
+  memory_tracker Memory;
   std::uint32_t Outstanding{0}; ///< Own attempts that have not ended.
-  std::uint32_t OwnInReport{0}; ///< Of these, how many the last report counts.
-  mono_time LastProgress;       ///< When any own attempt on it last got something.
+  std::uint32_t OwnInReport{0}; ///< Number of outstanding attempts that the last report includes.
+  mono_time LastProgress;       ///< When an own attempt on the server last received data.
 
   [[nodiscard]] const backend_key &key() const { return View.Announcement.Key; }
   [[nodiscard]] bool active() const { return View.Standing == backend_standing::Active; }
-  /// @return Requests on the server, of every host, as far as this host knows.
-  [[nodiscard]] double requests() const;
-  /// @return Blocks that the work needs for its prompt and longest answer.
-  [[nodiscard]] memory_blocks need(const work_item &Item) const;
-  /// @return Whether it has the model of the work; plain work needs none.
+  /// Returns the estimated number of requests of all hosts on the server.
+  [[nodiscard]] double requestCount() const;
+  /// Returns the memory blocks needed for the prompt and the longest allowed answer.
+  [[nodiscard]] memory_blocks blocksNeeded(const work_item &Item) const;
+  /// Returns whether the server has the requested model. Plain requests need no model.
   [[nodiscard]] bool serves(const work_item &Item) const;
 };
 
-/// Records by key, by group, and the engines of each group that take long work.
+/// Backend servers by key and by group, and the engines of each group that accept long prompts.
 class backend_pool {
 public:
   void applyDeclaration(const fleet_declaration &Declaration);
-  /// @return The record that was updated.
+  /// Adds or updates a server. @return Its record.
   scheduled_backend &update(const backend_view &View, mono_time Now);
   void remove(const backend_key &Backend);
 
   [[nodiscard]] scheduled_backend *find(const backend_key &Backend);
-  /// @return The group's servers of any standing; those of the service where Group is empty.
+  /// Returns the servers of the group, of any standing, or of the service if Group is empty.
   [[nodiscard]] const std::vector<scheduled_backend *> &members(const service_name &Service,
                                                                 const group_name &Group);
-  /// Recomputes which engines of each group take long work. @param LongDemand Part of recent cost.
-  void chooseLongEngines(double GreatestShare, double LongDemand);
-  /// @param Part Of the engines that take long work, counted from the first in the common order.
-  [[nodiscard]] bool takesLong(const group_name &Group, const backend_key &Backend,
-                               double Part = 1.0) const;
-  /// Reviews every group for slow and failing servers.
-  void review(std::uint32_t MostPercent, mono_time Now);
+  /// Recomputes which engines of each group accept long prompts.
+  /// @param MaxShare Maximum share of the engines of a group.
+  /// @param LongCostShare Share of the recent cost that is in the long class, from 0 to 1.
+  void selectLongEngines(double MaxShare, double LongCostShare);
+  /// Returns whether the engine accepts long prompts of the group.
+  /// @param EngineShare Share of the group's long-prompt engines to consider, first ones in the
+  /// common order first.
+  [[nodiscard]] bool acceptsLongWork(const group_name &Group, const backend_key &Backend,
+                                     double EngineShare = 1.0) const;
+  /// Updates the learned rates, then ejects slow and failing servers of each service.
+  void updateEjections(std::uint32_t MaxEjectPercent, mono_time Now);
 
-  [[nodiscard]] ejection &ejections() { return Ejections; }
-  [[nodiscard]] const ejection &ejections() const { return Ejections; }
+  [[nodiscard]] outlier_detector &outlierDetector() { return OutlierDetector; }
+  [[nodiscard]] const outlier_detector &outlierDetector() const { return OutlierDetector; }
   [[nodiscard]] const std::map<backend_key, scheduled_backend> &records() const { return Records; }
-  /// @return The median prefill rate of active engines with samples, else the prior.
+  /// Returns the median prefill rate, in tokens per second, of the active engines with samples.
+  /// The initial value is the prior.
   [[nodiscard]] double typicalRate() const { return TypicalRate; }
+  /// Returns the median seconds per token event of the same engines.
   [[nodiscard]] double typicalStep() const { return TypicalStep; }
   /**
-   * The rate that a refusal may rest on. A prior is a guess: a fleet faster than it would refuse
-   * long prompts and, getting none, never learn better. So the guess is a fast one until engines
-   * have shown their rate.
+   * Returns the prefill rate for admission control. With the prior, a fleet that is faster than the
+   * prior would refuse long prompts and then never learn its actual rate from them. Until engines
+   * have enough samples, the rate is therefore an optimistic one.
    */
-  [[nodiscard]] double refusalRate() const;
+  [[nodiscard]] double admissionPrefillRate() const;
 
 private:
   struct group_members {
     service_name Service;
     label_set Labels;
     std::vector<scheduled_backend *> Servers;
-    std::map<backend_key, std::size_t> LongEngines; ///< With the place in the common order.
+    std::map<backend_key, std::size_t> LongEngines; ///< With their position in the common order.
   };
 
   void rebuild();
-  void learnTypical();
+  void updateTypicalRates();
 
   std::map<backend_key, scheduled_backend> Records;
   std::map<group_name, group_members> Groups;
   std::map<service_name, std::vector<scheduled_backend *>> Services;
-  std::vector<scheduled_backend *> Nobody;
-  ejection Ejections;
-  bool Stale{true}; ///< A label, a service or the set of servers changed since the last rebuild.
+  std::vector<scheduled_backend *> NoServers;
+  outlier_detector OutlierDetector;
+  bool Stale{true}; ///< A label, service, standing or the set of servers changed since rebuild().
   double LongFrom{100'000};
   double TypicalRate{cost_model().prefillRate()};
   double TypicalStep{cost_model().secondsPerStep()};
-  bool RateLearnt{false}; ///< An active engine has samples enough to refuse by.
+  bool TypicalRateLearned{false}; ///< An active engine has at least MinSamplesForRefusal samples.
 };
 
 } // namespace pollenstall
--- a/src/scheduling/class_rates_base.h
+++ b/src/scheduling/class_rates_base.h
@@ -1,4 +1,4 @@
-/** @file class_rates_base.h Engine seconds per second by length class, and the waits they imply. */
+/** @file class_rates_base.h Rates of cost by length class, and the waiting times they imply. */
 #ifndef POLLENSTALL_SCHEDULING_CLASS_RATES_BASE_H
 #define POLLENSTALL_SCHEDULING_CLASS_RATES_BASE_H
 
@@ -6,30 +6,32 @@
 
 namespace pollenstall {
 
-/// Decaying rates of cost by length class; one instance for what arrives, one for what is placed.
+/// Exponentially decaying rates of cost, in engine seconds per second, by length class. The
+/// scheduler has one instance for arriving and one for placed requests.
 class class_rates {
 public:
-  /// Work of that cost arrived, or was placed.
+  /// Adds the cost of a request that arrived or was placed.
   void add(length_class Class, double Cost, mono_time Now);
   /**
-   * @param CostAhead Engine seconds that go first.
-   * @param LeastRate Engine seconds a second assumed where little was learnt.
-   * @return Seconds until that is placed.
+   * Returns the expected seconds until the cost ahead is placed.
+   * @param CostBefore Engine seconds that are served first.
+   * @param MinRate Lower bound of the rate, in engine seconds per second, while there are few
+   * observations.
    */
-  [[nodiscard]] double wait(length_class Class, double CostAhead, double LeastRate,
-                            mono_time Now) const;
-  /// @return Part of recent cost that was long work, from 0 to 1.
+  [[nodiscard]] double expectedWaitSeconds(length_class Class, double CostBefore, double MinRate,
+                                           mono_time Now) const;
+  /// Returns the share of the recent cost that is in the long class, from 0 to 1.
   [[nodiscard]] double longShare(mono_time Now) const;
 
 private:
   struct class_rate {
-    double Recent{0}; ///< Decaying sum of cost.
+    double DecayedCost{0}; ///< Sum of cost with exponential decay, as of Updated.
     mono_time Updated;
   };
 
-  [[nodiscard]] double recent(length_class Class, mono_time Now) const;
+  [[nodiscard]] double recentCost(length_class Class, mono_time Now) const;
 
-  std::array<class_rate, LengthClasses> Rates;
+  std::array<class_rate, LengthClassCount> Rates;
 };
 
 } // namespace pollenstall
--- a/src/scheduling/concurrency_limit.cpp
+++ b/src/scheduling/concurrency_limit.cpp
@@ -1,4 +1,4 @@
-/** @file concurrency_limit.cpp Adjusts the limit by the pace of answers against what is needed. */
+/** @file concurrency_limit.cpp Adjusts the limit by comparing actual and required pace. */
 #include "scheduling/concurrency_limit_base.h"
 
 #include <algorithm>
@@ -6,41 +6,42 @@
 namespace pollenstall {
 namespace {
 
-/// Below this an engine's batch is too small to be worth its steps.
-constexpr double LeastLimit = 12.0;
-constexpr double GreatestLimit = 512.0;
+/// With a smaller batch, an engine uses its decode steps inefficiently.
+constexpr double MinLimit = 12.0;
+constexpr double MaxLimit = 512.0;
 constexpr double PaceGain = 0.01;
-/// Downward steps of the tracked need are larger than upward ones by the odds of this quantile, so
-/// that it settles where the tenth with the least time lies.
-constexpr double NeedQuantile = 0.1;
-constexpr double NeedGain = 0.005;
+/// RequiredPace tracks this quantile of the observed values: downward steps are larger than upward
+/// steps by the odds of the quantile. It settles at the value that a tenth of the requests, those
+/// with the least time per token, are below.
+constexpr double RequiredPaceQuantile = 0.1;
+constexpr double RequiredPaceGain = 0.005;
 constexpr double Decrease = 0.97;
 constexpr double Increase = 1.02;
 
 } // namespace
 
-void concurrency_limit::need(double Seconds) {
-  if (Seconds <= 0.0)
+void concurrency_limit::observeRequiredPace(double SecondsPerToken) {
+  if (SecondsPerToken <= 0.0)
     return;
-  if (Needed <= 0.0)
-    Needed = Seconds;
-  else if (Seconds < Needed)
-    Needed *= 1.0 - NeedGain * (1.0 - NeedQuantile);
+  if (RequiredPace <= 0.0)
+    RequiredPace = SecondsPerToken;
+  else if (SecondsPerToken < RequiredPace)
+    RequiredPace *= 1.0 - RequiredPaceGain * (1.0 - RequiredPaceQuantile);
   else
-    Needed *= 1.0 + NeedGain * NeedQuantile;
+    RequiredPace *= 1.0 + RequiredPaceGain * RequiredPaceQuantile;
 }
 
-void concurrency_limit::observe(double Seconds) {
-  Pace = Pace <= 0.0 ? Seconds : Pace + PaceGain * (Seconds - Pace);
+void concurrency_limit::observePace(double SecondsPerToken) {
+  Pace = Pace <= 0.0 ? SecondsPerToken : Pace + PaceGain * (SecondsPerToken - Pace);
 }
 
-void concurrency_limit::adjust(bool Bound) {
-  if (Needed <= 0.0 || Pace <= 0.0)
+void concurrency_limit::adjust(bool LimitReached) {
+  if (RequiredPace <= 0.0 || Pace <= 0.0)
     return;
-  if (Pace > Needed)
-    Limit = std::max(LeastLimit, Limit * Decrease);
-  else if (Bound)
-    Limit = std::min(GreatestLimit, Limit * Increase);
+  if (Pace > RequiredPace)
+    Limit = std::max(MinLimit, Limit * Decrease);
+  else if (LimitReached)
+    Limit = std::min(MaxLimit, Limit * Increase);
 }
 
 } // namespace pollenstall
--- a/src/scheduling/concurrency_limit_base.h
+++ b/src/scheduling/concurrency_limit_base.h
@@ -1,4 +1,4 @@
-/** @file concurrency_limit_base.h How many requests one engine is given at once. */
+/** @file concurrency_limit_base.h Adaptive limit on concurrent requests per engine. */
 #ifndef POLLENSTALL_SCHEDULING_CONCURRENCY_LIMIT_BASE_H
 #define POLLENSTALL_SCHEDULING_CONCURRENCY_LIMIT_BASE_H
 
@@ -7,29 +7,33 @@
 namespace pollenstall {
 
 /**
- * Learns how many requests an engine can work on while their answers still end in time. An engine
- * that always has prefill to do gives each running answer one token a chunk; beyond some number the
- * answers outlive their callers' time limits and the work is lost. What waits at the entry instead
- * can be refused early.
+ * Learns how many concurrent requests an engine can run so that their answers still end within the
+ * callers' time limits. An engine with continuous prefill produces one token per running answer and
+ * prefill chunk. With too many requests, answers exceed the time limits and their work is lost.
+ * Requests that wait at the entry instead can be refused early.
  */
 class concurrency_limit {
 public:
-  /// A request arrived. @param Seconds Time a token that its limit leaves for a long answer.
-  void need(double Seconds);
-  /// Tokens came. @param Seconds Time a token, on an engine without long prompts to process.
-  void observe(double Seconds);
-  /// Adjusts the limit; called at a fixed interval. @param Bound Whether the limit held work back.
-  void adjust(bool Bound);
+  /// Records the pace that an arriving request needs.
+  /// @param SecondsPerToken Time per token that its time limit allows for a long answer.
+  void observeRequiredPace(double SecondsPerToken);
+  /// Records the pace of an answer on an engine that processes no long prompt.
+  void observePace(double SecondsPerToken);
+  /// Adjusts the limit; called at a fixed interval.
+  /// @param LimitReached Whether the limit delayed requests.
+  void adjust(bool LimitReached);
 
-  /// @return Requests on an engine of typical speed at once.
+  /// Returns the limit of concurrent requests for an engine of typical speed.
   [[nodiscard]] double value() const { return Limit; }
-  [[nodiscard]] double pace() const { return Pace; }         ///< Seconds a token, lately.
-  [[nodiscard]] double neededPace() const { return Needed; } ///< Seconds a token that is enough.
+  /// Returns the recent pace of answers in seconds per token.
+  [[nodiscard]] double pace() const { return Pace; }
+  /// Returns the pace in seconds per token that is fast enough for the callers' time limits.
+  [[nodiscard]] double requiredPace() const { return RequiredPace; }
 
 private:
   double Limit{64};
   double Pace{0};
-  double Needed{0};
+  double RequiredPace{0};
 };
 
 } // namespace pollenstall
--- a/src/scheduling/cost_model_base.h
+++ b/src/scheduling/cost_model_base.h
@@ -1,4 +1,4 @@
-/** @file cost_model_base.h How fast one engine works, learnt from what its attempts took. */
+/** @file cost_model_base.h Speed of one engine, learned from the durations of its attempts. */
 #ifndef POLLENSTALL_SCHEDULING_COST_MODEL_BASE_H
 #define POLLENSTALL_SCHEDULING_COST_MODEL_BASE_H
 
@@ -8,59 +8,63 @@
 
 namespace pollenstall {
 
-/// A quantity learnt as a moving average of its logarithm, kept between two bounds.
+/// Bounded estimate of a quantity: a moving average of its logarithm.
 class bounded_estimate {
 public:
   /**
-   * @param Prior What is assumed before the first sample.
-   * @param Least Lower bound of the estimate and of each sample.
-   * @param Greatest Upper bound.
+   * @param Prior Initial estimate before the first sample.
+   * @param Minimum Lower bound of the estimate and of each sample.
+   * @param Maximum Upper bound of the estimate and of each sample.
    */
-  bounded_estimate(double Prior, double Least, double Greatest);
+  bounded_estimate(double Prior, double Minimum, double Maximum);
 
   /**
-   * Takes a sample in. One sample moves the estimate by at most a factor of two, so an outlier
-   * cannot turn traffic away from an engine or onto it.
-   * @param Sample In the estimate's own unit.
-   * @param Weight From 0 to 1: how much the sample tells.
+   * Adds a sample. One sample changes the estimate by at most a factor of two, so that an outlier
+   * cannot move all traffic to or from an engine.
+   * @param Sample Value in the unit of the estimate.
+   * @param Weight Reliability of the sample, from 0 to 1.
    */
   void observe(double Sample, double Weight);
-  /// Replaces a prior that no sample has touched yet.
+  /// Replaces the prior if there is no sample yet.
   void adoptPrior(double Prior);
-  /// Forgets the samples and starts again from a prior.
+  /// Discards the samples and restarts from a prior.
   void restart(double Prior);
 
   [[nodiscard]] double value() const;
-  [[nodiscard]] double samples() const { return SampleWeight; } ///< Sum of the weights.
+  /// Returns the sum of the sample weights.
+  [[nodiscard]] double samples() const { return SampleWeight; }
 
 private:
-  double Least;
-  double Greatest;
+  double Minimum;
+  double Maximum;
   double LogValue;
   double SampleWeight{0};
 };
 
-/// Prefill rate and step time of one engine; neither is known when it announces itself.
+/// Learned prefill rate and decode step time of one engine. Its announcement contains neither.
 class cost_model {
 public:
   cost_model();
 
   /**
-   * An attempt's first token came.
-   * @param Tokens Prompt tokens that the engine had to process until then, of this attempt and of
-   * those believed to be ahead of it.
-   * @param Took From placement to the first token.
+   * Records the arrival of the first token of an attempt.
+   * @param Tokens Prompt tokens that the engine processed before, of this attempt and of the
+   * attempts estimated to be ahead of it.
+   * @param Elapsed Time from placement to the first token.
    */
-  void observePrefill(double Tokens, mono_duration Took);
-  /// Further token events of one attempt came. @param Took Since the last such report.
-  void observeSteps(std::uint64_t Events, mono_duration Took);
-  /// Takes the median rate of its peers as prior while it has no samples of its own.
+  void observePrefill(double Tokens, mono_duration Elapsed);
+  /// Records further token events of an attempt.
+  /// @param Elapsed Time since its previous event report.
+  void observeSteps(std::uint64_t Events, mono_duration Elapsed);
+  /// Uses the median rate of the peers as prior if the engine has no samples yet.
   void adoptPeerRate(double TokensPerSecond) { Rate.adoptPrior(TokensPerSecond); }
-  /// Forgets what was learnt; used when a server that was set aside comes back.
+  /// Discards the learned rate; for a server that is admitted again after an ejection.
   void restart(double TokensPerSecond) { Rate.restart(TokensPerSecond); }
 
-  [[nodiscard]] double prefillRate() const { return Rate.value(); }    ///< Tokens per second.
-  [[nodiscard]] double secondsPerStep() const { return Step.value(); } ///< Per token event.
+  /// Returns the prefill rate in tokens per second.
+  [[nodiscard]] double prefillRate() const { return Rate.value(); }
+  /// Returns the seconds per token event while decoding.
+  [[nodiscard]] double secondsPerStep() const { return Step.value(); }
   [[nodiscard]] double prefillSamples() const { return Rate.samples(); }
 
 private:
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -1,4 +1,4 @@
-/** @file scheduler.cpp Polls: the order of classes, placements, expiries and reviews. */
+/** @file scheduler.cpp Polls: class order, placements, expiries and periodic reviews. */
 #include "scheduling/scheduler_base.h"
 
 #include <algorithm>
@@ -9,12 +9,13 @@
 using namespace std::chrono_literals;
 
 constexpr mono_duration ReviewInterval = 250ms;
-/// Waiting requests looked at for one class in one round: enough to get past work that one full
-/// group holds up, little enough that a round's time does not grow with the queue.
-constexpr std::size_t TriedPerAccount = 4;
-constexpr std::size_t TriedPerClass = 64;
-/// A long prompt that has waited this part of its patience gets an engine held for it.
-constexpr double HoldAfter = 0.25;
+/// Maximum number of waiting requests of a class to try per round: enough to reach requests behind
+/// those that a full group blocks, and few enough that a round does not take longer as the queue
+/// grows.
+constexpr std::size_t TriesPerAccount = 4;
+constexpr std::size_t TriesPerClass = 64;
+/// An engine is reserved for a long prompt that has waited for this part of its reference wait.
+constexpr double ReserveEngineAfter = 0.25;
 
 double secondsBetween(mono_time From, mono_time To) {
   return std::chrono::duration<double>(To - From).count();
@@ -22,16 +23,16 @@
 
 } // namespace
 
-scheduler::scheduler(scheduler_settings Given)
-    : Settings(std::move(Given)),
+scheduler::scheduler(scheduler_settings InitialSettings)
+    : Settings(std::move(InitialSettings)),
       Random(combineHashes(Settings.Seed, stableHash(Settings.Host.str()))),
-      Affinity(Settings.Tuning.AffinityBound) {}
+      Affinity(Settings.Tuning.MaxPrefixHashes) {}
 
 void scheduler::applyDeclaration(const fleet_declaration &Declaration) {
-  Declared = true;
+  HasDeclaration = true;
   Policy = Declaration.Policy;
   Limits = Declaration.Limits;
-  Queue.setBound(Limits.MaxQueued);
+  Queue.setQueueLimit(Limits.MaxQueued);
   Queue.dropIdleAccounts();
   for (const account_declaration &Account : Declaration.Accounts)
     Queue.setAccount(Account.Name, Account.Share, Account.MaxQueued);
@@ -40,12 +41,12 @@
 }
 
 void scheduler::updateBackend(const backend_view &View, mono_time Now) {
-  const scheduled_backend *Before = Pool.find(View.Announcement.Key);
-  const bool NewReport = Before == nullptr || Before->View.Load.Sequence != View.Load.Sequence;
-  const bool NewServer = Before == nullptr || Before->View.Standing != View.Standing;
+  const scheduled_backend *Previous = Pool.find(View.Announcement.Key);
+  const bool NewReport = Previous == nullptr || Previous->View.Load.Sequence != View.Load.Sequence;
+  const bool NewServer = Previous == nullptr || Previous->View.Standing != View.Standing;
   scheduled_backend &Record = Pool.update(View, Now);
   if (NewReport && View.Load.Sequence > 0)
-    reportToLedgers(Record);
+    updateTrackers(Record);
   if (NewServer)
     NextReview = mono_time();
   if (!Queue.empty())
@@ -53,13 +54,13 @@
 }
 
 void scheduler::removeBackend(const backend_key &Backend, mono_time Now) {
-  for (auto Entry = Tickets.begin(); Entry != Tickets.end();) {
+  for (auto Entry = OpenPlacements.begin(); Entry != OpenPlacements.end();) {
     const auto Current = Entry++;
     if (Current->second.Backend == Backend)
-      closeTicket(Current);
+      closePlacement(Current);
   }
   Pool.remove(Backend);
-  Affinity.forget(Backend);
+  Affinity.eraseBackend(Backend);
   NextReview = mono_time();
   NextWake = Now;
 }
@@ -68,34 +69,35 @@
   Queue.withdraw(Request);
   const auto Found = Unstarted.find(Request);
   if (Found != Unstarted.end())
-    closeTicket(Tickets.find(Found->second));
+    closePlacement(OpenPlacements.find(Found->second));
 }
 
 poll_outcome scheduler::poll(mono_time Now) {
   poll_outcome Outcome;
-  dropUnstarted(Now);
+  expireUnstarted(Now);
   reviewServers(Now);
   expireLate(Now, Outcome);
-  Failed.clear();
-  Yielding.clear();
-  HoldWanted = false;
-  while (placeOne(Now, Outcome)) {
+  Unplaceable.clear();
+  OverShareAccounts.clear();
+  ReservationRequested = false;
+  while (placeNext(Now, Outcome)) {
   }
-  if (!HoldWanted)
-    HeldForLong.reset();
+  if (!ReservationRequested)
+    ReservedForLong.reset();
   NextWake.reset();
   if (!Queue.empty())
     NextWake = Now + Settings.Tuning.PollInterval;
   return Outcome;
 }
 
-void scheduler::dropUnstarted(mono_time Now) {
-  // A placement whose request was given up without a word would keep its memory for good. Past the
-  // deadline no attempt is started any more, and none was: the engine holds nothing of it.
+void scheduler::expireUnstarted(mono_time Now) {
+  // If a request is abandoned without withdraw(), its placement would keep its memory reserved
+  // forever. After the deadline no attempt is started any more, and as none was started before, the
+  // engine holds no memory for it.
   for (auto Entry = Unstarted.begin(); Entry != Unstarted.end();) {
-    const auto Ticket = Tickets.find((Entry++)->second);
-    if (Ticket->second.Deadline < Now)
-      closeTicket(Ticket);
+    const auto Placement = OpenPlacements.find((Entry++)->second);
+    if (Placement->second.Deadline < Now)
+      closePlacement(Placement);
   }
 }
 
@@ -103,31 +105,32 @@
   if (Now < NextReview)
     return;
   NextReview = Now + ReviewInterval;
-  blameStalled(Now);
-  Concurrency.adjust(LastFull != mono_time() && Now - LastFull < 2 * ReviewInterval);
-  Pool.review(Limits.EjectPercent, Now);
-  Pool.chooseLongEngines(Policy.LongEngineShare, Arrivals.longShare(Now));
+  recordStalledAttempts(Now);
+  Concurrency.adjust(LastLimitReached != mono_time() &&
+                     Now - LastLimitReached < 2 * ReviewInterval);
+  Pool.updateEjections(Limits.EjectPercent, Now);
+  Pool.selectLongEngines(Policy.LongEngineShare, ArrivedCosts.longShare(Now));
 }
 
 void scheduler::expireLate(mono_time Now, poll_outcome &Outcome) {
-  for (const waiting_work &Work : Queue.takeLate(Now)) {
+  for (const waiting_work &Work : Queue.removeExpired(Now)) {
     const work_refusal Refusal{failure_reason::DeadlineUnmeetable, retryAfter(Work, Now)};
     Outcome.Expiries.push_back({Work.Item.Request, Refusal});
   }
 }
 
-std::array<length_class, LengthClasses> scheduler::classOrder(mono_time Now) const {
-  std::array<length_class, LengthClasses> Order{length_class::Short, length_class::Medium,
-                                                length_class::Long};
-  std::array<double, LengthClasses> Urgency{};
+std::array<length_class, LengthClassCount> scheduler::classOrder(mono_time Now) const {
+  std::array<length_class, LengthClassCount> Order{length_class::Short, length_class::Medium,
+                                                   length_class::Long};
+  std::array<double, LengthClassCount> Urgency{};
   for (const length_class Class : Order) {
     const auto Index = static_cast<std::size_t>(Class);
-    const std::optional<mono_time> Oldest = Queue.oldest(Class);
-    double Patience = Settings.Tuning.Patience[Index];
+    const std::optional<mono_time> Oldest = Queue.oldestArrival(Class);
+    double ReferenceWait = Settings.Tuning.ReferenceWait[Index];
     if (Class == length_class::Long)
-      Patience *= Policy.ShortWeight / std::max(0.01, Policy.LongWeight);
+      ReferenceWait *= Policy.ShortWeight / std::max(0.01, Policy.LongWeight);
     if (Oldest)
-      Urgency[Index] = secondsBetween(*Oldest, Now) / Patience;
+      Urgency[Index] = secondsBetween(*Oldest, Now) / ReferenceWait;
   }
   std::stable_sort(Order.begin(), Order.end(), [&Urgency](length_class A, length_class B) {
     return Urgency[static_cast<std::size_t>(A)] > Urgency[static_cast<std::size_t>(B)];
@@ -135,37 +138,39 @@
   return Order;
 }
 
-bool scheduler::placeOne(mono_time Now, poll_outcome &Outcome) {
+bool scheduler::placeNext(mono_time Now, poll_outcome &Outcome) {
   for (const length_class Class : classOrder(Now))
-    if (placeOneOf(Class, Now, Outcome))
+    if (placeNextOf(Class, Now, Outcome))
       return true;
   return false;
 }
 
-bool scheduler::placeOneOf(length_class Class, mono_time Now, poll_outcome &Outcome) {
-  for (const waiting_work *Work : Queue.candidates(Class, TriedPerAccount, TriedPerClass)) {
-    const bool Yields = yields(*Work, Now);
-    const failed_key Kind{Work->Item.Service, Work->Item.Model, Work->Group, Class, Yields};
-    const auto Before = Failed.find(Kind);
-    if (Before != Failed.end() && Before->second <= Work->Item.Prompt)
+bool scheduler::placeNextOf(length_class Class, mono_time Now, poll_outcome &Outcome) {
+  for (const waiting_work *Work : Queue.candidates(Class, TriesPerAccount, TriesPerClass)) {
+    const bool Deprioritized = isDeprioritized(*Work, Now);
+    const work_kind Kind{Work->Item.Service, Work->Item.Model, Work->Group, Class, Deprioritized};
+    const auto Previous = Unplaceable.find(Kind);
+    if (Previous != Unplaceable.end() && Previous->second <= Work->Item.Prompt)
       continue;
-    const std::optional<choice> Choice = choose(*Work, Now);
+    const std::optional<server_choice> Choice = choose(*Work, Now);
     if (!Choice) {
       if (Work->Item.Avoid.empty())
-        Failed[Kind] = Work->Item.Prompt;
+        Unplaceable[Kind] = Work->Item.Prompt;
       const double Waited = secondsBetween(Work->Item.Arrived, Now);
       if (Class == length_class::Long &&
-          Waited > HoldAfter * Settings.Tuning.Patience[static_cast<std::size_t>(Class)])
-        holdEngineFor(*Work, Now);
+          Waited >
+              ReserveEngineAfter * Settings.Tuning.ReferenceWait[static_cast<std::size_t>(Class)])
+        reserveEngineFor(*Work, Now);
       continue;
     }
     const std::uint32_t Priority = priorityOf(*Work, Now);
-    const std::optional<waiting_work> Taken = Queue.place(Work->Item.Request, Now);
-    const ticket_number Number = openTicket(*Taken, *Choice, Now);
-    Unstarted[Taken->Item.Request] = Number;
-    Placed.add(Class, Taken->Cost, Now);
-    const mono_duration Expected = Tickets.at(Number).Expected;
-    Outcome.Placements.push_back({Taken->Item.Request, Choice->Record->key(), Priority, Expected});
+    const std::optional<waiting_work> PlacedWork = Queue.place(Work->Item.Request, Now);
+    const placement_id PlacementId = openPlacement(*PlacedWork, *Choice, Now);
+    Unstarted[PlacedWork->Item.Request] = PlacementId;
+    PlacedCosts.add(Class, PlacedWork->Cost, Now);
+    const mono_duration Expected = OpenPlacements.at(PlacementId).Expected;
+    Outcome.Placements.push_back(
+        {PlacedWork->Item.Request, Choice->Record->key(), Priority, Expected});
     return true;
   }
   return false;
--- a/src/scheduling/scheduler_attempt.cpp
+++ b/src/scheduling/scheduler_attempt.cpp
@@ -1,4 +1,5 @@
-/** @file scheduler_attempt.cpp Follows attempts, keeps the ledgers and learns from how they go. */
+/** @file scheduler_attempt.cpp Handles attempt events, updates the trackers and learns from them.
+ */
 #include "scheduling/scheduler_base.h"
 
 #include <algorithm>
@@ -9,14 +10,15 @@
 using namespace std::chrono_literals;
 
 constexpr double AnswerShareGain = 0.02;
-/// An attempt is stalled after this many times its expected time to the first token, and more.
+/// An attempt is stalled after StallFactor times its expected time to the first token, plus
+/// StallMargin.
 constexpr int StallFactor = 4;
 constexpr mono_duration StallMargin = 3s;
-/// Own attempts begun within this time before a report arrived are taken as not counted in it.
+/// A report is assumed not to include own attempts placed less than this before it arrived.
 constexpr mono_duration ReportLag = 200ms;
 
-bool blamesServer(attempt_failure Failure) {
-  // A server that declines is full, not broken; it says so itself and its memory ledger shows it.
+bool isServerFault(attempt_failure Failure) {
+  // A server that declines is full and not faulty; its memory tracker shows that too.
   return Failure != attempt_failure::Declined && Failure != attempt_failure::NotWanted;
 }
 
@@ -28,185 +30,191 @@
 
 } // namespace
 
-ticket_number scheduler::openTicket(const waiting_work &Work, const choice &Choice, mono_time Now) {
-  const ticket_number Number = NextTicket++;
+placement_id scheduler::openPlacement(const waiting_work &Work, const server_choice &Choice,
+                                      mono_time Now) {
+  const placement_id PlacementId = NextPlacementId++;
   scheduled_backend &Record = *Choice.Record;
-  open_ticket Ticket;
-  Ticket.Backend = Record.key();
-  Ticket.Request = Work.Item.Request;
-  Ticket.Account = Work.Item.Account;
-  Ticket.Class = Work.Class;
-  Ticket.Prompt = Work.Item.Prompt;
-  Ticket.AnswerLimit = Work.Item.AnswerLimit;
-  Ticket.Uncached = Choice.Estimate.Uncached;
-  Ticket.CachedShare = Choice.Estimate.CachedShare;
-  Ticket.Ahead = Choice.Estimate.Ahead;
-  Ticket.Cost = Work.Cost;
-  Ticket.Expected = std::chrono::duration_cast<mono_duration>(
+  open_placement Placement;
+  Placement.Backend = Record.key();
+  Placement.Request = Work.Item.Request;
+  Placement.Account = Work.Item.Account;
+  Placement.Class = Work.Class;
+  Placement.Prompt = Work.Item.Prompt;
+  Placement.AnswerLimit = Work.Item.AnswerLimit;
+  Placement.Uncached = Choice.Estimate.Uncached;
+  Placement.CachedShare = Choice.Estimate.CachedShare;
+  Placement.TokensAhead = Choice.Estimate.TokensAhead;
+  Placement.Cost = Work.Cost;
+  Placement.Expected = std::chrono::duration_cast<mono_duration>(
       std::chrono::duration<double>(Choice.Estimate.FirstToken));
-  Ticket.Placed = Now;
-  Ticket.LastProgress = Now;
-  Ticket.Deadline = Work.Item.Deadline;
+  Placement.Placed = Now;
+  Placement.LastProgress = Now;
+  Placement.Deadline = Work.Item.Deadline;
   if (!Work.Item.Model.empty()) {
-    Record.Memory.reserve(Number, Record.need(Work.Item));
-    Record.Prefill.add(Number, Work.Class, Ticket.Uncached, Choice.Estimate.Yields, Now);
+    Record.Memory.reserve(PlacementId, Record.blocksNeeded(Work.Item));
+    Record.Prefill.add(PlacementId, Work.Class, Placement.Uncached, Choice.Estimate.Deprioritized,
+                       Now);
     Affinity.record(Work.Item.PrefixHashes, Record.key());
   }
   ++Record.Outstanding;
-  Tickets.emplace(Number, std::move(Ticket));
-  return Number;
+  OpenPlacements.emplace(PlacementId, std::move(Placement));
+  return PlacementId;
 }
 
-void scheduler::closeTicket(std::map<ticket_number, open_ticket>::iterator Found) {
-  const ticket_number Number = Found->first;
-  const open_ticket &Ticket = Found->second;
-  if (scheduled_backend *Record = Pool.find(Ticket.Backend)) {
-    Record->Memory.release(Number);
-    Record->Prefill.remove(Number);
-    requireInvariant(Record->Outstanding > 0, "a server counts each of its attempts");
+void scheduler::closePlacement(std::map<placement_id, open_placement>::iterator Found) {
+  const placement_id PlacementId = Found->first;
+  const open_placement &Placement = Found->second;
+  if (scheduled_backend *Record = Pool.find(Placement.Backend)) {
+    Record->Memory.release(PlacementId);
+    Record->Prefill.remove(PlacementId);
+    requireInvariant(Record->Outstanding > 0,
+                     "the outstanding count of a server covers its attempts");
     --Record->Outstanding;
     Record->OwnInReport = std::min(Record->OwnInReport, Record->Outstanding);
   }
-  if (Ticket.Attempt)
-    ByAttempt.erase(*Ticket.Attempt);
-  const auto Waiting = Unstarted.find(Ticket.Request);
-  if (Waiting != Unstarted.end() && Waiting->second == Number)
-    Unstarted.erase(Waiting);
-  Tickets.erase(Found);
+  if (Placement.Attempt)
+    ByAttempt.erase(*Placement.Attempt);
+  const auto FoundUnstarted = Unstarted.find(Placement.Request);
+  if (FoundUnstarted != Unstarted.end() && FoundUnstarted->second == PlacementId)
+    Unstarted.erase(FoundUnstarted);
+  OpenPlacements.erase(Found);
 }
 
-void scheduler::reportToLedgers(scheduled_backend &Record) {
+void scheduler::updateTrackers(scheduled_backend &Record) {
   const backend_load &Load = Record.View.Load;
-  const mono_time Seen = Record.View.LoadSeen;
+  const mono_time ReportReceivedAt = Record.View.LoadSeen;
   Record.OwnInReport = 0;
-  for (const auto &[Number, Ticket] : Tickets) {
-    if (Ticket.Backend != Record.key() || Ticket.Placed + ReportLag > Seen)
+  for (const auto &[PlacementId, Placement] : OpenPlacements) {
+    if (Placement.Backend != Record.key() || Placement.Placed + ReportLag > ReportReceivedAt)
       continue;
     ++Record.OwnInReport;
-    // Held blocks and pending prefill together cover a whole prompt from the moment it is there.
-    Record.Memory.setHeld(Number, blocksFor(static_cast<double>(Ticket.Prompt.value()), Record));
+    // As soon as an engine has a prompt, its used blocks and pending prefill together cover it.
+    Record.Memory.setHeldBlocks(PlacementId,
+                                blocksFor(static_cast<double>(Placement.Prompt.value()), Record));
   }
-  const auto Waiting = static_cast<double>(Load.WaitingPrefill.value());
-  Record.Prefill.report(Waiting, Seen);
-  Record.Memory.report(Load.UsedBlocks, blocksFor(Waiting, Record));
+  const auto WaitingTokens = static_cast<double>(Load.WaitingPrefill.value());
+  Record.Prefill.applyReport(WaitingTokens, ReportReceivedAt);
+  Record.Memory.applyReport(Load.UsedBlocks, blocksFor(WaitingTokens, Record));
 }
 
 void scheduler::attemptStarted(const attempt_id &Attempt, const work_item &Item,
                                const backend_key &Backend, mono_time Now) {
-  const auto Placement = Unstarted.find(Item.Request);
-  if (Placement != Unstarted.end()) {
-    const ticket_number Number = Placement->second;
-    open_ticket &Ticket = Tickets.at(Number);
-    if (Ticket.Backend == Backend) {
-      Ticket.Attempt = Attempt;
-      ByAttempt[Attempt] = Number;
-      Unstarted.erase(Placement);
+  const auto UnstartedEntry = Unstarted.find(Item.Request);
+  if (UnstartedEntry != Unstarted.end()) {
+    const placement_id PlacementId = UnstartedEntry->second;
+    open_placement &Placement = OpenPlacements.at(PlacementId);
+    if (Placement.Backend == Backend) {
+      Placement.Attempt = Attempt;
+      ByAttempt[Attempt] = PlacementId;
+      Unstarted.erase(UnstartedEntry);
       return;
     }
-    closeTicket(Tickets.find(Number));
+    closePlacement(OpenPlacements.find(PlacementId));
   }
   scheduled_backend *Record = Pool.find(Backend);
   if (Record == nullptr || ByAttempt.contains(Attempt))
     return;
   const waiting_work Work{Item, classOf(Item), group_name(), costOf(Item), Item.Deadline};
   const std::optional<cached_prefix> Cached = Affinity.find(Item.PrefixHashes);
-  const ticket_number Number =
-      openTicket(Work, {Record, estimate(*Record, Work, Cached, false, Now)}, Now);
-  Tickets.at(Number).Attempt = Attempt;
-  ByAttempt[Attempt] = Number;
+  const placement_id PlacementId =
+      openPlacement(Work, {Record, estimate(*Record, Work, Cached, false, Now)}, Now);
+  OpenPlacements.at(PlacementId).Attempt = Attempt;
+  ByAttempt[Attempt] = PlacementId;
 }
 
 void scheduler::attemptAnswering(const attempt_id &Attempt, mono_time Now) {
   const auto Found = ByAttempt.find(Attempt);
   if (Found == ByAttempt.end())
     return;
-  open_ticket &Ticket = Tickets.at(Found->second);
-  scheduled_backend *Record = Pool.find(Ticket.Backend);
-  if (Ticket.Answered || Record == nullptr)
+  open_placement &Placement = OpenPlacements.at(Found->second);
+  scheduled_backend *Record = Pool.find(Placement.Backend);
+  if (Placement.Answered || Record == nullptr)
     return;
-  Ticket.Answered = true;
-  Ticket.LastProgress = Now;
+  Placement.Answered = true;
+  Placement.LastProgress = Now;
   Record->LastProgress = Now;
   Record->Prefill.remove(Found->second);
-  if (Ticket.Uncached > 0)
-    Record->Costs.observePrefill(Ticket.Uncached + Ticket.Ahead, Now - Ticket.Placed);
+  if (Placement.Uncached > 0)
+    Record->Costs.observePrefill(Placement.Uncached + Placement.TokensAhead,
+                                 Now - Placement.Placed);
 }
 
-void scheduler::attemptAdvanced(const attempt_id &Attempt, std::uint64_t Events, mono_time Now) {
+void scheduler::attemptProgressed(const attempt_id &Attempt, std::uint64_t Events, mono_time Now) {
   const auto Found = ByAttempt.find(Attempt);
   if (Found == ByAttempt.end())
     return;
-  open_ticket &Ticket = Tickets.at(Found->second);
-  scheduled_backend *Record = Pool.find(Ticket.Backend);
+  open_placement &Placement = OpenPlacements.at(Found->second);
+  scheduled_backend *Record = Pool.find(Placement.Backend);
   if (Record == nullptr)
     return;
-  if (Ticket.Answered && Events > 0) {
-    const mono_duration Took = Now - Ticket.LastProgress;
-    Record->Costs.observeSteps(Events, Took);
-    // Beside a long prompt the pace is a chunk a token whatever else runs there.
-    if (Record->Prefill.longs(Now, Record->Costs.prefillRate()) == 0)
-      Concurrency.observe(std::chrono::duration<double>(Took).count() /
-                          static_cast<double>(Events));
+  if (Placement.Answered && Events > 0) {
+    const mono_duration Elapsed = Now - Placement.LastProgress;
+    Record->Costs.observeSteps(Events, Elapsed);
+    // During the prefill of a long prompt the pace is one token per chunk, regardless of the number
+    // of requests.
+    if (Record->Prefill.longPromptCount(Now, Record->Costs.prefillRate()) == 0)
+      Concurrency.observePace(std::chrono::duration<double>(Elapsed).count() /
+                              static_cast<double>(Events));
   }
-  Ticket.LastProgress = Now;
+  Placement.LastProgress = Now;
   Record->LastProgress = Now;
 }
 
-void scheduler::learnFromEnd(const open_ticket &Ticket, const attempt_report &End) {
+void scheduler::learnFromReport(const open_placement &Placement, const attempt_report &End) {
   if (!End.Completed)
     return;
-  const auto Prompt = static_cast<double>(Ticket.Prompt.value());
-  if (End.AnswerTokens && Ticket.AnswerLimit.value() > 0) {
-    const auto Limit = static_cast<double>(Ticket.AnswerLimit.value());
-    const double Share =
+  const auto Prompt = static_cast<double>(Placement.Prompt.value());
+  if (End.AnswerTokens && Placement.AnswerLimit.value() > 0) {
+    const auto Limit = static_cast<double>(Placement.AnswerLimit.value());
+    const double UsedShare =
         std::clamp(static_cast<double>(End.AnswerTokens->value()) / Limit, 0.0, 1.0);
-    AnswerShare += AnswerShareGain * (Share - AnswerShare);
+    AnswerShare += AnswerShareGain * (UsedShare - AnswerShare);
   }
   if (!End.CachedTokens || Prompt <= 0)
     return;
   const double FoundShare = static_cast<double>(End.CachedTokens->value()) / Prompt;
-  Affinity.learn(Ticket.CachedShare, FoundShare);
-  Queue.correct(Ticket.Account, -FoundShare * Prompt / Pool.typicalRate());
+  Affinity.observeHit(Placement.CachedShare, FoundShare);
+  Queue.adjustCharge(Placement.Account, -FoundShare * Prompt / Pool.typicalRate());
 }
 
 void scheduler::attemptEnded(const attempt_id &Attempt, const attempt_report &End, mono_time Now) {
   const auto Found = ByAttempt.find(Attempt);
   if (Found == ByAttempt.end())
     return;
-  const auto Entry = Tickets.find(Found->second);
-  open_ticket &Ticket = Entry->second;
-  if (End.Completed && !Ticket.Blamed)
-    Pool.ejections().observe(Ticket.Backend, false, Now);
-  else if (End.Failure && blamesServer(*End.Failure))
-    blame(Ticket, Now);
-  learnFromEnd(Ticket, End);
-  closeTicket(Entry);
+  const auto Entry = OpenPlacements.find(Found->second);
+  open_placement &Placement = Entry->second;
+  if (End.Completed && !Placement.FailureRecorded)
+    Pool.outlierDetector().observe(Placement.Backend, false, Now);
+  else if (End.Failure && isServerFault(*End.Failure))
+    recordServerFailure(Placement, Now);
+  learnFromReport(Placement, End);
+  closePlacement(Entry);
   NextWake = Now;
 }
 
-void scheduler::attemptBroken(const attempt_id &Attempt, attempt_failure Failure, mono_time Now) {
+void scheduler::attemptFailed(const attempt_id &Attempt, attempt_failure Failure, mono_time Now) {
   const auto Found = ByAttempt.find(Attempt);
-  if (Found != ByAttempt.end() && blamesServer(Failure))
-    blame(Tickets.at(Found->second), Now);
+  if (Found != ByAttempt.end() && isServerFault(Failure))
+    recordServerFailure(OpenPlacements.at(Found->second), Now);
 }
 
-void scheduler::blame(open_ticket &Ticket, mono_time Now) {
-  if (Ticket.Blamed)
+void scheduler::recordServerFailure(open_placement &Placement, mono_time Now) {
+  if (Placement.FailureRecorded)
     return;
-  Ticket.Blamed = true;
-  Pool.ejections().observe(Ticket.Backend, true, Now);
+  Placement.FailureRecorded = true;
+  Pool.outlierDetector().observe(Placement.Backend, true, Now);
 }
 
-void scheduler::blameStalled(mono_time Now) {
-  // An engine that hangs ends no attempt, so it would never show a failure: the callers' time
-  // would run out one by one while it still looks the least loaded.
-  for (auto &[Number, Ticket] : Tickets) {
-    const scheduled_backend *Record = Pool.find(Ticket.Backend);
-    if (Ticket.Answered || !Ticket.Attempt || Record == nullptr)
+void scheduler::recordStalledAttempts(mono_time Now) {
+  // A hanging engine ends no attempt and so reports no failure. It would keep looking like the
+  // least loaded one while its callers' requests time out one by one.
+  for (auto &[PlacementId, Placement] : OpenPlacements) {
+    const scheduled_backend *Record = Pool.find(Placement.Backend);
+    if (Placement.Answered || !Placement.Attempt || Record == nullptr)
       continue;
-    const bool Overdue = Now - Ticket.Placed > Ticket.Expected * StallFactor + StallMargin;
+    const bool Overdue = Now - Placement.Placed > Placement.Expected * StallFactor + StallMargin;
     if (Overdue && Now - Record->LastProgress > StallMargin)
-      blame(Ticket, Now);
+      recordServerFailure(Placement, Now);
   }
 }
 
--- a/src/scheduling/scheduler_choice.cpp
+++ b/src/scheduling/scheduler_choice.cpp
@@ -1,4 +1,4 @@
-/** @file scheduler_choice.cpp Chooses the backend server for one waiting request. */
+/** @file scheduler_choice.cpp Chooses the backend server for a waiting request. */
 #include "scheduling/scheduler_base.h"
 
 #include <algorithm>
@@ -7,75 +7,77 @@
 namespace pollenstall {
 namespace {
 
-/// Priorities passed to engines; lower runs first.
-constexpr std::array<std::uint32_t, LengthClasses> BasePriority{100, 200, 300};
-/// For work that has waited half its time or more: before what is longer than short.
+/// Priorities passed to engines, by length class; a lower value runs first.
+constexpr std::array<std::uint32_t, LengthClassCount> BasePriority{100, 200, 300};
+/// Maximum priority value of work that has waited at least half of its allowed time: it runs before
+/// medium and long work.
 constexpr std::uint32_t AgedPriority = 150;
-/// Added for work of an account that is over its share while others wait.
-constexpr std::uint32_t YieldPriority = 300;
-/// What a plain call counts for another one that runs on the same server.
+/// Added to the priority value of work of an account that exceeds its share on a full fleet.
+constexpr std::uint32_t DeprioritizedOffset = 300;
+/// Cost in seconds that each plain call on a server adds for further calls there.
 constexpr double PlainCallSeconds = 0.01;
-/// A call in the same failure domain weighs little against one on the same server.
+/// Weight of a call in the same failure domain relative to a call on the same server.
 constexpr double DomainShare = 0.05;
 
 std::size_t indexOf(length_class Class) { return static_cast<std::size_t>(Class); }
 
 } // namespace
 
-std::vector<scheduled_backend *> scheduler::usable(const waiting_work &Work) {
+std::vector<scheduled_backend *> scheduler::eligibleServers(const waiting_work &Work) {
   const work_item &Item = Work.Item;
-  std::vector<scheduled_backend *> Fresh;
-  std::vector<scheduled_backend *> Tried;
-  const auto Gather = [&](const group_name &Group) {
+  std::vector<scheduled_backend *> Untried;
+  std::vector<scheduled_backend *> PreviouslyTried;
+  const auto AddGroup = [&](const group_name &Group) {
     for (scheduled_backend *Record : Pool.members(Item.Service, Group)) {
       if (!Record->active() || !Record->serves(Item))
         continue;
-      const bool Avoided =
+      const bool IsAvoided =
           std::find(Item.Avoid.begin(), Item.Avoid.end(), Record->key()) != Item.Avoid.end();
-      (Avoided ? Tried : Fresh).push_back(Record);
+      (IsAvoided ? PreviouslyTried : Untried).push_back(Record);
     }
   };
-  Gather(Work.Group);
-  if (Fresh.empty())
+  AddGroup(Work.Group);
+  if (Untried.empty())
     for (const candidate_group &Candidate : Item.Groups)
       if (Candidate.Group != Work.Group)
-        Gather(Candidate.Group);
-  return Fresh.empty() ? Tried : Fresh;
+        AddGroup(Candidate.Group);
+  return Untried.empty() ? PreviouslyTried : Untried;
 }
 
-bool scheduler::yields(const waiting_work &Work, mono_time Now) {
-  // The queue's order alone does not keep a large account back: the others have little waiting at
-  // one entry, so it gets every place that is free at a moment when none of theirs waits, and they
-  // find the engines full of work that runs for half a minute.
-  if (LastFull == mono_time() || Now - LastFull >= Settings.Tuning.FullFor)
+bool scheduler::isDeprioritized(const waiting_work &Work, mono_time Now) {
+  // The order of the queue alone does not limit a large account. Other accounts have few requests
+  // waiting at one entry, so the large account gets each slot that becomes free while none of
+  // theirs waits. Their next requests then find the engines full of work that runs for half a
+  // minute.
+  if (LastLimitReached == mono_time() || Now - LastLimitReached >= Settings.Tuning.FullDuration)
     return false;
   const client_account_name &Account = Work.Item.Account;
-  const auto Known = Yielding.find(Account);
-  if (Known != Yielding.end())
-    return Known->second;
-  const bool Over = Queue.usageAgainstShare(Account, Now) > Settings.Tuning.UsageOverShare;
-  Yielding.emplace(Account, Over);
-  return Over;
+  const auto CachedResult = OverShareAccounts.find(Account);
+  if (CachedResult != OverShareAccounts.end())
+    return CachedResult->second;
+  const bool IsOverShare = Queue.relativeUsage(Account, Now) > Settings.Tuning.MaxRelativeUsage;
+  OverShareAccounts.emplace(Account, IsOverShare);
+  return IsOverShare;
 }
 
-bool scheduler::mayPlace(const scheduled_backend &Record, const waiting_work &Work) const {
-  if (!Pool.ejections().admits(Record.key(), Record.Outstanding))
+bool scheduler::canAccept(const scheduled_backend &Record, const waiting_work &Work) const {
+  if (!Pool.outlierDetector().admits(Record.key(), Record.Outstanding))
     return false;
   if (Work.Item.Model.empty())
     return true;
-  if (!Record.Memory.fits(Record.need(Work.Item)))
+  if (!Record.Memory.fits(Record.blocksNeeded(Work.Item)))
     return false;
-  return Work.Class == length_class::Long || HeldForLong != Record.key();
+  return Work.Class == length_class::Long || ReservedForLong != Record.key();
 }
 
 scheduler::engine_estimate scheduler::estimate(const scheduled_backend &Record,
                                                const waiting_work &Work,
                                                const std::optional<cached_prefix> &Cached,
-                                               bool Yields, mono_time Now) const {
+                                               bool Deprioritized, mono_time Now) const {
   engine_estimate Result;
-  Result.Yields = Yields;
+  Result.Deprioritized = Deprioritized;
   if (Work.Item.Model.empty()) {
-    Result.FirstToken = PlainCallSeconds * (1.0 + Record.requests());
+    Result.FirstToken = PlainCallSeconds * (1.0 + Record.requestCount());
     Result.Cost = Result.FirstToken;
     return Result;
   }
@@ -85,133 +87,138 @@
   if (Cached && Cached->Backend == Record.key())
     Result.CachedShare = Cached->Share;
   Result.Uncached = Prompt * (1.0 - Result.CachedShare);
-  const double Pending = Record.Prefill.pending(Now, Rate);
-  const bool Passes = Priorities && !Result.Yields;
-  Result.Ahead = Record.Prefill.ahead(Work.Class, Passes, Now, Rate);
-  const double Passed = std::max(0.0, Pending - Result.Ahead);
-  Result.Ahead += std::min(Passed, Settings.Tuning.ChunkTokens);
-  Result.FirstToken = Record.Costs.secondsPerStep() + (Result.Ahead + Result.Uncached) / Rate;
-  // Work that is passed waits longer by this prompt's own time.
+  const double Pending = Record.Prefill.pendingTokens(Now, Rate);
+  const bool MayOvertake = Priorities && !Result.Deprioritized;
+  Result.TokensAhead = Record.Prefill.tokensAhead(Work.Class, MayOvertake, Now, Rate);
+  const double OvertakenTokens = std::max(0.0, Pending - Result.TokensAhead);
+  Result.TokensAhead += std::min(OvertakenTokens, Settings.Tuning.ChunkTokens);
+  Result.FirstToken = Record.Costs.secondsPerStep() + (Result.TokensAhead + Result.Uncached) / Rate;
+  // Work that this request overtakes is delayed by the prefill time of its prompt.
   const double LongWeight = Policy.LongWeight / std::max(0.01, Policy.ShortWeight);
-  const double Delayed =
-      Passed > 0 && Work.Class != length_class::Long ? Result.Uncached / Rate : 0;
-  // While an engine has prefill to do, each token of an answer takes as long as a whole chunk.
-  const double Chunked = expectedAnswer(Work.Item) * Settings.Tuning.ChunkTokens / Rate;
-  const double Slower = std::min(Pending / Rate, Chunked);
-  Result.Cost = Result.FirstToken + LongWeight * Delayed + Settings.Tuning.AnswerWeight * Slower;
+  const double DelaySeconds =
+      OvertakenTokens > 0 && Work.Class != length_class::Long ? Result.Uncached / Rate : 0;
+  // While an engine has pending prefill, each token of an answer takes as long as a whole chunk.
+  const double ChunkedSeconds = expectedAnswer(Work.Item) * Settings.Tuning.ChunkTokens / Rate;
+  const double SlowdownSeconds = std::min(Pending / Rate, ChunkedSeconds);
+  Result.Cost = Result.FirstToken + LongWeight * DelaySeconds +
+                Settings.Tuning.AnswerWeight * SlowdownSeconds;
   return Result;
 }
 
-bool scheduler::hasSlot(const scheduled_backend &Record, const waiting_work &Work,
-                        const engine_estimate &Estimate, mono_time Now) const {
+bool scheduler::isWithinPrefillLimit(const scheduled_backend &Record, const waiting_work &Work,
+                                     const engine_estimate &Estimate, mono_time Now) const {
   if (Work.Item.Model.empty())
     return true;
   const double Rate = Record.Costs.prefillRate();
   if (Work.Class == length_class::Long) {
-    const double Part = Estimate.Yields ? Settings.Tuning.YieldPart : 1.0;
-    if (!Pool.takesLong(Work.Group, Record.key(), Part))
+    const double Part = Estimate.Deprioritized ? Settings.Tuning.DeprioritizedPart : 1.0;
+    if (!Pool.acceptsLongWork(Work.Group, Record.key(), Part))
       return false;
-    if (Record.Prefill.longs(Now, Rate) >= std::max(1U, Policy.MaxLongPerEngine))
+    if (Record.Prefill.longPromptCount(Now, Rate) >= std::max(1U, Policy.MaxLongPerEngine))
       return false;
   }
-  return Estimate.Ahead / Rate <= Settings.Tuning.SlotSeconds[indexOf(Work.Class)];
+  return Estimate.TokensAhead / Rate <= Settings.Tuning.MaxSecondsAhead[indexOf(Work.Class)];
 }
 
-bool scheduler::hasRoom(const scheduled_backend &Record, length_class Class, bool Yields) const {
-  const double Speed = Record.Costs.prefillRate() / Pool.typicalRate();
-  const double Most = Settings.Tuning.ClassPart[indexOf(Class)];
-  const double Part = Yields ? std::min(Most, Settings.Tuning.YieldPart) : Most;
-  return Record.requests() < std::max(1.0, Concurrency.value() * Speed * Part);
+bool scheduler::isWithinConcurrencyLimit(const scheduled_backend &Record, length_class Class,
+                                         bool Deprioritized) const {
+  const double RelativeSpeed = Record.Costs.prefillRate() / Pool.typicalRate();
+  const double ClassShare = Settings.Tuning.ClassPart[indexOf(Class)];
+  const double Part =
+      Deprioritized ? std::min(ClassShare, Settings.Tuning.DeprioritizedPart) : ClassShare;
+  return Record.requestCount() < std::max(1.0, Concurrency.value() * RelativeSpeed * Part);
 }
 
-std::optional<scheduler::choice> scheduler::choose(const waiting_work &Work, mono_time Now) {
+std::optional<scheduler::server_choice> scheduler::choose(const waiting_work &Work, mono_time Now) {
   const bool IsPlain = Work.Item.Model.empty();
-  const bool Yields = yields(Work, Now);
-  std::vector<scheduled_backend *> Open = usable(Work);
-  std::erase_if(Open, [&](const scheduled_backend *Record) { return !mayPlace(*Record, Work); });
-  if (Open.empty())
+  const bool Deprioritized = isDeprioritized(Work, Now);
+  std::vector<scheduled_backend *> Servers = eligibleServers(Work);
+  std::erase_if(Servers,
+                [&](const scheduled_backend *Record) { return !canAccept(*Record, Work); });
+  if (Servers.empty())
     return std::nullopt;
   if (!IsPlain) {
-    std::erase_if(Open, [&](const scheduled_backend *Record) {
-      return !hasRoom(*Record, Work.Class, Yields);
+    std::erase_if(Servers, [&](const scheduled_backend *Record) {
+      return !isWithinConcurrencyLimit(*Record, Work.Class, Deprioritized);
     });
-    if (Open.empty()) {
-      LastFull = Now;
+    if (Servers.empty()) {
+      LastLimitReached = Now;
       return std::nullopt;
     }
   }
-  std::vector<choice> Choices;
+  std::vector<server_choice> Choices;
   const std::optional<cached_prefix> Cached = Affinity.find(Work.Item.PrefixHashes);
-  for (scheduled_backend *Record : Open) {
-    const engine_estimate Estimate = estimate(*Record, Work, Cached, Yields, Now);
-    if (hasSlot(*Record, Work, Estimate, Now))
+  for (scheduled_backend *Record : Servers) {
+    const engine_estimate Estimate = estimate(*Record, Work, Cached, Deprioritized, Now);
+    if (isWithinPrefillLimit(*Record, Work, Estimate, Now))
       Choices.push_back({Record, Estimate});
   }
   if (Choices.empty())
     return std::nullopt;
   if (IsPlain) {
     std::map<failure_domain_name, double> Domains;
-    for (const choice &Option : Choices)
+    for (const server_choice &Option : Choices)
       Domains[Option.Record->View.Announcement.Domain] += Option.Record->Outstanding;
-    for (choice &Option : Choices)
+    for (server_choice &Option : Choices)
       Option.Estimate.Cost +=
           PlainCallSeconds * DomainShare * Domains[Option.Record->View.Announcement.Domain];
   }
-  return drawNearLeast(Choices, Work.Class);
+  return pickNearCheapest(Choices, Work.Class);
 }
 
-scheduler::choice scheduler::drawNearLeast(const std::vector<choice> &Choices, length_class Class) {
-  double Least = std::numeric_limits<double>::max();
-  for (const choice &Option : Choices)
-    Least = std::min(Least, Option.Estimate.Cost);
-  const double Border =
-      Least * (1.0 + Settings.Tuning.NearEqual) + Settings.Tuning.NearEqualSeconds;
-  std::vector<const choice *> Near;
-  for (const choice &Option : Choices)
-    if (Option.Estimate.Cost <= Border)
-      Near.push_back(&Option);
+scheduler::server_choice scheduler::pickNearCheapest(const std::vector<server_choice> &Choices,
+                                                     length_class Class) {
+  double LowestCost = std::numeric_limits<double>::max();
+  for (const server_choice &Option : Choices)
+    LowestCost = std::min(LowestCost, Option.Estimate.Cost);
+  const double CostBound =
+      LowestCost * (1.0 + Settings.Tuning.CostTolerance) + Settings.Tuning.CostToleranceSeconds;
+  std::vector<const server_choice *> NearCheapest;
+  for (const server_choice &Option : Choices)
+    if (Option.Estimate.Cost <= CostBound)
+      NearCheapest.push_back(&Option);
   if (Class != length_class::Long)
-    return *Near[Random.below(Near.size())];
-  // Hosts that see the same free engines prefer different ones: two long prompts on one engine
-  // would cost the second the whole prefill of the first.
+    return *NearCheapest[Random.below(NearCheapest.size())];
+  // Hosts that see the same free engines rank them differently: if two hosts chose one engine for a
+  // long prompt each, the second prompt would wait for the whole prefill of the first.
   const std::uint64_t Host = stableHash(Settings.Host.str());
-  const auto Rank = [Host](const choice *Option) {
+  const auto Rank = [Host](const server_choice *Option) {
     return combineHashes(Host, stableHash(Option->Record->key().Address.str()));
   };
-  return **std::min_element(Near.begin(), Near.end(), [&Rank](const choice *A, const choice *B) {
-    return Rank(A) < Rank(B);
-  });
+  return **std::min_element(
+      NearCheapest.begin(), NearCheapest.end(),
+      [&Rank](const server_choice *A, const server_choice *B) { return Rank(A) < Rank(B); });
 }
 
-void scheduler::holdEngineFor(const waiting_work &Work, mono_time Now) {
-  // Short work takes each block that becomes free before a long prompt ever fits: without a hold
-  // the caller of the long prompt waits until its deadline beside engines that are never full.
-  HoldWanted = true;
-  if (HeldForLong)
+void scheduler::reserveEngineFor(const waiting_work &Work, mono_time Now) {
+  // Short work would take each block that becomes free before a long prompt fits. Without the
+  // reservation, the long prompt would wait until its deadline although no engine is ever full.
+  ReservationRequested = true;
+  if (ReservedForLong)
     return;
-  const scheduled_backend *Best = nullptr;
+  const scheduled_backend *BestEngine = nullptr;
   memory_blocks BestFree;
-  for (const scheduled_backend *Record : usable(Work)) {
-    const memory_ledger &Memory = Record->Memory;
-    const bool Slot = Record->Prefill.longs(Now, Record->Costs.prefillRate()) <
-                      std::max(1U, Policy.MaxLongPerEngine);
-    if (!Slot || !Pool.takesLong(Work.Group, Record->key()) ||
-        !Memory.couldHold(Record->need(Work.Item)))
+  for (const scheduled_backend *Record : eligibleServers(Work)) {
+    const memory_tracker &Memory = Record->Memory;
+    const bool HasSlot = Record->Prefill.longPromptCount(Now, Record->Costs.prefillRate()) <
+                         std::max(1U, Policy.MaxLongPerEngine);
+    if (!HasSlot || !Pool.acceptsLongWork(Work.Group, Record->key()) ||
+        !Memory.canEverFit(Record->blocksNeeded(Work.Item)))
       continue;
-    const memory_blocks Free = Memory.capacity() - Memory.taken();
-    if (Best == nullptr || Free > BestFree) {
-      Best = Record;
+    const memory_blocks Free = Memory.capacity() - Memory.allocated();
+    if (BestEngine == nullptr || Free > BestFree) {
+      BestEngine = Record;
       BestFree = Free;
     }
   }
-  if (Best != nullptr && !Best->Memory.fits(Best->need(Work.Item)))
-    HeldForLong = Best->key();
+  if (BestEngine != nullptr && !BestEngine->Memory.fits(BestEngine->blocksNeeded(Work.Item)))
+    ReservedForLong = BestEngine->key();
 }
 
 std::uint32_t scheduler::priorityOf(const waiting_work &Work, mono_time Now) {
   const std::uint32_t Base = BasePriority[indexOf(Work.Class)];
-  if (yields(Work, Now))
-    return Base + YieldPriority;
+  if (isDeprioritized(Work, Now))
+    return Base + DeprioritizedOffset;
   const mono_duration Allowed = Work.Item.Deadline - Work.Item.Arrived;
   const bool Aged = (Now - Work.Item.Arrived) * 2 >= Allowed;
   return Aged ? std::min(Base, AgedPriority) : Base;
--- a/src/scheduling/scheduler_dump.cpp
+++ b/src/scheduling/scheduler_dump.cpp
@@ -1,4 +1,4 @@
-/** @file scheduler_dump.cpp The scheduler's state as JSON, for operators. */
+/** @file scheduler_dump.cpp Writes the scheduler's state as JSON for operators. */
 #include "scheduling/scheduler_base.h"
 
 #include <sstream>
@@ -9,7 +9,7 @@
 constexpr std::array<std::string_view, 3> StandingNames{"active", "leaving", "lost"};
 constexpr std::array<std::string_view, 3> EjectionNames{"admitted", "ejected", "probing"};
 
-/// Writes a JSON string; addresses come from the network and may hold anything.
+/// Writes a JSON string. Addresses come from the network and may contain any character.
 void writeText(std::ostream &Out, std::string_view Text) {
   constexpr std::string_view Hex = "0123456789abcdef";
   Out << '"';
@@ -31,12 +31,12 @@
   Out << ",\"standing\":\"" << StandingNames[static_cast<std::size_t>(Record.View.Standing)]
       << "\",\"ejection\":\"" << EjectionNames[static_cast<std::size_t>(Ejection)]
       << "\",\"outstanding\":" << Record.Outstanding
-      << ",\"unanswered\":" << Record.Prefill.unanswered()
+      << ",\"unanswered\":" << Record.Prefill.unansweredCount()
       << ",\"prefill_tokens_per_second\":" << Record.Costs.prefillRate()
       << ",\"seconds_per_step\":" << Record.Costs.secondsPerStep()
       << ",\"blocks\":" << Record.Memory.capacity()
       << ",\"blocks_reserved\":" << Record.Memory.reserved()
-      << ",\"blocks_taken\":" << Record.Memory.taken() << '}';
+      << ",\"blocks_taken\":" << Record.Memory.allocated() << '}';
 }
 
 } // namespace
@@ -45,17 +45,17 @@
   std::ostringstream Out;
   Out << "{\"queued\":{\"short\":" << Queue.size(length_class::Short)
       << ",\"medium\":" << Queue.size(length_class::Medium)
-      << ",\"long\":" << Queue.size(length_class::Long) << "},\"open\":" << Tickets.size()
+      << ",\"long\":" << Queue.size(length_class::Long) << "},\"open\":" << OpenPlacements.size()
       << ",\"unstarted\":" << Unstarted.size() << ",\"answer_share\":" << AnswerShare
       << ",\"requests_per_engine\":" << Concurrency.value()
       << ",\"seconds_per_token\":" << Concurrency.pace()
-      << ",\"seconds_per_token_needed\":" << Concurrency.neededPace()
+      << ",\"seconds_per_token_needed\":" << Concurrency.requiredPace()
       << ",\"prefixes\":" << Affinity.size() << ",\"backends\":[";
   bool First = true;
   for (const auto &[Key, Record] : Pool.records()) {
     Out << (First ? "" : ",");
     First = false;
-    writeRecord(Out, Record, Pool.ejections().state(Key));
+    writeRecord(Out, Record, Pool.outlierDetector().state(Key));
   }
   Out << "]}";
   return Out.str();
--- a/src/scheduling/scheduler_intake.cpp
+++ b/src/scheduling/scheduler_intake.cpp
@@ -1,4 +1,4 @@
-/** @file scheduler_intake.cpp Takes requests in, or refuses those that could not run in time. */
+/** @file scheduler_intake.cpp Admission control: queues requests or refuses them early. */
 #include "scheduling/scheduler_base.h"
 
 #include <algorithm>
@@ -9,20 +9,20 @@
 
 using namespace std::chrono_literals;
 
-/// Sequences that share a decode step on a busy engine; sets decode against prefill in a cost.
+/// Sequences that share a decode step on a busy engine; weighs decode against prefill in a cost.
 constexpr double SharedSteps = 8.0;
 constexpr double PlainCost = 0.01;
-/// Hosts assumed to share the fleet until this host has learnt its own rate.
+/// Number of hosts assumed to share the fleet until this host has learned its own rate.
 constexpr double AssumedHosts = 8.0;
-constexpr std::chrono::seconds LeastRetryAfter = 1s;
-constexpr std::chrono::seconds GreatestRetryAfter = 300s;
+constexpr std::chrono::seconds MinRetryAfter = 1s;
+constexpr std::chrono::seconds MaxRetryAfter = 300s;
 constexpr std::chrono::seconds NoBackendRetryAfter = 5s;
 
-double secondsUntil(mono_time Then, mono_time Now) {
-  return std::chrono::duration<double>(Then - Now).count();
+double secondsUntil(mono_time Later, mono_time Now) {
+  return std::chrono::duration<double>(Later - Now).count();
 }
 
-mono_duration spanOf(double Seconds) {
+mono_duration durationFromSeconds(double Seconds) {
   return std::chrono::duration_cast<mono_duration>(std::chrono::duration<double>(Seconds));
 }
 
@@ -45,19 +45,20 @@
   return Prefill + expectedAnswer(Item) * Pool.typicalStep() / SharedSteps;
 }
 
-double scheduler::runSeconds(const work_item &Item) const {
+double scheduler::expectedRunSeconds(const work_item &Item) const {
   if (Item.Model.empty())
     return 0;
-  const double Prefill = static_cast<double>(Item.Prompt.value()) / Pool.refusalRate();
-  // Most callers name no answer limit, so that a default far beyond any answer stands for it.
-  // Counted in full it refuses an idle fleet's plainest requests. The concurrency is held to a pace
-  // at which a long answer takes this part of the time allowed, so that no more need be set aside.
+  const double Prefill = static_cast<double>(Item.Prompt.value()) / Pool.admissionPrefillRate();
+  // Most callers give no answer limit, and the default limit is far above any actual answer.
+  // Counting it in full would refuse ordinary requests on an idle fleet. The concurrency limit
+  // keeps a pace at which a long answer takes AnswerPart of the allowed time, so that bound is
+  // enough.
   const double Allowed = secondsUntil(Item.Deadline, Item.Arrived);
   const double Answer = expectedAnswer(Item) * Pool.typicalStep();
   return Prefill + std::min(Answer, Allowed * Settings.Tuning.AnswerPart);
 }
 
-std::optional<group_name> scheduler::drawGroup(const work_item &Item) {
+std::optional<group_name> scheduler::pickGroup(const work_item &Item) {
   if (Item.Groups.empty())
     return group_name();
   const auto HasServer = [this, &Item](const candidate_group &Candidate) {
@@ -67,49 +68,49 @@
     });
   };
   std::uint64_t Total = 0;
-  std::vector<const candidate_group *> Open;
+  std::vector<const candidate_group *> Available;
   for (const candidate_group &Candidate : Item.Groups) {
     if (!HasServer(Candidate))
       continue;
-    Open.push_back(&Candidate);
+    Available.push_back(&Candidate);
     Total += Candidate.Weight;
   }
-  if (Open.empty())
+  if (Available.empty())
     return std::nullopt;
-  std::uint64_t Draw = Random.below(Total);
-  for (const candidate_group *Candidate : Open) {
-    if (Draw < Candidate->Weight)
+  std::uint64_t Remaining = Random.below(Total);
+  for (const candidate_group *Candidate : Available) {
+    if (Remaining < Candidate->Weight)
       return Candidate->Group;
-    Draw -= Candidate->Weight;
+    Remaining -= Candidate->Weight;
   }
-  return Open.front()->Group; // Every weight is 0: these are what is left.
+  return Available.front()->Group; // Every weight is 0.
 }
 
-std::optional<work_refusal> scheduler::refusalByFleet(const work_item &Item) {
-  if (!Declared)
+std::optional<work_refusal> scheduler::checkFleet(const work_item &Item) {
+  if (!HasDeclaration)
     return work_refusal{failure_reason::NotReady, NoBackendRetryAfter};
-  bool Serves = false;
-  bool CouldHold = false;
-  const auto Look = [&](const group_name &Group) {
+  bool IsServed = false;
+  bool CanFit = false;
+  const auto CheckGroup = [&](const group_name &Group) {
     for (const scheduled_backend *Record : Pool.members(Item.Service, Group)) {
       if (!Record->serves(Item))
         continue;
-      Serves = true;
-      CouldHold = CouldHold || Record->Memory.couldHold(Record->need(Item));
+      IsServed = true;
+      CanFit = CanFit || Record->Memory.canEverFit(Record->blocksNeeded(Item));
     }
   };
   if (Item.Groups.empty())
-    Look(group_name());
+    CheckGroup(group_name());
   for (const candidate_group &Candidate : Item.Groups)
-    Look(Candidate.Group);
-  if (!Serves)
+    CheckGroup(Candidate.Group);
+  if (!IsServed)
     return work_refusal{failure_reason::NoBackend, NoBackendRetryAfter};
-  if (!CouldHold)
+  if (!CanFit)
     return work_refusal{failure_reason::TooLargeForFleet, std::nullopt};
   return std::nullopt;
 }
 
-double scheduler::engineRate(const work_item &Item, length_class Class) {
+double scheduler::assumedRate(const work_item &Item, length_class Class) {
   std::size_t Engines = 0;
   const auto Count = [&](const group_name &Group) {
     for (const scheduled_backend *Record : Pool.members(Item.Service, Group))
@@ -124,52 +125,54 @@
   return static_cast<double>(Engines) * Part / AssumedHosts;
 }
 
-double scheduler::waitSeconds(const waiting_work &Work, mono_time Now) {
-  const double Ahead = Queue.costAhead(Work.Item.Account, Work.Class);
-  return Placed.wait(Work.Class, Ahead, engineRate(Work.Item, Work.Class), Now);
+double scheduler::queueWaitSeconds(const waiting_work &Work, mono_time Now) {
+  const double CostAhead = Queue.costAhead(Work.Item.Account, Work.Class);
+  return PlacedCosts.expectedWaitSeconds(Work.Class, CostAhead, assumedRate(Work.Item, Work.Class),
+                                         Now);
 }
 
-void scheduler::needPace(const work_item &Item) {
-  // Twice the usual length stands for a long answer; the allowed length is mostly a default far
-  // beyond any answer.
+void scheduler::recordRequiredPace(const work_item &Item) {
+  // A long answer is assumed to have twice the expected length. The allowed length is usually a
+  // default far above any actual answer.
   const double LongAnswer = 2.0 * expectedAnswer(Item);
   if (Item.Model.empty() || LongAnswer < 1.0)
     return;
   const double Allowed = secondsUntil(Item.Deadline, Item.Arrived);
-  Concurrency.need(Allowed * Settings.Tuning.AnswerPart / LongAnswer);
+  Concurrency.observeRequiredPace(Allowed * Settings.Tuning.AnswerPart / LongAnswer);
 }
 
 std::chrono::seconds scheduler::retryAfter(const waiting_work &Work, mono_time Now) {
-  // The caller's next send gets as much time as this one had, so what must pass first is the part
-  // of the wait that does not fit into it.
+  // The caller's retry gets the same time limit as this request, so only the part of the wait that
+  // exceeds the limit has to pass first.
   const double Allowed = secondsUntil(Work.Item.Deadline, Work.Item.Arrived);
-  const double Excess = waitSeconds(Work, Now) + runSeconds(Work.Item) - Allowed;
-  const auto Whole = std::chrono::seconds(static_cast<std::int64_t>(std::ceil(
-      std::clamp(Excess, 0.0, std::chrono::duration<double>(GreatestRetryAfter).count()))));
-  return std::clamp(Whole + LeastRetryAfter, LeastRetryAfter, GreatestRetryAfter);
+  const double ExcessSeconds =
+      queueWaitSeconds(Work, Now) + expectedRunSeconds(Work.Item) - Allowed;
+  const auto WaitTime = std::chrono::seconds(static_cast<std::int64_t>(std::ceil(
+      std::clamp(ExcessSeconds, 0.0, std::chrono::duration<double>(MaxRetryAfter).count()))));
+  return std::clamp(WaitTime + MinRetryAfter, MinRetryAfter, MaxRetryAfter);
 }
 
 std::variant<done, work_refusal> scheduler::submit(work_item Item, mono_time Now) {
-  if (std::optional<work_refusal> Refusal = refusalByFleet(Item))
+  if (std::optional<work_refusal> Refusal = checkFleet(Item))
     return *Refusal;
-  const std::optional<group_name> Group = drawGroup(Item);
+  const std::optional<group_name> Group = pickGroup(Item);
   if (!Group)
     return work_refusal{failure_reason::NoBackend, NoBackendRetryAfter};
   const length_class Class = classOf(Item);
   const double Cost = costOf(Item);
-  const mono_time LatestStart = Item.Deadline - spanOf(runSeconds(Item));
+  const mono_time LatestStart = Item.Deadline - durationFromSeconds(expectedRunSeconds(Item));
   waiting_work Work{std::move(Item), Class, *Group, Cost, LatestStart};
-  Arrivals.add(Class, Cost, Now);
-  needPace(Work.Item);
-  if (Now + spanOf(waitSeconds(Work, Now)) > LatestStart)
+  ArrivedCosts.add(Class, Cost, Now);
+  recordRequiredPace(Work.Item);
+  if (Now + durationFromSeconds(queueWaitSeconds(Work, Now)) > LatestStart)
     return work_refusal{failure_reason::DeadlineUnmeetable, retryAfter(Work, Now)};
   const std::chrono::seconds RetryAfter = retryAfter(Work, Now);
   switch (Queue.push(std::move(Work))) {
-  case queue_verdict::QueueFull:
+  case enqueue_status::QueueFull:
     return work_refusal{failure_reason::QueueFull, RetryAfter};
-  case queue_verdict::AccountLimit:
+  case enqueue_status::AccountLimit:
     return work_refusal{failure_reason::AccountLimit, RetryAfter};
-  case queue_verdict::Accepted:
+  case enqueue_status::Accepted:
     break;
   }
   NextWake = Now;
--- a/src/scheduling/scheduling_type.h
+++ b/src/scheduling/scheduling_type.h
@@ -1,4 +1,4 @@
-/** @file scheduling_type.h What the dispatcher hands to the scheduler and gets back. */
+/** @file scheduling_type.h Work items, placements and reports between dispatcher and scheduler. */
 #ifndef POLLENSTALL_SCHEDULING_SCHEDULING_TYPE_H
 #define POLLENSTALL_SCHEDULING_SCHEDULING_TYPE_H
 
@@ -13,16 +13,16 @@
 
 namespace pollenstall {
 
-/// Classes of prompt length; the borders are declared by the policy.
+/// Classes of prompt length; the declared policy sets their bounds.
 enum class length_class : std::uint8_t { Short, Medium, Long };
 
-/// Where a waiting request may go, worked out by the selectors.
+/// A group that may serve a waiting request, as determined by the selectors.
 struct candidate_group {
   group_name Group;
   std::uint32_t Weight{1};
 };
 
-/// One attempt's worth of work that waits for a backend server.
+/// Work of one attempt that waits for a backend server.
 struct work_item {
   request_number Request;
   client_account_name Account;
@@ -32,52 +32,52 @@
   tokens Prompt;
   tokens AnswerLimit;
   std::vector<std::uint64_t> PrefixHashes;
-  std::vector<backend_key> Avoid; ///< Tried before; used again only where nothing else is left.
+  std::vector<backend_key> Avoid; ///< Servers tried before; used again only if there is no other.
   mono_time Arrived;
   mono_time Deadline;
-  std::uint32_t Urgency{0}; ///< As in request_facts, with the four below.
+  std::uint32_t Urgency{0}; ///< As in request_facts, like the members below.
   std::chrono::milliseconds Target{0};
   std::chrono::milliseconds LongestGap{0};
   tokens AnswerHint{};
-  bool Resumed{false}; ///< Part of the answer is out: the caller waits for the next event.
+  bool Resumed{false}; ///< The caller has received a part of the answer and waits for the rest.
 };
 
-/// Why the scheduler takes no more work, and when it would.
+/// Why the scheduler refuses work, and when the caller may retry.
 struct work_refusal {
   failure_reason Reason{failure_reason::QueueFull};
   std::optional<std::chrono::seconds> RetryAfter;
 };
 
-/// A decision: this request runs there.
+/// Decision to run a request on a backend server.
 struct work_placement {
   request_number Request;
   backend_key Backend;
   std::uint32_t Priority{0};
-  mono_duration ExpectedFirstToken{}; ///< From now.
-  std::vector<memory_hold> Holds{};   ///< At some of the helpers.
-  std::vector<backend_key> Helpers{}; ///< That read parts of the prompt.
+  mono_duration ExpectedFirstToken{}; ///< Expected time from now to the first token.
+  std::vector<memory_hold> Holds{};   ///< Memory to reserve on some of the helpers.
+  std::vector<backend_key> Helpers{}; ///< Other servers that prefill parts of the prompt.
 };
 
-/// A decision that a waiting request has no way to run in time any more.
+/// Decision that a waiting request can no longer run in time.
 struct work_expiry {
   request_number Request;
   work_refusal Refusal;
 };
 
-/// What a poll decided.
+/// Decisions of one poll.
 struct poll_outcome {
   std::vector<work_placement> Placements;
   std::vector<work_expiry> Expiries;
 };
 
-/// How an attempt ended, as far as the scheduler learns from it.
+/// Result of an attempt, as the scheduler learns it.
 struct attempt_report {
   bool Completed{false};
-  std::optional<attempt_failure> Failure; ///< Nothing where the server is not to blame.
-  std::optional<tokens> PromptTokens;     ///< As the engine counted.
+  std::optional<attempt_failure> Failure; ///< Empty if the server is not at fault.
+  std::optional<tokens> PromptTokens;     ///< Count of the engine.
   std::optional<tokens> AnswerTokens;
   std::optional<tokens> CachedTokens;
-  backend_address AtFault{}; ///< Another server that is to blame; empty where none is named.
+  backend_address AtFault{}; ///< Another server at fault; empty if none is named.
 };
 
 } // namespace pollenstall
--- a/src/scheduling/token_estimator.cpp
+++ b/src/scheduling/token_estimator.cpp
@@ -1,4 +1,4 @@
-/** @file token_estimator.cpp Learnt bytes per token with bounds, and hints kept near them. */
+/** @file token_estimator.cpp Learned bytes per token, and hints limited to a range around them. */
 #include "scheduling/token_estimator_base.h"
 
 #include <algorithm>
@@ -8,11 +8,11 @@
 namespace {
 
 constexpr double PriorBytesPerToken = 4.0;
-constexpr double LeastBytesPerToken = 1.0; ///< Byte-level fallback of common tokenizers.
-constexpr double GreatestBytesPerToken = 12.0;
-constexpr double FullWeightBytes = 16'384.0; ///< Shorter texts are dominated by templates.
-constexpr double HintTolerance = 1.5;        ///< A hint is believed within this factor.
-constexpr std::size_t MostModels = 256;
+constexpr double MinBytesPerToken = 1.0; ///< Byte-level fallback of common tokenizers.
+constexpr double MaxBytesPerToken = 12.0;
+constexpr double FullWeightBytes = 16'384.0; ///< Templates dominate shorter texts.
+constexpr double HintTolerance = 1.5;        ///< Factor by which a hint may differ.
+constexpr std::size_t MaxModels = 256;
 
 } // namespace
 
@@ -38,10 +38,10 @@
     return;
   auto Found = ByModel.find(Model);
   if (Found == ByModel.end()) {
-    if (ByModel.size() >= MostModels)
+    if (ByModel.size() >= MaxModels)
       return;
-    const bounded_estimate Fresh(PriorBytesPerToken, LeastBytesPerToken, GreatestBytesPerToken);
-    Found = ByModel.emplace(Model, Fresh).first;
+    const bounded_estimate InitialEstimate(PriorBytesPerToken, MinBytesPerToken, MaxBytesPerToken);
+    Found = ByModel.emplace(Model, InitialEstimate).first;
   }
   const auto Size = static_cast<double>(Bytes.value());
   Found->second.observe(Size / static_cast<double>(Counted.value()), Size / FullWeightBytes);
--- a/src/scheduling/token_estimator_base.h
+++ b/src/scheduling/token_estimator_base.h
@@ -1,4 +1,4 @@
-/** @file token_estimator_base.h Counts tokens of a prompt without a tokenizer. */
+/** @file token_estimator_base.h Estimates the tokens of a prompt without a tokenizer. */
 #ifndef POLLENSTALL_SCHEDULING_TOKEN_ESTIMATOR_BASE_H
 #define POLLENSTALL_SCHEDULING_TOKEN_ESTIMATOR_BASE_H
 
@@ -10,22 +10,22 @@
 namespace pollenstall {
 
 /**
- * Bytes per token, learnt for each model from what its engines counted. The number of models is
- * bounded, because a model's name may come from a caller.
+ * Learns the bytes per token of each model from the token counts of its engines. The number of
+ * models is bounded, because a model name may come from a caller.
  */
 class token_estimator {
 public:
   /**
-   * @param Bytes Size of the prompt's text.
-   * @param Hint The caller's own figure; believed only near the estimate, since a caller that
-   * understates would pass for short work.
-   * @return At least one token for a prompt that is not empty.
+   * @param Bytes Size of the prompt text.
+   * @param Hint Token count given by the caller. It is limited to a range around the estimate,
+   * since a caller could understate it to pass as short work.
+   * @return Estimated tokens; at least 1 unless the prompt is empty.
    */
   [[nodiscard]] tokens estimate(const model_name &Model, byte_count Bytes,
                                 std::optional<tokens> Hint = std::nullopt) const;
-  /// An engine told how many tokens a prompt of that size had.
+  /// Records the token count that an engine reported for a prompt.
   void observe(const model_name &Model, byte_count Bytes, tokens Counted);
-  /// @return Bytes per token as learnt so far, or the prior.
+  /// Returns the learned bytes per token of the model, or the prior.
   [[nodiscard]] double bytesPerToken(const model_name &Model) const;
 
 private:
--- a/src/work_exchange/work_board.cpp
+++ b/src/work_exchange/work_board.cpp
@@ -210,7 +210,7 @@
                   : PlacementFeed.next(Ledger, Now, FromRelay, true, Unbounded);
 }
 
-exchange_facts work_board::facts() const {
+load_exchange_stats work_board::facts() const {
   std::size_t Entries = Group.size();
   std::size_t Largest = Group.size();
   for (const work_group &Other : OtherGroups) {
@@ -222,11 +222,11 @@
   const mono_duration Round =
       std::max<mono_duration>(Tuning.Interval, Tuning.IntervalPerReceiver * Receivers);
   constexpr int RelayedWays = 3; // To the relay, to another relay, to its member.
-  exchange_facts Facts;
+  load_exchange_stats Facts;
   Facts.Entries = Entries;
-  Facts.ClaimSpan = Tuning.Way * (Direct ? 2 : RelayedWays);
+  Facts.ClaimDelay = Tuning.Way * (Direct ? 2 : RelayedWays);
   // What changes waits for half a round on the average, at the entry and at each of two relays.
-  Facts.Age =
+  Facts.PropagationDelay =
       Direct ? Round / 2 + Tuning.Way : Tuning.Interval / 2 + Round + Tuning.Way * RelayedWays;
   return Facts;
 }
--- a/src/work_exchange/work_board_base.h
+++ b/src/work_exchange/work_board_base.h
@@ -45,7 +45,7 @@
   [[nodiscard]] mono_time nextWake(mono_time Now) const;
 
   /// @return How long it takes until all others know what this entry has.
-  [[nodiscard]] exchange_facts facts() const;
+  [[nodiscard]] load_exchange_stats facts() const;
   /// @return Whether this entry relays for others now, or tells all others itself.
   [[nodiscard]] bool relays() const { return Relaying; }
 
--- a/src/work_exchange/work_exchange_type.h
+++ b/src/work_exchange/work_exchange_type.h
@@ -52,7 +52,7 @@
 /// counts no longer.
 struct work_share_tuning {
   /// What was told counts no longer after this; that of placement.
-  mono_duration Silence{placement_tuning().PeerSilence};
+  mono_duration Silence{placement_tuning().PeerLoadTimeout};
   /// Up to so many entries each tells all others itself: a report is then as old as its way.
   std::size_t MostDirect{16};
   /// Least time between two reports of an entry to those that it tells; longer by as much for each
@@ -81,7 +81,7 @@
 /// What all other entries together have, where that changed.
 struct others_work {
   std::vector<work_load> Changed;
-  exchange_facts Facts;
+  load_exchange_stats Facts;
 };
 
 } // namespace pollenstall
--- a/src/work_exchange/work_ledger.cpp
+++ b/src/work_exchange/work_ledger.cpp
@@ -14,12 +14,12 @@
 
 bool differs(const work_load &Told, mono_time At, const work_load &Load, mono_time Now,
              const work_share_tuning &Tuning) {
-  work_load Thought = after(Told, Now - At);
+  work_load Thought = loadAfter(Told, Now - At);
   const std::uint32_t Off =
-      std::max(Thought.ReadMs, Load.ReadMs) - std::min(Thought.ReadMs, Load.ReadMs);
-  if (Off > Tuning.ReadStepMs && Off > Load.ReadMs / Tuning.ReadPart)
+      std::max(Thought.PrefillMs, Load.PrefillMs) - std::min(Thought.PrefillMs, Load.PrefillMs);
+  if (Off > Tuning.ReadStepMs && Off > Load.PrefillMs / Tuning.ReadPart)
     return true;
-  Thought.ReadMs = Load.ReadMs;
+  Thought.PrefillMs = Load.PrefillMs;
   return Thought != Load;
 }
 
--- a/src/work_exchange/work_ledger_base.h
+++ b/src/work_exchange/work_ledger_base.h
@@ -51,7 +51,7 @@
     work_load Sum;
     for (const engine_work::told &Part : Engine.Parts)
       if (Now - Part.Heard <= Tuning.Silence && Counts(Part.Source))
-        Sum = Sum + after(Part.Load, Now - Part.Heard);
+        Sum = Sum + loadAfter(Part.Load, Now - Part.Heard);
     Sum.Incarnation = Incarnation;
     return Sum;
   }
--- a/src/work_share/work_report_codec.cpp
+++ b/src/work_share/work_report_codec.cpp
@@ -19,14 +19,14 @@
 struct packed_load {
   incarnation Incarnation;
   std::uint8_t Requests{0};
-  std::uint8_t Writers{0};
-  std::uint16_t ReadMs{0};
+  std::uint8_t DecodingRequests{0};
+  std::uint16_t PrefillMs{0};
   std::uint16_t MemoryUnits{0};
   std::uint16_t GapMs{0};
-  std::uint32_t FirstReader{0};
+  std::uint32_t LowestPrecedence{0};
 
   template <typename Archive> void serialize(Archive &Into) {
-    Into(Incarnation, Requests, Writers, ReadMs, MemoryUnits, GapMs, FirstReader);
+    Into(Incarnation, Requests, DecodingRequests, PrefillMs, MemoryUnits, GapMs, LowestPrecedence);
   }
 };
 
@@ -46,12 +46,12 @@
   packed_load Packed;
   Packed.Incarnation = Load.Incarnation;
   Packed.Requests = cut<std::uint8_t>(Load.Requests);
-  Packed.Writers = cut<std::uint8_t>(Load.Writers);
-  Packed.ReadMs = cut<std::uint16_t>(Load.ReadMs);
+  Packed.DecodingRequests = cut<std::uint8_t>(Load.DecodingRequests);
+  Packed.PrefillMs = cut<std::uint16_t>(Load.PrefillMs);
   Packed.MemoryUnits = cut<std::uint16_t>(Load.Tokens / MemoryUnit +
                                           static_cast<std::uint32_t>(Load.Tokens % MemoryUnit > 0));
   Packed.GapMs = cut<std::uint16_t>(Load.GapMs);
-  Packed.FirstReader = Load.FirstReader;
+  Packed.LowestPrecedence = Load.LowestPrecedence;
   return Packed;
 }
 
@@ -59,11 +59,11 @@
   work_load Load;
   Load.Incarnation = Packed.Incarnation;
   Load.Requests = Packed.Requests;
-  Load.Writers = Packed.Writers;
-  Load.ReadMs = Packed.ReadMs;
+  Load.DecodingRequests = Packed.DecodingRequests;
+  Load.PrefillMs = Packed.PrefillMs;
   Load.Tokens = Packed.MemoryUnits * MemoryUnit;
   Load.GapMs = Packed.GapMs;
-  Load.FirstReader = Packed.FirstReader;
+  Load.LowestPrecedence = Packed.LowestPrecedence;
   return Load;
 }
 
--- a/tests/fleet_model/engine_model_test.cpp
+++ b/tests/fleet_model/engine_model_test.cpp
@@ -1,6 +1,6 @@
 /** @file engine_model_test.cpp Passes of one modelled engine, as engines' pages describe them. */
 #include "fleet_model/fleet_model.h"
-#include "placement/placer_story.h"
+#include "placement/placer_fixture.h"
 
 #include <gtest/gtest.h>
 
@@ -10,7 +10,7 @@
 constexpr double TokensPerEvent = 51;
 
 engine_figures figures() {
-  engine_figures Figures = placer_story::figures();
+  engine_figures Figures = placer_fixture::figures();
   Figures.Places = 4;
   return Figures;
 }
@@ -47,7 +47,7 @@
 TEST_F(an_engine, ReadsAPromptInChunksAndWritesItsFirstEventAtOnce) {
   Engine.take(job(1, 5'000, 2));
   EXPECT_EQ(untilEvent().Events, std::vector<std::size_t>{1});
-  EXPECT_NEAR(Ms, readMs(figures(), tokens(5'000)) + 3 * 0.85, 0.1);
+  EXPECT_NEAR(Ms, prefillMs(figures(), tokens(5'000)) + 3 * 0.85, 0.1);
 }
 
 TEST_F(an_engine, WritesOneEventInEachPass) {
@@ -68,7 +68,7 @@
   Engine.take(job(2, 100'000, 1));
   const double Before = Ms;
   EXPECT_EQ(pass().Events.size(), 2U);
-  EXPECT_GT(Ms - Before, readMs(figures(), tokens(100'000)));
+  EXPECT_GT(Ms - Before, prefillMs(figures(), tokens(100'000)));
 }
 
 TEST_F(an_engine, ReadsPartsForOthersBeforeItsOwnPrompts) {
