--- a/tests/placement/placer_story.h
+++ b/tests/placement/placer_fixture.h
@@ -1,6 +1,6 @@
-/** @file placer_story.h A placer with engines of declared figures, for stories in tests. */
-#ifndef POLLENSTALL_TESTS_PLACEMENT_PLACER_STORY_H
-#define POLLENSTALL_TESTS_PLACEMENT_PLACER_STORY_H
+/** @file placer_fixture.h Test fixture with a placer and engines of declared figures. */
+#ifndef POLLENSTALL_TESTS_PLACEMENT_PLACER_FIXTURE_H
+#define POLLENSTALL_TESTS_PLACEMENT_PLACER_FIXTURE_H
 
 #include "placement/placement.h"
 
@@ -15,8 +15,8 @@
 
 using namespace std::chrono_literals;
 
-/// Twenty engines that read 177 tokens a millisecond; a stream may pause 250 ms.
-struct placer_story : testing::Test {
+/// Twenty engines that prefill 177 tokens per millisecond. Streams allow gaps of 250 ms.
+struct placer_fixture : testing::Test {
   static constexpr std::size_t Engines = 20;
 
   placer Placer{host_name("entry-1"), 1};
@@ -27,8 +27,8 @@
 
   void SetUp() override {
     Placer.applyDeclaration(declaration());
-    for (std::size_t Place = 0; Place < Engines; ++Place)
-      Placer.updateBackend(listing(Place));
+    for (std::size_t Index = 0; Index < Engines; ++Index)
+      Placer.updateBackend(makeListing(Index));
   }
 
   static engine_figures figures() {
@@ -56,10 +56,10 @@
     Fleet.Routes.push_back(Route);
     return Fleet;
   }
-  static backend_listing listing(std::size_t Place) {
-    const std::string Name = "e" + std::to_string(100 + Place);
+  static backend_listing makeListing(std::size_t Index) {
+    const std::string Name = "e" + std::to_string(100 + Index);
     backend_listing Listing;
-    Listing.Key = keyOf(backend_address("127.0.0.1:" + std::to_string(1000 + Place)),
+    Listing.Key = keyOf(backend_address("127.0.0.1:" + std::to_string(1000 + Index)),
                         {instance_name(Name), {}});
     Listing.Instance = instance_name(Name);
     Listing.Service = service_name("llm");
@@ -67,9 +67,9 @@
     return Listing;
   }
 
-  /// A request comes; its target is 300 ms up to 24,000 tokens, 3 s above.
-  request_number arrive(std::int64_t Prompt, std::chrono::milliseconds Gap = 250ms,
-                        bool Resumed = false) {
+  /// Submits a request. Its target is 300 ms up to 24,000 tokens and 3 s above.
+  request_number submitRequest(std::int64_t Prompt, std::chrono::milliseconds Gap = 250ms,
+                               bool Resumed = false) {
     work_item Item;
     Item.Request = request_number(++LastRequest);
     Item.Service = service_name("route");
@@ -85,13 +85,13 @@
     EXPECT_TRUE(succeeded(Placer.submit(Item, Now)));
     return Item.Request;
   }
-  /// Places what can be placed and starts it; what is only claimed has its time run out at once.
+  /// Polls and starts the placed work. If there are new claims, waits until they take effect.
   std::vector<work_placement> poll() {
     std::vector<work_placement> Placements = pollOnce();
     if (Placer.claimsMade() == SettledClaims)
       return Placements;
     SettledClaims = Placer.claimsMade();
-    Now += exchange_facts().ClaimSpan;
+    Now += load_exchange_stats().ClaimDelay;
     const std::vector<work_placement> Settled = pollOnce();
     Placements.insert(Placements.end(), Settled.begin(), Settled.end());
     return Placements;
@@ -99,42 +99,42 @@
   std::vector<work_placement> pollOnce() {
     const poll_outcome Outcome = Placer.poll(Now);
     for (const work_placement &Placement : Outcome.Placements)
-      Placer.attemptStarted(attempt(Placement.Request), Items.at(Placement.Request),
+      Placer.attemptStarted(attemptOf(Placement.Request), Items.at(Placement.Request),
                             Placement.Backend, Now);
     return Outcome.Placements;
   }
-  /// All other entries together have this under way, and nothing elsewhere.
-  static void tellOthers(placer &Entry, const std::vector<work_load> &Loads, mono_time At) {
-    std::vector<work_load> All = Loads;
-    for (std::size_t Place = 0; Place < Engines; ++Place) {
-      const incarnation Incarnation = listing(Place).Key.Incarnation;
+  /// Sets the work of all other entries; engines that are not listed have none.
+  static void setOthersLoadsAt(placer &Entry, const std::vector<work_load> &Loads, mono_time Time) {
+    std::vector<work_load> AllLoads = Loads;
+    for (std::size_t Index = 0; Index < Engines; ++Index) {
+      const incarnation Incarnation = makeListing(Index).Key.Incarnation;
       if (std::none_of(Loads.begin(), Loads.end(), [Incarnation](const work_load &Load) {
             return Load.Incarnation == Incarnation;
           })) {
-        All.emplace_back();
-        All.back().Incarnation = Incarnation;
+        AllLoads.emplace_back();
+        AllLoads.back().Incarnation = Incarnation;
       }
     }
-    Entry.takeOthersLoads(All, At);
+    Entry.updateOthersLoads(AllLoads, Time);
   }
-  void others(const std::vector<work_load> &Loads) { tellOthers(Placer, Loads, Now); }
-  /// All other engines are gone.
-  void keepOnly(const backend_key &Backend) {
-    for (std::size_t Place = 0; Place < Engines; ++Place)
-      if (listing(Place).Key != Backend)
-        Placer.removeBackend(listing(Place).Key);
+  void setOthersLoads(const std::vector<work_load> &Loads) { setOthersLoadsAt(Placer, Loads, Now); }
+  /// Removes all other engines.
+  void removeAllExcept(const backend_key &Backend) {
+    for (std::size_t Index = 0; Index < Engines; ++Index)
+      if (makeListing(Index).Key != Backend)
+        Placer.removeBackend(makeListing(Index).Key);
   }
-  void answer(request_number Request) { Placer.attemptAnswering(attempt(Request), Now); }
-  void end(request_number Request) {
+  void beginAnswer(request_number Request) { Placer.attemptAnswering(attemptOf(Request), Now); }
+  void completeAttempt(request_number Request) {
     attempt_report Report;
     Report.Completed = true;
-    Placer.attemptEnded(attempt(Request), Report, Now);
+    Placer.attemptEnded(attemptOf(Request), Report, Now);
   }
-  static attempt_id attempt(request_number Request) {
+  static attempt_id attemptOf(request_number Request) {
     return {{host_name("entry-1"), incarnation(1)}, Request, 1};
   }
 };
 
 } // namespace pollenstall
 
-#endif // POLLENSTALL_TESTS_PLACEMENT_PLACER_STORY_H
+#endif // POLLENSTALL_TESTS_PLACEMENT_PLACER_FIXTURE_H
--- a/tests/placement/placer_reach_test.cpp
+++ b/tests/placement/placer_reach_test.cpp
@@ -1,5 +1,5 @@
-/** @file placer_reach_test.cpp An entry that reaches no backend server. */
-#include "placer_story.h"
+/** @file placer_reach_test.cpp Tests of an entry that reaches no backend server. */
+#include "placer_fixture.h"
 
 #include <gtest/gtest.h>
 
@@ -10,113 +10,116 @@
 namespace pollenstall {
 namespace {
 
-/// Engines of two failure domains, to which connections meet silence.
-struct entry_without_a_link : placer_story {
+/// Engines of two failure domains that do not respond to connections.
+struct lost_link_fixture : placer_fixture {
   void SetUp() override {
-    placer_story::SetUp();
-    for (std::size_t Place = 0; Place < Engines; ++Place) {
-      backend_listing Listing = listing(Place);
-      Listing.Domain = failure_domain_name(Place % 2 == 0 ? "a" : "b");
+    placer_fixture::SetUp();
+    for (std::size_t Index = 0; Index < Engines; ++Index) {
+      backend_listing Listing = makeListing(Index);
+      Listing.Domain = failure_domain_name(Index % 2 == 0 ? "a" : "b");
       Placer.updateBackend(Listing);
     }
   }
-  /// @return The server to which a new request's connection was not made, if it was tried at all.
-  std::optional<backend_key> tryOne(std::chrono::milliseconds Silence) {
-    const request_number Request = arrive(1'000);
-    const auto Placed = poll();
-    if (Placed.empty()) {
+  /// Submits a request whose connection fails after FailureDelay.
+  /// @return The backend server of the failed attempt, if the request was placed.
+  std::optional<backend_key> tryConnection(std::chrono::milliseconds FailureDelay) {
+    const request_number Request = submitRequest(1'000);
+    const auto NewPlacements = poll();
+    if (NewPlacements.empty()) {
       Placer.withdraw(Request);
       return std::nullopt;
     }
-    Now += Silence;
+    Now += FailureDelay;
     attempt_report Report;
     Report.Failure = attempt_failure::NotConnected;
-    Placer.attemptEnded(attempt(Placed[0].Request), Report, Now);
-    return Placed[0].Backend;
+    Placer.attemptEnded(attemptOf(NewPlacements[0].Request), Report, Now);
+    return NewPlacements[0].Backend;
   }
 };
 
-// The link of an entry was full: eleven connections in a row met silence at eight healthy servers.
-// One request used up eight attempts, and each server was paused for it, also once the link worked
-// again.
-TEST_F(entry_without_a_link, BlamesNoServerAndTriesNowAndThen) {
-  std::set<backend_key> Failed;
-  for (int Attempt = 0; Attempt < 8 && !Placer.reachesNobody(); ++Attempt)
-    if (const auto Backend = tryOne(300ms))
-      Failed.insert(*Backend);
-  ASSERT_EQ(Failed.size(), 4U);
-  EXPECT_TRUE(Placer.reachesNobody());
-  std::size_t Tries = 0;
-  std::optional<request_number> Trial;
+// With an overloaded link of the entry, eleven consecutive connections to eight healthy servers got
+// no response. One request used up eight attempts, and each server was in backoff, even after the
+// link worked again.
+TEST_F(lost_link_fixture, AvoidsBackoffAndProbesPeriodically) {
+  std::set<backend_key> FailedServers;
+  for (int Attempt = 0; Attempt < 8 && !Placer.reachesNoBackend(); ++Attempt)
+    if (const auto Backend = tryConnection(300ms))
+      FailedServers.insert(*Backend);
+  ASSERT_EQ(FailedServers.size(), 4U);
+  EXPECT_TRUE(Placer.reachesNoBackend());
+  std::size_t TrialCount = 0;
+  std::optional<request_number> TrialRequest;
   for (int Step = 0; Step < 9; ++Step) {
     Now += 100ms;
-    arrive(1'000);
+    submitRequest(1'000);
     for (const work_placement &Placement : poll()) {
-      ++Tries;
-      Trial = Placement.Request;
+      ++TrialCount;
+      TrialRequest = Placement.Request;
     }
   }
-  EXPECT_EQ(Tries, 3U);
-  ASSERT_TRUE(Trial);
-  answer(*Trial);
-  EXPECT_FALSE(Placer.reachesNobody());
-  std::set<backend_key> Used;
+  EXPECT_EQ(TrialCount, 3U);
+  ASSERT_TRUE(TrialRequest);
+  beginAnswer(*TrialRequest);
+  EXPECT_FALSE(Placer.reachesNoBackend());
+  std::set<backend_key> UsedServers;
   for (int Step = 0; Step < 40; ++Step) {
-    arrive(1'000);
+    submitRequest(1'000);
     for (const work_placement &Placement : poll())
-      Used.insert(Placement.Backend);
+      UsedServers.insert(Placement.Backend);
   }
-  EXPECT_TRUE(std::any_of(Failed.begin(), Failed.end(), [&Used](const backend_key &Backend) {
-    return Used.contains(Backend);
-  })) << "they are the first in the common order, and nobody's fault";
+  EXPECT_TRUE(std::any_of(
+      FailedServers.begin(), FailedServers.end(),
+      [&UsedServers](const backend_key &Backend) { return UsedServers.contains(Backend); }))
+      << "they are the first in the common order and not in backoff";
 }
 
-// Servers that crash refuse connections at once, which shows that the link works.
-TEST_F(entry_without_a_link, IsNotSuspectedWhereConnectionsAreRefused) {
+// Servers that have crashed refuse connections immediately, which shows that the link works.
+TEST_F(lost_link_fixture, IsNotAssumedIfConnectionsAreRefused) {
   for (int Attempt = 0; Attempt < 6; ++Attempt)
-    EXPECT_TRUE(tryOne(2ms));
-  EXPECT_FALSE(Placer.reachesNobody());
+    EXPECT_TRUE(tryConnection(2ms));
+  EXPECT_FALSE(Placer.reachesNoBackend());
 }
 
-// A failure domain is lost: its servers meet silence, and others are tried at once.
-TEST_F(entry_without_a_link, IsNotSuspectedWhereOneDomainIsSilent) {
-  for (std::size_t Place = 1; Place < Engines; Place += 2)
-    Placer.removeBackend(listing(Place).Key);
+// If the servers of only one failure domain do not respond, the link is not at fault and work is
+// still placed.
+TEST_F(lost_link_fixture, IsNotAssumedIfOneDomainIsUnreachable) {
+  for (std::size_t Index = 1; Index < Engines; Index += 2)
+    Placer.removeBackend(makeListing(Index).Key);
   for (int Attempt = 0; Attempt < 8; ++Attempt)
-    EXPECT_TRUE(tryOne(300ms));
-  EXPECT_FALSE(Placer.reachesNobody());
+    EXPECT_TRUE(tryConnection(300ms));
+  EXPECT_FALSE(Placer.reachesNoBackend());
 }
 
-// Silence at one server now and another one a while ago says nothing of the link.
-TEST_F(entry_without_a_link, IsNotSuspectedForFailuresThatAreFarApart) {
+// Connection failures far apart in time do not show that the link has failed.
+TEST_F(lost_link_fixture, IsNotAssumedIfFailuresAreFarApart) {
   for (int Attempt = 0; Attempt < 10; ++Attempt) {
-    tryOne(300ms);
+    tryConnection(300ms);
     Now += 1200ms;
   }
-  EXPECT_FALSE(Placer.reachesNobody());
+  EXPECT_FALSE(Placer.reachesNoBackend());
 }
 
-// What waits meanwhile is refused when its time to wait is over, with a time to come back.
-TEST_F(entry_without_a_link, RefusesWhatWaitsForTooLong) {
-  for (int Attempt = 0; Attempt < 8 && !Placer.reachesNobody(); ++Attempt)
-    tryOne(300ms);
-  ASSERT_TRUE(Placer.reachesNobody());
-  constexpr std::size_t Waiting = 20;
-  for (std::size_t Count = 0; Count < Waiting; ++Count)
-    arrive(1'000);
-  std::size_t Tried = 0;
-  std::size_t Refused = 0;
+// Requests that wait during the isolation are refused after their maximum wait, with a retry time.
+TEST_F(lost_link_fixture, RefusesRequestsThatWaitTooLong) {
+  for (int Attempt = 0; Attempt < 8 && !Placer.reachesNoBackend(); ++Attempt)
+    tryConnection(300ms);
+  ASSERT_TRUE(Placer.reachesNoBackend());
+  constexpr std::size_t RequestCount = 20;
+  for (std::size_t Count = 0; Count < RequestCount; ++Count)
+    submitRequest(1'000);
+  std::size_t TriedCount = 0;
+  std::size_t RefusedCount = 0;
   for (int Step = 0; Step < 31; ++Step) {
     const poll_outcome Outcome = Placer.poll(Now);
-    Tried += Outcome.Placements.size();
+    TriedCount += Outcome.Placements.size();
     for (const work_expiry &Expiry : Outcome.Expiries) {
       EXPECT_TRUE(Expiry.Refusal.RetryAfter.has_value());
-      ++Refused;
+      ++RefusedCount;
     }
     Now += 100ms;
   }
-  EXPECT_LE(Tried, 11U);
-  EXPECT_EQ(Tried + Refused, Waiting);
+  EXPECT_LE(TriedCount, 11U);
+  EXPECT_EQ(TriedCount + RefusedCount, RequestCount);
 }
 
 } // namespace
--- a/tests/placement/placer_spread_test.cpp
+++ b/tests/placement/placer_spread_test.cpp
@@ -1,5 +1,5 @@
-/** @file placer_spread_test.cpp Short work of entries that decide alone. */
-#include "placer_story.h"
+/** @file placer_spread_test.cpp Tests of spreading short prompts of independent entries. */
+#include "placer_fixture.h"
 
 #include <gtest/gtest.h>
 
@@ -9,58 +9,57 @@
 namespace pollenstall {
 namespace {
 
-/// Short prompts come one by one to each of many entries.
-struct short_work_of_many : placer_story {
-  /// Another entry begins and ends a request at an engine in turn, so many a second for two
-  /// seconds.
-  void hearOf(std::size_t PerSecond) {
+/// Short prompts that arrive one by one at one of many entries.
+struct short_prompts_fixture : placer_fixture {
+  /// Reports requests of another entry that start and end on the engines in turn, for two seconds.
+  void receiveLoads(std::size_t PerSecond) {
     constexpr std::size_t Rounds = 40;
     for (std::size_t Round = 0; Round < Rounds; ++Round) {
       Now += 50ms;
-      const std::size_t Begun = PerSecond / 20;
+      const std::size_t StartedRequests = PerSecond / 20;
       std::vector<work_load> Loads(Engines);
-      for (std::size_t Place = 0; Place < Engines; ++Place)
-        Loads[Place].Incarnation = listing(Place).Key.Incarnation;
-      Placer.takeOthersLoads(Loads, Now);
-      for (std::size_t Request = 0; Request < Begun; ++Request)
-        ++Loads[(Round + Request) % Engines].Requests;
-      Placer.takeOthersLoads(Loads, Now);
+      for (std::size_t Index = 0; Index < Engines; ++Index)
+        Loads[Index].Incarnation = makeListing(Index).Key.Incarnation;
+      Placer.updateOthersLoads(Loads, Now);
+      for (std::size_t RequestNumber = 0; RequestNumber < StartedRequests; ++RequestNumber)
+        ++Loads[(Round + RequestNumber) % Engines].Requests;
+      Placer.updateOthersLoads(Loads, Now);
     }
-    others({});
+    setOthersLoads({});
   }
-  /// @return How many engines twenty requests go to, each of which ends at once.
+  /// Places twenty requests, each of which ends immediately. @return Number of engines used.
   std::size_t enginesUsed() {
-    std::set<backend_key> Used;
+    std::set<backend_key> UsedEngines;
     for (int Count = 0; Count < 20; ++Count) {
-      const request_number Request = arrive(1'000);
+      const request_number RequestNumber = submitRequest(1'000);
       for (const work_placement &Placement : poll())
-        Used.insert(Placement.Backend);
-      end(Request);
+        UsedEngines.insert(Placement.Backend);
+      completeAttempt(RequestNumber);
     }
-    return Used.size();
+    return UsedEngines.size();
   }
 };
 
-// 195 entries place 207 short prompts a second and hear of each other's after 56 ms. Packed onto
-// the two engines that each thinks free, 46 in 100 began within 20 ms of another one there, and all
-// streams of that engine paused.
-TEST_F(short_work_of_many, SpreadsOverMoreEnginesThanComeUnseen) {
-  Placer.useExchange({195, 56ms, 9ms});
-  hearOf(200);
+// 195 entries place 207 short prompts per second and know of each other's placements after 56 ms.
+// Packed onto the two engines that each entry considers free, 46 in 100 prompts began within 20 ms
+// of another one on the same engine, and all streams of that engine paused.
+TEST_F(short_prompts_fixture, SpreadOverMoreEnginesThanUnseenRequests) {
+  Placer.updateExchange({195, 56ms, 9ms});
+  receiveLoads(200);
   EXPECT_GE(enginesUsed(), 10U);
 }
 
-// Eight entries hear of each other after 8 ms: spread any wider, short streams would keep engines
-// from long reads.
-TEST_F(short_work_of_many, StaysPackedWhereEntriesHearOfEachOtherAtOnce) {
-  Placer.useExchange({8, 8ms, 6ms});
-  hearOf(80);
+// Eight entries know of each other's placements after 8 ms. Spreading short streams more widely
+// would leave fewer engines for long prefill.
+TEST_F(short_prompts_fixture, StayPackedIfLoadsPropagateQuickly) {
+  Placer.updateExchange({8, 8ms, 6ms});
+  receiveLoads(80);
   EXPECT_LE(enginesUsed(), 2U);
 }
 
-TEST_F(short_work_of_many, IsPackedAgainOnceItIsCalm) {
-  Placer.useExchange({195, 56ms, 9ms});
-  hearOf(200);
+TEST_F(short_prompts_fixture, ArePackedAgainAfterTheRateDrops) {
+  Placer.updateExchange({195, 56ms, 9ms});
+  receiveLoads(200);
   Now += 20s;
   EXPECT_LE(enginesUsed(), 2U);
 }
--- a/tests/placement/placer_test.cpp
+++ b/tests/placement/placer_test.cpp
@@ -1,104 +1,107 @@
-/** @file placer_test.cpp Long prompts among short ones, several entries, and what no engine can
- * keep. */
-#include "placer_story.h"
+/** @file placer_test.cpp Tests of the placement of short, long and very large prompts. */
+#include "placer_fixture.h"
 
 #include <algorithm>
 
 namespace pollenstall {
 namespace {
 
-TEST(APassModel, CountsThePairsOfAPrompt) {
-  // 154,000 tokens: 870 ms of tokens and 2,182 ms of pairs.
-  EXPECT_NEAR(readMs(placer_story::figures(), tokens(154'000)), 3'052, 2);
-  EXPECT_NEAR(readMs(placer_story::figures(), tokens(5'000)), 30.5, 0.1);
-  EXPECT_EQ(passMs(placer_story::figures(), 0, 0), 0);
-  EXPECT_NEAR(passMs(placer_story::figures(), 10, 50'000), 52.8, 0.1);
+TEST(PassModel, IncludesTheQuadraticCostOfAPrompt) {
+  // 154,000 tokens take 870 ms for tokens and 2,182 ms for pairs of tokens.
+  EXPECT_NEAR(prefillMs(placer_fixture::figures(), tokens(154'000)), 3'052, 2);
+  EXPECT_NEAR(prefillMs(placer_fixture::figures(), tokens(5'000)), 30.5, 0.1);
+  EXPECT_EQ(passMs(placer_fixture::figures(), 0, 0), 0);
+  EXPECT_NEAR(passMs(placer_fixture::figures(), 10, 50'000), 52.8, 0.1);
 }
 
-TEST_F(placer_story, AShortPromptIsReadByOneEngine) {
-  arrive(5'000);
-  const auto Placed = poll();
-  ASSERT_EQ(Placed.size(), 1U);
-  EXPECT_TRUE(Placed[0].Helpers.empty());
+TEST_F(placer_fixture, ShortPromptUsesOneEngine) {
+  submitRequest(5'000);
+  const auto NewPlacements = poll();
+  ASSERT_EQ(NewPlacements.size(), 1U);
+  EXPECT_TRUE(NewPlacements[0].Helpers.empty());
 }
 
-TEST_F(placer_story, ALongPromptIsReadByManyAndInTime) {
-  arrive(154'000);
-  const auto Placed = poll();
-  ASSERT_EQ(Placed.size(), 1U);
-  EXPECT_EQ(Placed[0].Helpers.size(), 16U);
-  EXPECT_LT(Placed[0].ExpectedFirstToken, 300ms);
+TEST_F(placer_fixture, LongPromptIsSplitAndInTime) {
+  submitRequest(154'000);
+  const auto NewPlacements = poll();
+  ASSERT_EQ(NewPlacements.size(), 1U);
+  EXPECT_EQ(NewPlacements[0].Helpers.size(), 16U);
+  EXPECT_LT(NewPlacements[0].ExpectedFirstToken, 300ms);
 }
 
-// Six long prompts come within a tenth of a second. Parts for one prompt go ahead of another's that
-// waits at the same engine: an engine with two of them finishes the first one last, seconds late.
-TEST_F(placer_story, NoEngineIsGivenASecondLongReadBeforeTheFirstIsDone) {
+// Six long prompts arrive within a tenth of a second. An engine processes a new part before a
+// waiting part of another prompt, so with two of them it would finish the first one last, seconds
+// late.
+TEST_F(placer_fixture, EnginesReceiveOneLongPrefillAtATime) {
   std::map<backend_key, mono_time> BusyUntil;
   std::map<request_number, mono_time> DoneAt;
   std::size_t Started = 0;
   for (int Step = 0; Step < 400; ++Step) {
     if (Step % 2 == 0 && Step < 12)
-      arrive(154'000);
+      submitRequest(154'000);
     for (const work_placement &Placement : poll()) {
       ++Started;
-      std::vector<backend_key> Readers = Placement.Helpers;
-      Readers.push_back(Placement.Backend);
-      const double Part = readMs(figures(), tokens(154'000)) / static_cast<double>(Readers.size());
-      DoneAt[Placement.Request] = Now + std::chrono::milliseconds(static_cast<int>(Part));
-      for (const backend_key &Reader : Readers) {
-        EXPECT_LE(BusyUntil[Reader], Now + 31ms) << toText(Reader);
-        BusyUntil[Reader] = Now + std::chrono::milliseconds(static_cast<int>(Part));
+      std::vector<backend_key> PrefillEngines = Placement.Helpers;
+      PrefillEngines.push_back(Placement.Backend);
+      const double PartMs =
+          prefillMs(figures(), tokens(154'000)) / static_cast<double>(PrefillEngines.size());
+      DoneAt[Placement.Request] = Now + std::chrono::milliseconds(static_cast<int>(PartMs));
+      for (const backend_key &PrefillEngine : PrefillEngines) {
+        EXPECT_LE(BusyUntil[PrefillEngine], Now + 31ms) << toText(PrefillEngine);
+        BusyUntil[PrefillEngine] = Now + std::chrono::milliseconds(static_cast<int>(PartMs));
       }
     }
     Now += 10ms;
     for (const auto &[Request, Done] : DoneAt)
       if (Now >= Done)
-        answer(Request);
+        beginAnswer(Request);
   }
   EXPECT_EQ(Started, 6U);
 }
 
-// Streams run on every engine. A part of a long prompt must not make a pass longer than they may
-// pause: all of them would be late for the sake of one.
-TEST_F(placer_story, NoPartOutlastsThePauseOfAStream) {
+// Every engine has streams. A part of a long prompt must not extend a pass beyond their allowed
+// gap, as that would delay all streams for one prompt.
+TEST_F(placer_fixture, PrefillPartsStayWithinTheGapsOfStreams) {
   for (std::size_t Count = 0; Count < 60; ++Count) {
-    arrive(5'000);
+    submitRequest(5'000);
     for (const work_placement &Placement : poll())
-      answer(Placement.Request);
+      beginAnswer(Placement.Request);
     Now += 40ms;
   }
-  arrive(154'000);
+  submitRequest(154'000);
   for (int Step = 0; Step < 100; ++Step) {
     for (const work_placement &Placement : poll()) {
-      const std::size_t Readers = Placement.Helpers.size() + 1;
-      const double Part = readMs(figures(), tokens(154'000)) / static_cast<double>(Readers);
-      const bool Alone = Part > 250 * 0.65;
-      EXPECT_FALSE(Alone && Placement.Request.value() <= 60) << Part;
+      const std::size_t PrefillEngines = Placement.Helpers.size() + 1;
+      const double PartMs =
+          prefillMs(figures(), tokens(154'000)) / static_cast<double>(PrefillEngines);
+      const bool IsLongerThanTheGap = PartMs > 250 * 0.65;
+      EXPECT_FALSE(IsLongerThanTheGap && Placement.Request.value() <= 60) << PartMs;
     }
     Now += 10ms;
   }
 }
 
-TEST_F(placer_story, ShortWorkIsPackedSoThatEnginesStayFree) {
-  std::set<backend_key> Used;
+TEST_F(placer_fixture, ShortWorkIsPacked) {
+  std::set<backend_key> UsedEngines;
   for (int Count = 0; Count < 24; ++Count) {
-    arrive(3'000);
+    submitRequest(3'000);
     for (const work_placement &Placement : poll()) {
-      Used.insert(Placement.Backend);
-      answer(Placement.Request);
+      UsedEngines.insert(Placement.Backend);
+      beginAnswer(Placement.Request);
     }
     Now += 60ms;
   }
-  EXPECT_LE(Used.size(), 4U) << "24 streams have room on two engines";
+  EXPECT_LE(UsedEngines.size(), 4U) << "two engines have slots for 24 streams";
 }
 
-// An entry dies. Its callers come back to this one within a moment, and count the time since their
-// last event. Packed, two dozen would wait for each other on two engines; they go on in a tenth of
-// a second where each takes the engine that can begin first.
-TEST_F(placer_story, StreamsThatBrokeOffGoOnWhereTheyCanFirst) {
+// After the failure of an entry, its callers resume their streams on this one at nearly the same
+// time, and measure the time since their last event. If packed, two dozen streams would wait for
+// each other on two engines. On the engines that can start first, they resume within a tenth of a
+// second.
+TEST_F(placer_fixture, ResumedStreamsUseTheEarliestEngines) {
   std::map<backend_key, int> Streams;
   for (int Count = 0; Count < 24; ++Count)
-    arrive(5'000, 250ms, true);
+    submitRequest(5'000, 250ms, true);
   for (const work_placement &Placement : poll()) {
     ++Streams[Placement.Backend];
     EXPECT_LT(Placement.ExpectedFirstToken, 100ms);
@@ -106,131 +109,131 @@
   EXPECT_EQ(Streams.size(), Engines);
 }
 
-// Long prompts are answered with a second between events at most, and an engine that writes one of
-// them may read for half a second beside it. Kept from that by the shortest gap of any route, each
-// answer took an engine for itself.
-TEST_F(placer_story, AnEngineReadsBesideItsStreamsAsLongAsTheirOwnGapsAllow) {
-  const request_number Writes = arrive(20'000, 1000ms);
-  const auto First = poll();
-  ASSERT_EQ(First.size(), 1U);
-  answer(Writes);
-  keepOnly(First[0].Backend);
-  arrive(50'000, 1000ms); // 512 ms alone
+// Answers to long prompts allow a gap of one second, so an engine that decodes one may prefill for
+// half a second meanwhile. If the shortest gap of any route applied instead, each answer would
+// occupy an engine alone.
+TEST_F(placer_fixture, PrefillMayTakeAsLongAsTheGapsOfTheStreamsOnTheEngine) {
+  const request_number DecodingRequest = submitRequest(20'000, 1000ms);
+  const auto FirstPlacements = poll();
+  ASSERT_EQ(FirstPlacements.size(), 1U);
+  beginAnswer(DecodingRequest);
+  removeAllExcept(FirstPlacements[0].Backend);
+  submitRequest(50'000, 1000ms); // Takes 512 ms on one engine.
   EXPECT_EQ(poll().size(), 1U);
 }
 
-TEST_F(placer_story, AnEngineThatWritesAShortAnswerReadsNothingLong) {
-  const request_number Writes = arrive(20'000, 250ms);
-  const auto First = poll();
-  ASSERT_EQ(First.size(), 1U);
-  answer(Writes);
-  keepOnly(First[0].Backend);
-  arrive(50'000, 1000ms);
+TEST_F(placer_fixture, EngineWithAShortGapStreamReceivesNoLongPrefill) {
+  const request_number DecodingRequest = submitRequest(20'000, 250ms);
+  const auto FirstPlacements = poll();
+  ASSERT_EQ(FirstPlacements.size(), 1U);
+  beginAnswer(DecodingRequest);
+  removeAllExcept(FirstPlacements[0].Backend);
+  submitRequest(50'000, 1000ms);
   EXPECT_TRUE(poll().empty());
 }
 
-// Five streams break off on one engine in the same moment. That is one failure of the engine: taken
-// for five in a row, a reset of its connections would keep it from all work for eight seconds.
-TEST_F(placer_story, FailuresWhileAnEnginePausesCountOnce) {
+// Five streams on one engine break off at the same time. This counts as one failure: as five
+// consecutive ones, a reset of the connections would cause a backoff of eight seconds.
+TEST_F(placer_fixture, FailuresDuringABackoffCountOnce) {
   std::vector<request_number> Streams;
-  for (std::size_t Place = 1; Place < Engines; ++Place)
-    Placer.removeBackend(listing(Place).Key);
+  for (std::size_t Index = 1; Index < Engines; ++Index)
+    Placer.removeBackend(makeListing(Index).Key);
   for (int Count = 0; Count < 5; ++Count) {
-    Streams.push_back(arrive(1'000));
+    Streams.push_back(submitRequest(1'000));
     ASSERT_EQ(poll().size(), 1U);
-    answer(Streams.back());
+    beginAnswer(Streams.back());
   }
   for (const request_number Stream : Streams) {
     attempt_report Report;
     Report.Failure = attempt_failure::BrokenMidway;
-    Placer.attemptEnded(attempt(Stream), Report, Now);
+    Placer.attemptEnded(attemptOf(Stream), Report, Now);
   }
-  Placer.updateBackend(listing(1));
-  Now += placement_tuning().FailurePause + 1ms;
-  std::set<backend_key> Used;
+  Placer.updateBackend(makeListing(1));
+  Now += placement_tuning().FailureBackoff + 1ms;
+  std::set<backend_key> UsedEngines;
   for (int Count = 0; Count < 20; ++Count) {
-    arrive(1'000);
+    submitRequest(1'000);
     for (const work_placement &Placement : poll())
-      Used.insert(Placement.Backend);
+      UsedEngines.insert(Placement.Backend);
   }
-  EXPECT_TRUE(Used.contains(listing(0).Key));
+  EXPECT_TRUE(UsedEngines.contains(makeListing(0).Key));
 }
 
-// Guards against engines that are paused because callers leave before their requests are sent.
-TEST_F(placer_story, AnEngineIsNotBlamedForARequestThatNobodyWaitsFor) {
-  keepOnly(listing(0).Key);
-  const request_number Left = arrive(1'000);
+// A caller that disconnects before its request is sent must not cause a backoff of the engine.
+TEST_F(placer_fixture, AbandonedRequestIsNoFailureOfTheEngine) {
+  removeAllExcept(makeListing(0).Key);
+  const request_number AbandonedRequest = submitRequest(1'000);
   ASSERT_EQ(poll().size(), 1U);
   attempt_report Report;
   Report.Failure = attempt_failure::NotWanted;
-  Placer.attemptEnded(attempt(Left), Report, Now);
-  arrive(1'000);
+  Placer.attemptEnded(attemptOf(AbandonedRequest), Report, Now);
+  submitRequest(1'000);
   EXPECT_EQ(poll().size(), 1U);
 }
 
-// An engine without power seems free of work, so that all short work would go there in the third of
-// a second until the next connection fails. After its pause it gets one request, and no other
-// before that one was answered.
-TEST_F(placer_story, AnEngineThatFailedIsTriedWithOneRequest) {
-  const request_number Broken = arrive(1'000);
-  const auto First = poll();
-  ASSERT_EQ(First.size(), 1U);
+// An engine without power appears idle, so all short work would go there in the third of a second
+// until the next connection fails. After its backoff it receives one request, and no other until
+// that one is answered.
+TEST_F(placer_fixture, FailedEngineReceivesOneTrialRequest) {
+  const request_number FailedRequest = submitRequest(1'000);
+  const auto FirstPlacements = poll();
+  ASSERT_EQ(FirstPlacements.size(), 1U);
   attempt_report Report;
   Report.Failure = attempt_failure::NotConnected;
-  Placer.attemptEnded(attempt(Broken), Report, Now);
-  Now += placement_tuning().FailurePause + 1ms;
-  std::vector<request_number> Trials;
+  Placer.attemptEnded(attemptOf(FailedRequest), Report, Now);
+  Now += placement_tuning().FailureBackoff + 1ms;
+  std::vector<request_number> TrialRequests;
   for (int Count = 0; Count < 40; ++Count) {
-    const request_number Number = arrive(1'000);
+    const request_number Number = submitRequest(1'000);
     for (const work_placement &Placement : poll())
-      if (Placement.Backend == First[0].Backend)
-        Trials.push_back(Number);
+      if (Placement.Backend == FirstPlacements[0].Backend)
+        TrialRequests.push_back(Number);
   }
-  ASSERT_EQ(Trials.size(), 1U);
-  answer(Trials[0]);
-  std::size_t Later = 0;
+  ASSERT_EQ(TrialRequests.size(), 1U);
+  beginAnswer(TrialRequests[0]);
+  std::size_t LaterCount = 0;
   for (int Count = 0; Count < 40; ++Count) {
-    arrive(1'000);
+    submitRequest(1'000);
     for (const work_placement &Placement : poll())
-      Later += Placement.Backend == First[0].Backend ? 1 : 0;
+      LaterCount += Placement.Backend == FirstPlacements[0].Backend ? 1 : 0;
   }
-  EXPECT_GT(Later, 1U);
+  EXPECT_GT(LaterCount, 1U);
 }
 
-// Another entry has just put a long read on most engines. This one must not book them again.
-TEST_F(placer_story, WhatOtherEntriesHaveUnderWayCounts) {
+// Another entry has just placed a long prefill on most engines. This entry must not use them too.
+TEST_F(placer_fixture, WorkOfOtherEntriesCounts) {
   std::vector<work_load> Loads;
-  for (std::size_t Place = 0; Place < 15; ++Place)
-    Loads.push_back({listing(Place).Key.Incarnation, 0, 0, 400, 0});
-  others(Loads);
-  arrive(154'000);
-  const auto Placed = poll();
-  ASSERT_EQ(Placed.size(), 1U);
-  EXPECT_EQ(Placed[0].Helpers.size(), 2U)
-      << "five are free, and two of them stay so for short work";
-  for (const backend_key &Helper : Placed[0].Helpers)
+  for (std::size_t Index = 0; Index < 15; ++Index)
+    Loads.push_back({makeListing(Index).Key.Incarnation, 0, 0, 400, 0});
+  setOthersLoads(Loads);
+  submitRequest(154'000);
+  const auto NewPlacements = poll();
+  ASSERT_EQ(NewPlacements.size(), 1U);
+  EXPECT_EQ(NewPlacements[0].Helpers.size(), 2U)
+      << "five engines are free, and two of them are kept for short work";
+  for (const backend_key &Helper : NewPlacements[0].Helpers)
     for (const work_load &Load : Loads)
       EXPECT_NE(Helper.Incarnation, Load.Incarnation);
 }
 
-/// Two entries that hear of each other only between polls.
-struct two_entries : placer_story {
+/// Two entries that exchange their loads only between polls.
+struct two_entries_fixture : placer_fixture {
   placer Other{host_name("entry-2"), 2};
 
   void SetUp() override {
-    placer_story::SetUp();
+    placer_fixture::SetUp();
     Other.applyDeclaration(declaration());
-    for (std::size_t Place = 0; Place < Engines; ++Place)
-      Other.updateBackend(listing(Place));
+    for (std::size_t Index = 0; Index < Engines; ++Index)
+      Other.updateBackend(makeListing(Index));
   }
-  /// Each hears what the other one has under way.
-  void tell() {
-    const auto Mine = Placer.ownLoads(Now);
-    others(Other.ownLoads(Now));
-    tellOthers(Other, Mine, Now);
+  /// Sends the loads of each entry to the other one.
+  void exchangeLoads() {
+    const auto PlacerLoads = Placer.ownLoads(Now);
+    setOthersLoads(Other.ownLoads(Now));
+    setOthersLoadsAt(Other, PlacerLoads, Now);
   }
-  /// @return How many engines were given parts of more than one of these.
-  static std::size_t shared(const std::vector<work_placement> &Placements) {
+  /// Returns the number of engines that are part of more than one placement.
+  static std::size_t sharedEngineCount(const std::vector<work_placement> &Placements) {
     std::map<backend_key, int> Count;
     for (const work_placement &Placement : Placements) {
       ++Count[Placement.Backend];
@@ -242,209 +245,210 @@
   }
 };
 
-// A long prompt comes to each of two entries in the same moment, and both see the same idle
-// engines. One of them is to be read at once; the other caller waits until engines are free, and
-// neither finds its first token behind the other's whole prompt.
-TEST_F(two_entries, DoNotReadTwoPromptsOnOneEngine) {
-  const request_number Request = arrive(154'000);
+// A long prompt arrives at each of two entries at the same time, and both see the same idle
+// engines. One prompt is placed immediately, and the other waits until engines are free, so that
+// neither waits for the whole prefill of the other on an engine.
+TEST_F(two_entries_fixture, DoNotPlaceTwoPrefillsOnOneEngine) {
+  const request_number Request = submitRequest(154'000);
   EXPECT_TRUE(succeeded(Other.submit(Items.at(Request), Now)));
-  std::vector<work_placement> Placed;
-  const auto Poll = [&] {
+  std::vector<work_placement> NewPlacements;
+  const auto PollBoth = [&] {
     for (placer *Entry : {&Placer, &Other})
       for (const work_placement &Placement : Entry->poll(Now).Placements) {
-        Entry->attemptStarted(attempt(Placement.Request), Items.at(Request), Placement.Backend,
+        Entry->attemptStarted(attemptOf(Placement.Request), Items.at(Request), Placement.Backend,
                               Now);
-        Placed.push_back(Placement);
+        NewPlacements.push_back(Placement);
       }
   };
-  Poll();
+  PollBoth();
   Now += 2ms;
-  tell();
-  Now += exchange_facts().ClaimSpan;
-  Poll();
-  tell();
-  EXPECT_GE(Placed.size(), 1U) << "one of them goes on";
-  Now += exchange_facts().ClaimSpan;
-  Poll();
-  EXPECT_EQ(shared(Placed), 0U);
+  exchangeLoads();
+  Now += load_exchange_stats().ClaimDelay;
+  PollBoth();
+  exchangeLoads();
+  EXPECT_GE(NewPlacements.size(), 1U) << "one entry keeps its claim";
+  Now += load_exchange_stats().ClaimDelay;
+  PollBoth();
+  EXPECT_EQ(sharedEngineCount(NewPlacements), 0U);
 }
 
-// A claim that nobody else has told of is acted upon once its time is over, and its engine is not
-// given away meanwhile. One whose caller has left is forgotten.
-TEST_F(placer_story, AClaimHoldsAfterItsTime) {
-  const request_number Request = arrive(154'000);
+// A claim without a conflict takes effect after the claim delay, and its engines stay reserved
+// until then. The claim of a withdrawn request is dropped.
+TEST_F(placer_fixture, ClaimTakesEffectAfterItsDelay) {
+  const request_number Request = submitRequest(154'000);
   EXPECT_TRUE(pollOnce().empty());
-  EXPECT_FALSE(Placer.ownLoads(Now).empty()) << "the others are told before it starts";
+  EXPECT_FALSE(Placer.ownLoads(Now).empty()) << "the claim is published before it takes effect";
   ASSERT_TRUE(Placer.nextWake());
-  EXPECT_EQ(*Placer.nextWake(), Now + exchange_facts().ClaimSpan);
+  EXPECT_EQ(*Placer.nextWake(), Now + load_exchange_stats().ClaimDelay);
   Now = *Placer.nextWake();
   EXPECT_EQ(pollOnce().size(), 1U);
-  end(Request);
-  const request_number Left = arrive(154'000);
+  completeAttempt(Request);
+  const request_number AbandonedRequest = submitRequest(154'000);
   EXPECT_TRUE(pollOnce().empty());
-  Placer.withdraw(Left);
+  Placer.withdraw(AbandonedRequest);
   EXPECT_TRUE(Placer.ownLoads(Now).empty());
-  Now += exchange_facts().ClaimSpan;
+  Now += load_exchange_stats().ClaimDelay;
   EXPECT_TRUE(pollOnce().empty());
 }
 
-// The engine that a claim named leaves before it is acted upon: the work is placed elsewhere.
-TEST_F(placer_story, AClaimOnAnEngineThatLeavesIsMadeAnew) {
-  arrive(154'000);
+// If an engine of a claim leaves before the claim takes effect, the work is placed elsewhere.
+TEST_F(placer_fixture, ClaimOnALeavingEngineIsRepeated) {
+  submitRequest(154'000);
   EXPECT_TRUE(pollOnce().empty());
-  for (std::size_t Place = 0; Place < Engines; Place += 2)
-    Placer.removeBackend(listing(Place).Key);
-  Now += exchange_facts().ClaimSpan;
+  for (std::size_t Index = 0; Index < Engines; Index += 2)
+    Placer.removeBackend(makeListing(Index).Key);
+  Now += load_exchange_stats().ClaimDelay;
   EXPECT_TRUE(pollOnce().empty());
-  Now += exchange_facts().ClaimSpan;
-  const auto Placed = pollOnce();
-  ASSERT_EQ(Placed.size(), 1U);
-  EXPECT_LT(Placed[0].Helpers.size(), Engines / 2);
+  Now += load_exchange_stats().ClaimDelay;
+  const auto NewPlacements = pollOnce();
+  ASSERT_EQ(NewPlacements.size(), 1U);
+  EXPECT_LT(NewPlacements[0].Helpers.size(), Engines / 2);
 }
 
-TEST_F(placer_story, ASilentEntrysWorkCountsNoLonger) {
+TEST_F(placer_fixture, WorkOfAnUnresponsiveEntryExpires) {
   std::vector<work_load> Loads;
-  for (std::size_t Place = 0; Place < Engines; ++Place)
-    Loads.push_back({listing(Place).Key.Incarnation, 16, 16, 5'000, 300'000});
-  others(Loads);
-  arrive(5'000);
+  for (std::size_t Index = 0; Index < Engines; ++Index)
+    Loads.push_back({makeListing(Index).Key.Incarnation, 16, 16, 5'000, 300'000});
+  setOthersLoads(Loads);
+  submitRequest(5'000);
   EXPECT_TRUE(poll().empty());
   Now += 1100ms;
   EXPECT_EQ(poll().size(), 1U);
 }
 
-// The fleet is idle, and a prompt that takes 33 engine-seconds comes. Read by all seventeen engines
-// it would be done in two seconds, in which each short prompt finds every engine busy, waits for
-// its whole target and is late. Two engines are left out of it: the short ones that follow begin at
-// once.
-TEST_F(placer_story, AnEnormousPromptLeavesRoomForShortOnes) {
-  for (std::size_t Place = 17; Place < Engines; ++Place)
-    Placer.removeBackend(listing(Place).Key);
-  arrive(570'000, 1'000ms);
-  const auto Enormous = poll();
-  ASSERT_EQ(Enormous.size(), 1U);
-  EXPECT_EQ(Enormous[0].Helpers.size(), 14U);
+// A prompt that takes 33 engine-seconds arrives at an idle fleet. Split over all seventeen engines,
+// its prefill takes two seconds, in which each short prompt finds every engine busy and misses its
+// target. With two engines left out, the following short prompts start immediately.
+TEST_F(placer_fixture, VeryLongPromptKeepsHeadroomForShortOnes) {
+  for (std::size_t Index = 17; Index < Engines; ++Index)
+    Placer.removeBackend(makeListing(Index).Key);
+  submitRequest(570'000, 1'000ms);
+  const auto LongPlacements = poll();
+  ASSERT_EQ(LongPlacements.size(), 1U);
+  EXPECT_EQ(LongPlacements[0].Helpers.size(), 14U);
   for (int Count = 0; Count < 10; ++Count) {
     Now += 50ms;
-    arrive(5'000);
-    const auto Placed = poll();
-    ASSERT_EQ(Placed.size(), 1U) << Count;
-    EXPECT_LT(Placed[0].ExpectedFirstToken, 200ms);
-    answer(Placed[0].Request);
+    submitRequest(5'000);
+    const auto NewPlacements = poll();
+    ASSERT_EQ(NewPlacements.size(), 1U) << Count;
+    EXPECT_LT(NewPlacements[0].ExpectedFirstToken, 200ms);
+    beginAnswer(NewPlacements[0].Request);
   }
 }
 
-// Of a few engines none is kept back: a long prompt would wait for good.
-TEST_F(placer_story, ALongPromptRunsWhereThereIsOneEngineOnly) {
-  keepOnly(listing(3).Key);
-  arrive(60'000, 1'000ms);
+// With few engines, none is kept free, as a long prompt would wait forever otherwise.
+TEST_F(placer_fixture, LongPromptRunsOnTheOnlyEngine) {
+  removeAllExcept(makeListing(3).Key);
+  submitRequest(60'000, 1'000ms);
   EXPECT_EQ(poll().size(), 1U);
 }
 
-// A prompt that no engine can keep: the first one keeps what it can, others the rest, and no engine
-// is asked for more than it has.
-TEST_F(placer_story, APromptOverOneEnginesMemoryIsKeptBySeveral) {
-  arrive(500'000);
-  const auto Placed = poll();
-  ASSERT_EQ(Placed.size(), 1U);
-  ASSERT_FALSE(Placed[0].Holds.empty());
-  std::int64_t Held = 0;
-  for (const memory_hold &Hold : Placed[0].Holds) {
+// If a prompt exceeds the memory of one engine, the first engine holds as much as it can and others
+// hold the rest. No engine is asked for more than it has.
+TEST_F(placer_fixture, PromptLargerThanOneEnginesMemoryIsHeldBySeveral) {
+  submitRequest(500'000);
+  const auto NewPlacements = poll();
+  ASSERT_EQ(NewPlacements.size(), 1U);
+  ASSERT_FALSE(NewPlacements[0].Holds.empty());
+  std::int64_t HeldTokenSum = 0;
+  for (const memory_hold &Hold : NewPlacements[0].Holds) {
     EXPECT_LE(Hold.Amount.value(), 315'000);
-    EXPECT_NE(Hold.Backend, Placed[0].Backend);
-    EXPECT_NE(std::find(Placed[0].Helpers.begin(), Placed[0].Helpers.end(), Hold.Backend),
-              Placed[0].Helpers.end());
-    Held += Hold.Amount.value();
+    EXPECT_NE(Hold.Backend, NewPlacements[0].Backend);
+    EXPECT_NE(
+        std::find(NewPlacements[0].Helpers.begin(), NewPlacements[0].Helpers.end(), Hold.Backend),
+        NewPlacements[0].Helpers.end());
+    HeldTokenSum += Hold.Amount.value();
   }
-  EXPECT_GE(Held + 315'000, 501'000);
+  EXPECT_GE(HeldTokenSum + 315'000, 501'000);
 }
 
-TEST_F(placer_story, APromptOverAllMemoryIsRefusedAtOnce) {
+TEST_F(placer_fixture, PromptLargerThanAllMemoryIsRefused) {
   work_item Item;
   Item.Request = request_number(1);
   Item.Groups = {{group_name("llm"), 1}};
   Item.Prompt = tokens(2'000'000);
   Item.Arrived = Now;
   Item.Deadline = Now + 10s;
-  const auto Refused = Placer.submit(Item, Now);
-  ASSERT_FALSE(succeeded(Refused));
-  EXPECT_EQ(errorOf(Refused).Reason, failure_reason::TooLargeForFleet);
+  const auto Result = Placer.submit(Item, Now);
+  ASSERT_FALSE(succeeded(Result));
+  EXPECT_EQ(errorOf(Result).Reason, failure_reason::TooLargeForFleet);
 }
 
-TEST_F(placer_story, AnEngineThatFailsIsLeftAloneForAWhile) {
-  arrive(5'000);
-  const auto First = poll();
-  ASSERT_EQ(First.size(), 1U);
+TEST_F(placer_fixture, FailedEngineIsInBackoff) {
+  submitRequest(5'000);
+  const auto FirstPlacements = poll();
+  ASSERT_EQ(FirstPlacements.size(), 1U);
   attempt_report Report;
   Report.Failure = attempt_failure::NotConnected;
-  Placer.attemptEnded(attempt(First[0].Request), Report, Now);
+  Placer.attemptEnded(attemptOf(FirstPlacements[0].Request), Report, Now);
   for (int Count = 0; Count < 10; ++Count) {
-    arrive(5'000);
+    submitRequest(5'000);
     for (const work_placement &Placement : poll())
-      EXPECT_NE(Placement.Backend, First[0].Backend);
+      EXPECT_NE(Placement.Backend, FirstPlacements[0].Backend);
   }
 }
 
-// A helper has died. The engine that was to answer refuses and names it: another attempt with the
-// same helper would be refused in the same way, and that was the last one.
-TEST_F(placer_story, AHelperThatIsNamedAsTheCauseIsLeftAlone) {
-  arrive(154'000);
-  const auto First = poll();
-  ASSERT_EQ(First.size(), 1U);
-  const backend_key Dead = First[0].Helpers.front();
+// After the failure of a helper, the answering engine declines and names the helper. The next
+// attempt, which is the last one, would be declined too if it used the same helper.
+TEST_F(placer_fixture, HelperAtFaultIsInBackoff) {
+  submitRequest(154'000);
+  const auto FirstPlacements = poll();
+  ASSERT_EQ(FirstPlacements.size(), 1U);
+  const backend_key DeadHelper = FirstPlacements[0].Helpers.front();
   attempt_report Report;
   Report.Failure = attempt_failure::Declined;
-  Report.AtFault = Dead.Address;
-  Placer.attemptEnded(attempt(First[0].Request), Report, Now);
-  arrive(154'000);
-  const auto Second = poll();
-  ASSERT_EQ(Second.size(), 1U);
-  EXPECT_NE(Second[0].Backend, Dead);
-  EXPECT_EQ(std::count(Second[0].Helpers.begin(), Second[0].Helpers.end(), Dead), 0);
+  Report.AtFault = DeadHelper.Address;
+  Placer.attemptEnded(attemptOf(FirstPlacements[0].Request), Report, Now);
+  submitRequest(154'000);
+  const auto SecondPlacements = poll();
+  ASSERT_EQ(SecondPlacements.size(), 1U);
+  EXPECT_NE(SecondPlacements[0].Backend, DeadHelper);
+  EXPECT_EQ(std::count(SecondPlacements[0].Helpers.begin(), SecondPlacements[0].Helpers.end(),
+                       DeadHelper),
+            0);
 }
 
-// An engine dies 3.5 s after the request came, in the middle of its answer. The rest is to come
-// from another engine at once; the time that the request has had already is no reason to refuse it.
-// Where no engine is free it goes on waiting: a refusal would cut an answer that the caller has
-// half of.
-TEST_F(placer_story, AnAnswerThatBreaksOffLateIsNotRefusedForItsAge) {
-  const request_number Request = arrive(5'000);
+// An engine fails 3.5 s after the request arrived, in the middle of the answer. Another engine must
+// resume it immediately; the age of the request is no reason to refuse it. If no engine is free, it
+// keeps waiting, because a refusal would truncate an answer that the caller has half of.
+TEST_F(placer_fixture, ResumedAnswerIsNotRefusedForItsAge) {
+  const request_number Request = submitRequest(5'000);
   ASSERT_EQ(poll().size(), 1U);
-  answer(Request);
+  beginAnswer(Request);
   Now += 3500ms;
-  end(Request);
-  work_item Rest = Items.at(Request);
-  Rest.Resumed = true;
+  completeAttempt(Request);
+  work_item ResumedItem = Items.at(Request);
+  ResumedItem.Resumed = true;
   std::vector<work_load> Loads;
-  for (std::size_t Place = 0; Place < Engines; ++Place)
-    Loads.push_back({listing(Place).Key.Incarnation, 16, 16, 5'000, 300'000});
-  others(Loads);
-  EXPECT_TRUE(succeeded(Placer.submit(Rest, Now)));
+  for (std::size_t Index = 0; Index < Engines; ++Index)
+    Loads.push_back({makeListing(Index).Key.Incarnation, 16, 16, 5'000, 300'000});
+  setOthersLoads(Loads);
+  EXPECT_TRUE(succeeded(Placer.submit(ResumedItem, Now)));
   EXPECT_TRUE(Placer.poll(Now).Expiries.empty());
-  others({});
+  setOthersLoads({});
   EXPECT_EQ(poll().size(), 1U);
 }
 
-// The first attempt failed after 3.5 s without a byte of an answer. The second one may wait as long
-// as the first one could have.
-TEST_F(placer_story, ASecondAttemptHasItsOwnTimeToWait) {
-  const request_number Request = arrive(5'000);
+// The first attempt fails after 3.5 s without any byte of an answer. The second attempt has the
+// same maximum wait as the first.
+TEST_F(placer_fixture, RetryHasItsOwnWaitTime) {
+  const request_number Request = submitRequest(5'000);
   ASSERT_EQ(poll().size(), 1U);
   Now += 3500ms;
-  end(Request);
+  completeAttempt(Request);
   EXPECT_TRUE(succeeded(Placer.submit(Items.at(Request), Now)));
   const poll_outcome Outcome = Placer.poll(Now);
   EXPECT_TRUE(Outcome.Expiries.empty());
   EXPECT_EQ(Outcome.Placements.size(), 1U);
 }
 
-TEST_F(placer_story, WhatFindsNoPlaceIsRefusedWithATimeToComeBack) {
+TEST_F(placer_fixture, RequestWithoutAFreeSlotIsRefusedWithARetryTime) {
   std::vector<work_load> Loads;
-  for (std::size_t Place = 0; Place < Engines; ++Place)
-    Loads.push_back({listing(Place).Key.Incarnation, 16, 16, 0, 300'000});
-  arrive(5'000);
+  for (std::size_t Index = 0; Index < Engines; ++Index)
+    Loads.push_back({makeListing(Index).Key.Incarnation, 16, 16, 0, 300'000});
+  submitRequest(5'000);
   for (int Step = 0; Step < 35; ++Step) {
-    others(Loads);
+    setOthersLoads(Loads);
     const poll_outcome Outcome = Placer.poll(Now);
     EXPECT_TRUE(Outcome.Placements.empty());
     if (!Outcome.Expiries.empty()) {
@@ -453,39 +457,39 @@
     }
     Now += 100ms;
   }
-  ADD_FAILURE() << "it waits for good";
+  ADD_FAILURE() << "the request was never refused";
 }
 
-/// One engine is left and reads for another entry; a short prompt waits until it is refused.
-struct refused_work : placer_story {
+/// The only engine runs the prefill of another entry, and a short prompt waits until it is refused.
+struct refused_request_fixture : placer_fixture {
   void SetUp() override {
-    placer_story::SetUp();
-    keepOnly(listing(0).Key);
-    arrive(5'000);
+    placer_fixture::SetUp();
+    removeAllExcept(makeListing(0).Key);
+    submitRequest(5'000);
   }
-  /// @param ReadMs What the engine still has to read when 0.3 of the request's 10 s have passed.
-  std::chrono::seconds toldToReturn(std::uint32_t ReadMs) {
+  /// @param PrefillMs Pending prefill of the engine when 0.3 of the request's 10 s have passed.
+  std::chrono::seconds retryAfterRefusal(std::uint32_t PrefillMs) {
     Now += 3s;
-    others({{listing(0).Key.Incarnation, 1, 0, ReadMs, 200'000, 0}});
+    setOthersLoads({{makeListing(0).Key.Incarnation, 1, 0, PrefillMs, 200'000, 0}});
     const poll_outcome Outcome = Placer.poll(Now);
     EXPECT_EQ(Outcome.Expiries.size(), 1U);
     return Outcome.Expiries.at(0).Refusal.RetryAfter.value();
   }
 };
 
-// A prompt of which some seconds are still to be read fills the only engine. Told to come back
-// after one second, the caller would wait again for 0.3 of its time and be refused for good.
-TEST_F(refused_work, IsToldToComeBackWhenWhatIsBeforeItCanBeDone) {
-  EXPECT_EQ(toldToReturn(2'200), 2s);
+// A prompt with some seconds of pending prefill occupies the only engine. If the caller retried
+// after one second, it would wait again for 0.3 of its time and finally be refused.
+TEST_F(refused_request_fixture, MayRetryWhenTheWorkAheadIsDone) {
+  EXPECT_EQ(retryAfterRefusal(2'200), 2s);
 }
 
-// Its caller comes back only within a third of the 7 s that it has left.
-TEST_F(refused_work, IsNotToldToComeBackLaterThanItsCallerWould) {
-  EXPECT_EQ(toldToReturn(60'000), 2s);
+// The caller retries only within a third of its remaining 7 s.
+TEST_F(refused_request_fixture, MayRetryWithinTheTimeLimitOfItsCaller) {
+  EXPECT_EQ(retryAfterRefusal(60'000), 2s);
 }
 
-TEST_F(refused_work, IsToldToComeBackSoonWhereLittleIsBeforeIt) {
-  EXPECT_EQ(toldToReturn(400), 1s);
+TEST_F(refused_request_fixture, MayRetrySoonIfLittleWorkIsAhead) {
+  EXPECT_EQ(retryAfterRefusal(400), 1s);
 }
 
 } // namespace
--- a/tests/scheduling/learning_test.cpp
+++ b/tests/scheduling/learning_test.cpp
@@ -1,4 +1,4 @@
-/** @file learning_test.cpp What is learnt of engines: speed, pending prefill, prefixes, tokens. */
+/** @file learning_test.cpp Tests of learned engine speed, pending prefill, prefixes and tokens. */
 #include "scheduling/scheduling.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 const backend_key EngineA{backend_address("10.0.0.1:80"), incarnation(1)};
 const backend_key EngineB{backend_address("10.0.0.2:80"), incarnation(1)};
 
-TEST(CostModel, LearnsTheRateAndIsNotMovedFarByOneOutlier) {
+TEST(CostModel, LearnsTheRateDespiteAnOutlier) {
   cost_model Model;
   for (int Sample = 0; Sample < 60; ++Sample)
     Model.observePrefill(20'000, 1s + std::chrono::milliseconds(30));
@@ -38,32 +38,32 @@
   }
 }
 
-TEST(PrefillLedger, DoesNotCountOwnWorkTwiceOnceTheReportHasIt) {
+TEST(PrefillTracker, CountsOwnWorkInAReportOnce) {
   const mono_time Now{1000s};
-  prefill_ledger Ledger;
-  Ledger.add(1, length_class::Medium, 10'000, false, Now);
-  Ledger.report(10'000, Now + 300ms);
-  EXPECT_LE(Ledger.pending(Now + 300ms, 10'000), 10'000);
+  prefill_tracker Tracker;
+  Tracker.add(1, length_class::Medium, 10'000, false, Now);
+  Tracker.applyReport(10'000, Now + 300ms);
+  EXPECT_LE(Tracker.pendingTokens(Now + 300ms, 10'000), 10'000);
 }
 
-TEST(PrefillLedger, ShortWorkPassesLongWorkOnlyWhereTheEngineHonoursPriorities) {
+TEST(PrefillTracker, ShortWorkOvertakesLongWorkOnlyIfTheEngineSupportsPriorities) {
   const mono_time Now{1000s};
-  prefill_ledger Ledger;
-  Ledger.add(1, length_class::Long, 200'000, false, Now);
-  EXPECT_EQ(Ledger.ahead(length_class::Short, true, Now, 10'000), 0);
-  EXPECT_EQ(Ledger.ahead(length_class::Short, false, Now, 10'000), 200'000);
+  prefill_tracker Tracker;
+  Tracker.add(1, length_class::Long, 200'000, false, Now);
+  EXPECT_EQ(Tracker.tokensAhead(length_class::Short, true, Now, 10'000), 0);
+  EXPECT_EQ(Tracker.tokensAhead(length_class::Short, false, Now, 10'000), 200'000);
 }
 
-TEST(PrefillLedger, TakesALargeUnexplainedReportForAnotherHostsLongPrompt) {
+TEST(PrefillTracker, CountsALargeReportAsALongPromptOfAnotherHost) {
   const mono_time Now{1000s};
-  prefill_ledger Ledger;
-  Ledger.report(150'000, Now);
-  EXPECT_EQ(Ledger.longs(Now, 10'000), 1U);
-  EXPECT_EQ(Ledger.ahead(length_class::Short, true, Now, 10'000), 0);
+  prefill_tracker Tracker;
+  Tracker.applyReport(150'000, Now);
+  EXPECT_EQ(Tracker.longPromptCount(Now, 10'000), 1U);
+  EXPECT_EQ(Tracker.tokensAhead(length_class::Short, true, Now, 10'000), 0);
 }
 
-TEST(Affinity, FindsTheDeepestKnownChunkAndForgetsEnginesAndOldHashes) {
-  affinity Affinity(3);
+TEST(PrefixAffinity, FindsTheLongestKnownPrefixAndErasesEnginesAndOldHashes) {
+  prefix_affinity Affinity(3);
   Affinity.record({1, 2}, EngineA);
   const auto Found = Affinity.find({1, 2, 8, 9});
   ASSERT_TRUE(Found.has_value());
@@ -72,28 +72,28 @@
   Affinity.record({5, 6, 7}, EngineB);
   EXPECT_EQ(Affinity.size(), 3U);
   EXPECT_FALSE(Affinity.find({1, 2}).has_value());
-  Affinity.forget(EngineB);
+  Affinity.eraseBackend(EngineB);
   EXPECT_EQ(Affinity.size(), 0U);
 }
 
-TEST(ConcurrencyLimit, FallsWhileAnswersAreTooSlowAndRisesWhenItBinds) {
+TEST(ConcurrencyLimit, FallsIfAnswersAreTooSlowAndRisesIfReached) {
   concurrency_limit Limit;
-  Limit.need(0.1);
-  Limit.observe(0.2);
-  const double Start = Limit.value();
+  Limit.observeRequiredPace(0.1);
+  Limit.observePace(0.2);
+  const double InitialLimit = Limit.value();
   Limit.adjust(false);
-  EXPECT_LT(Limit.value(), Start);
+  EXPECT_LT(Limit.value(), InitialLimit);
   for (int Sample = 0; Sample < 1'000; ++Sample)
-    Limit.observe(0.02);
-  const double Low = Limit.value();
+    Limit.observePace(0.02);
+  const double LowLimit = Limit.value();
   Limit.adjust(false);
-  EXPECT_EQ(Limit.value(), Low) << "not raised where nothing was held back";
+  EXPECT_EQ(Limit.value(), LowLimit) << "not raised if the limit delayed no work";
   Limit.adjust(true);
-  EXPECT_GT(Limit.value(), Low);
+  EXPECT_GT(Limit.value(), LowLimit);
 }
 
-TEST(LongPlacement, TakesDomainsInTurnAndGivesEveryHostTheSameOrder) {
-  std::vector<long_candidate> Candidates;
+TEST(LongPlacement, AlternatesDomainsInAnOrderIndependentOfTheInput) {
+  std::vector<long_work_candidate> Candidates;
   Candidates.reserve(9);
   for (int Number = 0; Number < 9; ++Number)
     Candidates.push_back({{backend_address("e" + std::to_string(Number)), incarnation(1)},
@@ -102,19 +102,20 @@
   std::reverse(Candidates.begin(), Candidates.end());
   EXPECT_EQ(longWorkOrder(Candidates), Order);
   std::set<char> Domains;
-  for (std::size_t Place = 0; Place < 3; ++Place)
-    Domains.insert(static_cast<char>((Order[Place].Address.str()[1] - '0') % 3));
+  for (std::size_t Position = 0; Position < 3; ++Position)
+    Domains.insert(static_cast<char>((Order[Position].Address.str()[1] - '0') % 3));
   EXPECT_EQ(Domains.size(), 3U);
 }
 
-TEST(LongPlacement, KeepsEnginesClearUpToTheDeclaredShare) {
+TEST(LongPlacement, LimitsLongEnginesToTheDeclaredShare) {
   EXPECT_EQ(longEngineCount(18, 0.5, 0.9), 9U);
   EXPECT_EQ(longEngineCount(18, 0.5, 0.1), 3U);
-  EXPECT_EQ(longEngineCount(2, 0.1, 0.0), 1U) << "one at least, or long work never starts";
+  EXPECT_EQ(longEngineCount(2, 0.1, 0.0), 1U)
+      << "at least one engine, otherwise long work never starts";
   EXPECT_EQ(longEngineCount(0, 0.5, 0.5), 0U);
 }
 
-TEST(TokenEstimator, LearnsEachModelAndBelievesAHintOnlyNearby) {
+TEST(TokenEstimator, LearnsEachModelAndLimitsHints) {
   token_estimator Estimator;
   const model_name Model("m");
   EXPECT_EQ(Estimator.estimate(Model, byte_count(4'000)), tokens(1'000));
--- a/tests/scheduling/scheduler_fixture.h
+++ b/tests/scheduling/scheduler_fixture.h
@@ -1,4 +1,4 @@
-/** @file scheduler_fixture.h A scheduler with a small fleet, and short ways to work it. */
+/** @file scheduler_fixture.h Test fixture with a scheduler and a small fleet. */
 #ifndef POLLENSTALL_TESTS_SCHEDULING_SCHEDULER_FIXTURE_H
 #define POLLENSTALL_TESTS_SCHEDULING_SCHEDULER_FIXTURE_H
 
@@ -22,15 +22,15 @@
     Scheduler.applyDeclaration(Declaration);
   }
 
-  static backend_key engineKey(int Number) {
-    return {backend_address("10.0.0." + std::to_string(Number) + ":80"), incarnation(1)};
+  static backend_key engineKey(int EngineNumber) {
+    return {backend_address("10.0.0." + std::to_string(EngineNumber) + ":80"), incarnation(1)};
   }
 
-  static backend_view engine(int Number, std::int64_t MemoryTokens = 400'000) {
+  static backend_view engine(int EngineNumber, std::int64_t MemoryTokens = 400'000) {
     backend_view View;
-    View.Announcement.Key = engineKey(Number);
+    View.Announcement.Key = engineKey(EngineNumber);
     View.Announcement.Service = service_name("llm");
-    View.Announcement.Domain = failure_domain_name("d" + std::to_string(Number % 3));
+    View.Announcement.Domain = failure_domain_name("d" + std::to_string(EngineNumber % 3));
     View.Announcement.Models = {model_name("m")};
     View.Announcement.Capabilities.Priorities = true;
     View.Announcement.Memory = memory_blocks(MemoryTokens / 16);
@@ -38,11 +38,11 @@
   }
 
   void addEngines(int Count) {
-    for (int Number = 1; Number <= Count; ++Number)
-      Scheduler.updateBackend(engine(Number), Now);
+    for (int EngineNumber = 1; EngineNumber <= Count; ++EngineNumber)
+      Scheduler.updateBackend(engine(EngineNumber), Now);
   }
 
-  work_item work(std::int64_t Prompt, const std::string &Account = "club") {
+  work_item makeWork(std::int64_t Prompt, const std::string &Account = "club") {
     work_item Item;
     Item.Request = request_number(++LastRequest);
     Item.Account = client_account_name(Account);
@@ -57,7 +57,7 @@
   }
 
   work_item plainCall() {
-    work_item Item = work(0);
+    work_item Item = makeWork(0);
     Item.Service = service_name("clips");
     Item.Model = model_name();
     Item.Groups = {{group_name("plain"), 1}};
@@ -72,7 +72,7 @@
     return errorOf(Result).Reason;
   }
 
-  /// Submits and polls. @return Where it was placed, or an empty key.
+  /// Submits and polls. @return The backend server of the placement, or an empty key.
   backend_key placeNow(const work_item &Item) {
     EXPECT_EQ(submit(Item), std::nullopt);
     for (const work_placement &Placement : Scheduler.poll(Now).Placements)
--- a/tests/work_share/work_board_test.cpp
+++ b/tests/work_share/work_board_test.cpp
@@ -128,7 +128,7 @@
     Net.run(10ms);
   }
   EXPECT_LE(Net.sent(0).Datagrams, 7U);
-  EXPECT_NEAR(Net.thinks(4, 1).ReadMs, 2'780, 30);
+  EXPECT_NEAR(Net.thinks(4, 1).PrefillMs, 2'780, 30);
 }
 
 // ---- Many entries. ----
@@ -184,7 +184,7 @@
     Net.has(Claimer, {board_network::load(150 + Step, 1, 900)}, true);
     Net.run(5ms);
     for (std::size_t Entry = 0; Entry < Net.size(); ++Entry)
-      ASSERT_TRUE(Entry == Claimer || Net.thinks(Entry, 150 + Step).ReadMs > 800)
+      ASSERT_TRUE(Entry == Claimer || Net.thinks(Entry, 150 + Step).PrefillMs > 800)
           << Step << " at " << Entry;
   }
 }
@@ -195,14 +195,14 @@
   board_network Net(59, 3);
   Net.run(600ms);
   work_load First = board_network::load(4, 1, 500);
-  First.FirstReader = 77;
+  First.LowestPrecedence = 77;
   work_load Second = First;
-  Second.FirstReader = 99;
+  Second.LowestPrecedence = 99;
   Net.has(1, {Second});
   Net.has(40, {First});
   Net.run(100ms);
-  EXPECT_EQ(Net.thinks(20, 4).FirstReader, 77U);
-  EXPECT_EQ(Net.thinks(40, 4).FirstReader, 99U);
+  EXPECT_EQ(Net.thinks(20, 4).LowestPrecedence, 77U);
+  EXPECT_EQ(Net.thinks(40, 4).LowestPrecedence, 99U);
 }
 
 // The model counts bytes by this size.
