--- a/src/fleet_model/entry_policy.cpp
+++ b/src/fleet_model/entry_policy.cpp
@@ -105,7 +105,7 @@
         Loads.push_back({Key.Incarnation, Count.Own, 0, 0, 0, 0, 0});
     return Loads;
   }
-  void takeOthersLoads(const std::vector<work_load> &Loads) {
+  void updateOthersLoads(const std::vector<work_load> &Loads) {
     for (auto &[Key, Count] : Counts)
       for (const work_load &Load : Loads)
         if (Load.Incarnation == Key.Incarnation)
--- a/src/work_share/work_report_codec.cpp
+++ b/src/work_share/work_report_codec.cpp
@@ -20,14 +20,14 @@
 struct packed_load {
   incarnation Incarnation;
   std::uint8_t Requests{0};
-  std::uint8_t Writers{0};
-  std::uint16_t ReadMs{0};
+  std::uint8_t DecodingRequests{0};
+  std::uint16_t PrefillMs{0};
   std::uint16_t MemoryUnits{0};
   std::uint16_t GapMs{0};
-  std::uint32_t FirstReader{0};
+  std::uint32_t LowestPrecedence{0};
 
   template <typename Archive> void serialize(Archive &Into) {
-    Into(Incarnation, Requests, Writers, ReadMs, MemoryUnits, GapMs, FirstReader);
+    Into(Incarnation, Requests, DecodingRequests, PrefillMs, MemoryUnits, GapMs, LowestPrecedence);
   }
 };
 
@@ -60,11 +60,11 @@
   work_load Load;
   Load.Incarnation = Packed.Incarnation;
   Load.Requests = Packed.Requests;
-  Load.Writers = Packed.Writers;
-  Load.ReadMs = Packed.ReadMs;
+  Load.DecodingRequests = Packed.DecodingRequests;
+  Load.PrefillMs = Packed.PrefillMs;
   Load.Tokens = Packed.MemoryUnits * MemoryUnit;
   Load.GapMs = Packed.GapMs;
-  Load.FirstReader = Packed.FirstReader;
+  Load.LowestPrecedence = Packed.LowestPrecedence;
   return Load;
 }
 
