--- a/bench/decision/work_bench.cpp
+++ b/bench/decision/work_bench.cpp
@@ -94,7 +94,7 @@
     TakeUs += cpuMicroseconds() - Before;
   }
 
-  void tellPlacement() { Placer.takeOthersLoads(Board.changedPeerLoads(Now), Now); }
+  void tellPlacement() { Placer.updateOthersLoads(Board.changedPeerLoads(Now), Now); }
 
   void oneDecision() {
     Now += 10ms;
--- a/programs/pollenstall-entry/decision_seam_base.h
+++ b/programs/pollenstall-entry/decision_seam_base.h
@@ -43,8 +43,8 @@
   void take(const backends_listed &Listed, mono_time Now);
   /// What all other entries have under way, where that changed, and how it is told.
   void takeOthers(const peer_work_update &Others, mono_time Now) {
-    Placer.useExchange(Others.Facts);
-    Placer.takeOthersLoads(Others.ChangedLoads, Now);
+    Placer.updateExchange(Others.Facts);
+    Placer.updateOthersLoads(Others.ChangedLoads, Now);
   }
   [[nodiscard]] std::vector<work_load> ownLoads(mono_time Now) const {
     return Placer.ownLoads(Now);
--- a/src/claim/claim.cpp
+++ b/src/claim/claim.cpp
@@ -24,7 +24,7 @@
 void claim_table::insert(const claim_record &Record) {
   Claims.emplace(Record.Key, Record);
   ByExpiry.emplace(Record.ExpiresAt, Record.Key);
-  if (Record.Standing == claim_standing::Released)
+  if (Record.Standing == claim_state::Released)
     ReleasedByExpiry.emplace(Record.ExpiresAt, Record.Key);
 }
 
--- a/src/claim/claim_base.h
+++ b/src/claim/claim_base.h
@@ -28,7 +28,7 @@
 
   /// @return The verdict that execute() would return. A request that repeats its acquire gets the
   /// same verdict.
-  [[nodiscard]] result<claim_verdict, claim_error> check(const claim_acquire &Command) const;
+  [[nodiscard]] result<claim_status, claim_error> check(const claim_acquire &Command) const;
   [[nodiscard]] result<done, claim_error> check(const claim_settle &Command) const;
   [[nodiscard]] result<done, claim_error> check(const claim_expire &Command) const;
 
--- a/src/claim/claim_cmd.cpp
+++ b/src/claim/claim_cmd.cpp
@@ -8,29 +8,29 @@
 /// Claims that one command removes at most; more would delay the other commands of the log.
 constexpr std::size_t MaxExpiredPerCommand = 10'000;
 
-claim_verdict verdictFor(const claim_record &Record, const claim_holder &Requester) {
-  if (Record.Standing == claim_standing::Complete)
-    return claim_verdict::Complete;
+claim_status verdictFor(const claim_record &Record, const claim_holder &Requester) {
+  if (Record.Standing == claim_state::Complete)
+    return claim_status::Complete;
   const bool SameHolder = Record.Holder == Requester;
-  if (SameHolder && Record.Standing == claim_standing::Running)
-    return claim_verdict::Granted;
+  if (SameHolder && Record.Standing == claim_state::Running)
+    return claim_status::Granted;
   // Another request holds the key, or this one holds it and its outcome is unknown. The work may
   // have run, so it must not run again.
-  return claim_verdict::Running;
+  return claim_status::Running;
 }
 
-bool isValidTransition(claim_standing From, claim_standing To) {
-  if (From == claim_standing::Running)
+bool isValidTransition(claim_state From, claim_state To) {
+  if (From == claim_state::Running)
     return true;
   // The complete answer may still arrive after the caller got the outcome "unknown".
-  return From == claim_standing::Unknown && To == claim_standing::Complete;
+  return From == claim_state::Unknown && To == claim_state::Complete;
 }
 
 } // namespace
 
-result<claim_verdict, claim_error> claim_table::check(const claim_acquire &Command) const {
+result<claim_status, claim_error> claim_table::check(const claim_acquire &Command) const {
   const claim_record *Found = findRecord(Command.Key);
-  if (Found != nullptr && Found->Standing != claim_standing::Released)
+  if (Found != nullptr && Found->Standing != claim_state::Released)
     return verdictFor(*Found, Command.Holder);
   // This acquire arrives after its own release. Granting it would block the key with no holder.
   if (Found != nullptr && Found->Holder == Command.Holder)
@@ -69,14 +69,14 @@
 result<claim_status, claim_error> claim_table::execute(const claim_acquire &Command) {
   auto Checked = check(Command);
   const claim_record *Found = findRecord(Command.Key);
-  const bool Claimed = Found != nullptr && Found->Standing != claim_standing::Released;
+  const bool Claimed = Found != nullptr && Found->Standing != claim_state::Released;
   if (!succeeded(Checked) || Claimed)
     return Checked;
-  requireInvariant(valueOf(Checked) == claim_verdict::Granted,
+  requireInvariant(valueOf(Checked) == claim_status::Granted,
                    "a new claim is granted only on a free key");
   erase(Command.Key);
   evictReleasedIfFull();
-  insert({Command.Key, Command.Holder, claim_standing::Running, Command.ExpiresAt});
+  insert({Command.Key, Command.Holder, claim_state::Running, Command.ExpiresAt});
   requireConsistent();
   return Checked;
 }
--- a/src/claim/claim_type.h
+++ b/src/claim/claim_type.h
@@ -48,7 +48,7 @@
 struct claim_settle {
   claim_key_hash Key;
   claim_holder Holder;
-  claim_standing Standing{claim_standing::Unknown}; ///< Never Running.
+  claim_state Standing{claim_state::Unknown}; ///< Never Running.
   unix_millis ExpiresAt{0}; ///< Used only if Released arrives before its own acquire.
 
   bool operator==(const claim_settle &) const = default;
@@ -97,7 +97,7 @@
 
 /// The verdict that the entry gets if the table refuses an acquire or the log does not answer in
 /// time. Nothing was claimed for the request, so it must not run.
-constexpr claim_verdict VerdictOnRefusal = claim_verdict::Unavailable;
+constexpr claim_status VerdictOnRefusal = claim_status::Unavailable;
 
 } // namespace pollenstall
 
--- a/src/control_state/control_state_cmd.cpp
+++ b/src/control_state/control_state_cmd.cpp
@@ -159,7 +159,7 @@
 
 control_answer control_state::executeCommand(const record_crash &Command) {
   LatestTime = std::max(LatestTime, Command.Time);
-  Suspects.noteCrash(Command.Marks, Command.Incarnation, LatestTime);
+  Suspects.recordCrash(Command.Marks, Command.Incarnation, LatestTime);
   return suspects_updated{};
 }
 
--- a/src/control_state/control_state_type.h
+++ b/src/control_state/control_state_type.h
@@ -57,7 +57,7 @@
 
 /// Records the requests that an entry had on a backend server when the server crashed.
 struct record_crash {
-  std::vector<request_mark> Marks;
+  std::vector<request_fingerprint> Marks;
   incarnation Incarnation; ///< Of the backend server.
   unix_millis Time{0};     ///< The proposing leader's wall clock.
 };
@@ -144,7 +144,7 @@
   bool operator==(const suspects_updated &) const = default;
 };
 
-using claim_acquire_answer = result<claim_verdict, claim_error>;
+using claim_acquire_answer = result<claim_status, claim_error>;
 using claim_update_answer = result<done, claim_error>; ///< Of claim_settle and claim_expire.
 
 using control_answer =
--- a/src/fleet_model/entry_policy.cpp
+++ b/src/fleet_model/entry_policy.cpp
@@ -57,8 +57,8 @@
   };
   Policy.OwnLoads = [Placer](mono_time Now) { return Placer->ownLoads(Now); };
   Policy.TakeOthers = [Placer](const peer_work_update &Others, mono_time Now) {
-    Placer->useExchange(Others.Facts);
-    Placer->takeOthersLoads(Others.ChangedLoads, Now);
+    Placer->updateExchange(Others.Facts);
+    Placer->updateOthersLoads(Others.ChangedLoads, Now);
   };
   Policy.ClaimsMade = [Placer] { return Placer->claimsMade(); };
   return Policy;
@@ -173,7 +173,7 @@
     };
     Policy.OwnLoads = [Balancer](mono_time) { return Balancer->loads(); };
     Policy.TakeOthers = [Balancer](const peer_work_update &Others, mono_time) {
-      Balancer->takeOthersLoads(Others.ChangedLoads);
+      Balancer->updateOthersLoads(Others.ChangedLoads);
     };
     Policy.ClaimsMade = [] { return std::uint64_t{0}; };
     return Policy;
--- a/src/relay/request_mark.cpp
+++ b/src/relay/request_mark.cpp
@@ -1,4 +1,4 @@
-/** @file request_mark.cpp Hashes of requests; SHA-256 by OpenSSL. */
+/** @file request_fingerprint.cpp Hashes of requests; SHA-256 by OpenSSL. */
 #include "relay/request_mark_func.h"
 
 #include <openssl/evp.h>
--- a/src/work_exchange/work_exchange_type.h
+++ b/src/work_exchange/work_exchange_type.h
@@ -51,7 +51,7 @@
 /// Tuning of the work exchange. All other durations must be well below ReportLifetime.
 struct work_share_tuning {
   /// Reports expire after this time, which is the one that placement uses.
-  mono_duration ReportLifetime{placement_tuning().PeerSilence};
+  mono_duration ReportLifetime{placement_tuning().PeerLoadTimeout};
   /// Up to this number of entries, each reports to all others directly, without a relay's delay.
   std::size_t MaxDirectEntries{16};
   /// Minimum time between two rounds of an entry. The time also grows with the number of datagrams
@@ -71,16 +71,16 @@
   mono_duration WithdrawDelay{std::chrono::milliseconds(150)};
   /// A process that was inactive for longer than this was suspended, and its state is stale.
   mono_duration SuspensionThreshold{std::chrono::milliseconds(700)};
-  /// A load's ReadMs is sent again if it differs from the receiver's estimate by more than this
+  /// A load's PrefillMs is sent again if it differs from the receiver's estimate by more than this
   /// and by more than the fraction below.
   std::uint32_t MinReadChangeMs{20};
-  std::uint32_t ReadChangeDivisor{8}; ///< An eighth of the load's ReadMs.
+  std::uint32_t ReadChangeDivisor{8}; ///< An eighth of the load's PrefillMs.
 };
 
 /// Changes of the summed work of all other entries.
 struct peer_work_update {
   std::vector<work_load> ChangedLoads;
-  exchange_facts Facts;
+  load_exchange_stats Facts;
 };
 
 } // namespace pollenstall
--- a/src/work_share/work_report_codec.cpp
+++ b/src/work_share/work_report_codec.cpp
@@ -47,12 +47,12 @@
   packed_load Packed;
   Packed.Incarnation = Load.Incarnation;
   Packed.Requests = saturate<std::uint8_t>(Load.Requests);
-  Packed.Writers = saturate<std::uint8_t>(Load.Writers);
-  Packed.ReadMs = saturate<std::uint16_t>(Load.ReadMs);
+  Packed.DecodingRequests = saturate<std::uint8_t>(Load.DecodingRequests);
+  Packed.PrefillMs = saturate<std::uint16_t>(Load.PrefillMs);
   Packed.MemoryUnits = saturate<std::uint16_t>(
       Load.Tokens / MemoryUnit + static_cast<std::uint32_t>(Load.Tokens % MemoryUnit > 0));
   Packed.GapMs = saturate<std::uint16_t>(Load.GapMs);
-  Packed.FirstReader = Load.FirstReader;
+  Packed.LowestPrecedence = Load.LowestPrecedence;
   return Packed;
 }
 
--- a/tests/claim/claim_test.cpp
+++ b/tests/claim/claim_test.cpp
@@ -23,11 +23,11 @@
   const claim_holder Original = makeHolder("accra-a-1", 1);
   const claim_holder Retry = makeHolder("accra-b-1", 9);
 
-  result<claim_verdict, claim_error> acquire(const claim_holder &Holder,
-                                             claim_key_hash Key = DefaultKey) {
+  result<claim_status, claim_error> acquire(const claim_holder &Holder,
+                                            claim_key_hash Key = DefaultKey) {
     return Table.execute(claim_acquire{Key, Holder, Day});
   }
-  result<done, claim_error> settle(const claim_holder &Holder, claim_standing Standing,
+  result<done, claim_error> settle(const claim_holder &Holder, claim_state Standing,
                                    claim_key_hash Key = DefaultKey) {
     return Table.execute(claim_settle{Key, Holder, Standing, Day});
   }
@@ -41,9 +41,9 @@
 };
 
 TEST_F(ClaimTableTest, GrantsAKeyOnceAndRepeatsTheVerdictForItsHolder) {
-  expectVerdict(Original, claim_verdict::Granted);
-  expectVerdict(Original, claim_verdict::Granted);
-  expectVerdict(Retry, claim_verdict::Running);
+  expectVerdict(Original, claim_status::Granted);
+  expectVerdict(Original, claim_status::Granted);
+  expectVerdict(Retry, claim_status::Running);
 }
 
 struct DeadClaimOwnerTest : ClaimTableTest {
@@ -53,9 +53,9 @@
 // The entry dies after its claim was granted, so nobody knows whether the work ran. A retry through
 // another entry must not be granted before the claim expires, however late it comes.
 TEST_F(DeadClaimOwnerTest, KeepsTheKeyRunningUntilItExpires) {
-  expectVerdict(Retry, claim_verdict::Running);
+  expectVerdict(Retry, claim_status::Running);
   Table.execute(claim_expire{Day - unix_millis(1)});
-  expectVerdict(Retry, claim_verdict::Running);
+  expectVerdict(Retry, claim_status::Running);
   EXPECT_EQ(Table.nextExpiry(), Day);
   Table.execute(claim_expire{Day});
   EXPECT_EQ(Table.size(), 0U);
@@ -67,43 +67,43 @@
 };
 
 TEST_F(SettledClaimTest, ReportsACompleteRunToEveryRetry) {
-  settle(Original, claim_standing::Complete);
-  expectVerdict(Retry, claim_verdict::Complete);
-  expectVerdict(Original, claim_verdict::Complete);
-  expectRefused(settle(Original, claim_standing::Released), claim_error::AlreadySettled);
+  settle(Original, claim_state::Complete);
+  expectVerdict(Retry, claim_status::Complete);
+  expectVerdict(Original, claim_status::Complete);
+  expectRefused(settle(Original, claim_state::Released), claim_error::AlreadySettled);
 }
 
 TEST_F(SettledClaimTest, NeverGrantsAnUnknownRunButAcceptsItsCompletion) {
-  settle(Original, claim_standing::Unknown);
-  expectVerdict(Original, claim_verdict::Running);
-  expectVerdict(Retry, claim_verdict::Running);
-  expectRefused(settle(Original, claim_standing::Released), claim_error::AlreadySettled);
-  EXPECT_TRUE(succeeded(settle(Original, claim_standing::Complete)));
-  expectVerdict(Retry, claim_verdict::Complete);
+  settle(Original, claim_state::Unknown);
+  expectVerdict(Original, claim_status::Running);
+  expectVerdict(Retry, claim_status::Running);
+  expectRefused(settle(Original, claim_state::Released), claim_error::AlreadySettled);
+  EXPECT_TRUE(succeeded(settle(Original, claim_state::Complete)));
+  expectVerdict(Retry, claim_status::Complete);
 }
 
 // The first request releases its key and a retry is granted it. If a late duplicate of the first
 // release were applied, it would free the key of running work and a third request would run too.
 TEST_F(SettledClaimTest, RefusesALateReleaseOfAnEarlierHolder) {
-  settle(Original, claim_standing::Released);
-  expectVerdict(Retry, claim_verdict::Granted);
-  expectRefused(settle(Original, claim_standing::Released), claim_error::NotHolder);
-  expectVerdict(makeHolder("accra-c-1", 3), claim_verdict::Running);
+  settle(Original, claim_state::Released);
+  expectVerdict(Retry, claim_status::Granted);
+  expectRefused(settle(Original, claim_state::Released), claim_error::NotHolder);
+  expectVerdict(makeHolder("accra-c-1", 3), claim_status::Running);
 }
 
 // The entry stops waiting for its claim and releases it, and the release arrives before the
 // acquire. If the acquire were granted, the key would be blocked without a holder for a day.
 TEST_F(ClaimTableTest, RefusesAnAcquireThatArrivesAfterItsRelease) {
-  EXPECT_TRUE(succeeded(settle(Original, claim_standing::Released)));
+  EXPECT_TRUE(succeeded(settle(Original, claim_state::Released)));
   expectRefused(acquire(Original), claim_error::AlreadyReleased);
-  expectVerdict(Retry, claim_verdict::Granted);
+  expectVerdict(Retry, claim_status::Granted);
 }
 
 TEST_F(ClaimTableTest, RefusesWhenFullUnlessAReleasedClaimCanBeEvicted) {
   for (std::uint64_t Key = 1; Key <= 3; ++Key)
     acquire(Original, {Key, 0});
   expectRefused(acquire(Original, {4, 0}), claim_error::TableFull);
-  EXPECT_TRUE(succeeded(settle(Original, claim_standing::Released, {2, 0})));
+  EXPECT_TRUE(succeeded(settle(Original, claim_state::Released, {2, 0})));
   EXPECT_TRUE(succeeded(acquire(Original, {4, 0})));
   EXPECT_FALSE(Table.find({2, 0}).has_value());
   EXPECT_EQ(Table.size(), 3U);
@@ -111,8 +111,8 @@
 
 TEST_F(ClaimTableTest, RefusesInvalidOutcomesOtherHoldersAndEarlierTimes) {
   acquire(Original);
-  expectRefused(settle(Original, claim_standing::Running), claim_error::InvalidStanding);
-  expectRefused(settle(Retry, claim_standing::Complete), claim_error::NotHolder);
+  expectRefused(settle(Original, claim_state::Running), claim_error::InvalidStanding);
+  expectRefused(settle(Retry, claim_state::Complete), claim_error::NotHolder);
   Table.execute(claim_expire{unix_millis(5)});
   expectRefused(Table.execute(claim_expire{unix_millis(4)}), claim_error::TimeWentBackwards);
 }
@@ -130,7 +130,7 @@
 }
 
 TEST_F(ClaimTableTest, RefusesAnInvalidSnapshot) {
-  const claim_record Record{DefaultKey, Original, claim_standing::Running, Day};
+  const claim_record Record{DefaultKey, Original, claim_state::Running, Day};
   expectRefused(claim_table::restore({unix_millis(0), {Record, Record}}, 3),
                 claim_error::InvalidSnapshot);
   expectRefused(claim_table::restore({unix_millis(0), {Record}}, 0), claim_error::InvalidSnapshot);
--- a/tests/control_state/control_link_test.cpp
+++ b/tests/control_state/control_link_test.cpp
@@ -94,7 +94,7 @@
   EXPECT_EQ(Releases[0].Claim.Standing, claim_state::Released);
   EXPECT_EQ(Releases[0].Claim.Holder, Message.Claim.Holder);
   EXPECT_EQ(Ledger.unanswered().size(), 1U);
-  EXPECT_FALSE(Ledger.answered({Message.Call, claim_verdict::Granted}))
+  EXPECT_FALSE(Ledger.answered({Message.Call, claim_status::Granted}))
       << "the answer is too late to run the request";
   Ledger.settled({Releases[0].Call});
   EXPECT_TRUE(Ledger.unanswered().empty());
--- a/tests/control_state/control_state_test.cpp
+++ b/tests/control_state/control_state_test.cpp
@@ -145,7 +145,7 @@
   const claim_holder Second{{host_name("e2"), incarnation(1)}, request_number(9)};
   const claim_key_hash Key{1, 2};
   EXPECT_EQ(State.execute(claim_acquire{Key, First, unix_millis(9000)}),
-            control_answer(claim_acquire_answer(claim_verdict::Granted)));
+            control_answer(claim_acquire_answer(claim_status::Granted)));
   control_state Other = restored(State);
   EXPECT_EQ(Other.execute(claim_acquire{Key, Second, unix_millis(9000)}),
             control_answer(claim_acquire_answer(claim_status::Running)));
--- a/tests/work_share/simulated_network.h
+++ b/tests/work_share/simulated_network.h
@@ -39,11 +39,11 @@
   }
   static incarnation engine(std::size_t EngineIndex) { return incarnation(1'000 + EngineIndex); }
 
-  static work_load load(std::size_t Engine, std::uint32_t Requests, std::uint32_t ReadMs = 0) {
+  static work_load load(std::size_t Engine, std::uint32_t Requests, std::uint32_t PrefillMs = 0) {
     work_load Load;
     Load.Incarnation = engine(Engine);
     Load.Requests = Requests;
-    Load.ReadMs = ReadMs;
+    Load.PrefillMs = PrefillMs;
     return Load;
   }
 
--- a/tests/work_share/work_view_test.cpp
+++ b/tests/work_share/work_view_test.cpp
@@ -132,7 +132,7 @@
     Net.run(10ms);
   }
   EXPECT_LE(Net.sent(0).Datagrams, 7U);
-  EXPECT_NEAR(Net.knownLoad(4, 1).ReadMs, 2'780, 30);
+  EXPECT_NEAR(Net.knownLoad(4, 1).PrefillMs, 2'780, 30);
 }
 
 // ---- Many entries. ----
@@ -189,7 +189,7 @@
     Net.setLoads(ClaimingEntry, {simulated_network::load(150 + Step, 1, 900)}, true);
     Net.run(5ms);
     for (std::size_t Entry = 0; Entry < Net.size(); ++Entry)
-      ASSERT_TRUE(Entry == ClaimingEntry || Net.knownLoad(Entry, 150 + Step).ReadMs > 800)
+      ASSERT_TRUE(Entry == ClaimingEntry || Net.knownLoad(Entry, 150 + Step).PrefillMs > 800)
           << Step << " at " << Entry;
   }
 }
@@ -200,14 +200,14 @@
   simulated_network Net(59, 3);
   Net.run(600ms);
   work_load First = simulated_network::load(4, 1, 500);
-  First.FirstReader = 77;
+  First.LowestPrecedence = 77;
   work_load Second = First;
-  Second.FirstReader = 99;
+  Second.LowestPrecedence = 99;
   Net.setLoads(1, {Second});
   Net.setLoads(40, {First});
   Net.run(100ms);
-  EXPECT_EQ(Net.knownLoad(20, 4).FirstReader, 77U);
-  EXPECT_EQ(Net.knownLoad(40, 4).FirstReader, 99U);
+  EXPECT_EQ(Net.knownLoad(20, 4).LowestPrecedence, 77U);
+  EXPECT_EQ(Net.knownLoad(40, 4).LowestPrecedence, 99U);
 }
 
 // The fleet model computes traffic from this size.
