--- a/programs/pollenstall-entry/decision_thread.cpp
+++ b/programs/pollenstall-entry/decision_thread.cpp
@@ -266,7 +266,7 @@
 bool decision_thread::toldOtherwise(const std::vector<work_load> &Loads, mono_time Now) const {
   return !std::equal(Loads.begin(), Loads.end(), ToldLoads.begin(), ToldLoads.end(),
                      [&](const work_load &Load, const work_load &Told) {
-                       return !differs(Told, LoadsToldAt, Load, Now, ShareTuning);
+                       return !needsUpdate(Told, LoadsToldAt, Load, Now, ShareTuning);
                      });
 }
 
--- a/src/work_exchange/work_tracker.cpp
+++ b/src/work_exchange/work_tracker.cpp
@@ -14,7 +14,7 @@
 
 bool needsUpdate(const work_load &Reported, mono_time ReportedAt, const work_load &Load,
                  mono_time Now, const work_share_tuning &Tuning) {
-  work_load Extrapolated = after(Reported, Now - ReportedAt);
+  work_load Extrapolated = loadAfter(Reported, Now - ReportedAt);
   const std::uint32_t Difference = std::max(Extrapolated.PrefillMs, Load.PrefillMs) -
                                    std::min(Extrapolated.PrefillMs, Load.PrefillMs);
   if (Difference > Tuning.MinReadChangeMs && Difference > Load.PrefillMs / Tuning.ReadChangeDivisor)
--- a/src/work_exchange/work_tracker_base.h
+++ b/src/work_exchange/work_tracker_base.h
@@ -51,7 +51,7 @@
     work_load Sum;
     for (const engine_work::source_load &SourceLoad : Engine.SourceLoads)
       if (Now - SourceLoad.ReceivedAt <= Tuning.ReportLifetime && IncludesSource(SourceLoad.Source))
-        Sum = Sum + after(SourceLoad.Load, Now - SourceLoad.ReceivedAt);
+        Sum = Sum + loadAfter(SourceLoad.Load, Now - SourceLoad.ReceivedAt);
     Sum.Incarnation = Incarnation;
     return Sum;
   }
--- a/src/work_exchange/work_view.cpp
+++ b/src/work_exchange/work_view.cpp
@@ -230,7 +230,7 @@
   Facts.Entries = Entries;
   Facts.ClaimDelay = Tuning.HopDelay * (Direct ? 2 : RelayedHops);
   // A change waits for half a round on average, at the entry and at each of two relays.
-  Facts.Age = Direct ? RoundTime / 2 + Tuning.HopDelay
+  Facts.PropagationDelay = Direct ? RoundTime / 2 + Tuning.HopDelay
                      : Tuning.MinRoundInterval / 2 + RoundTime + Tuning.HopDelay * RelayedHops;
   return Facts;
 }
