--- a/src/work_exchange/work_view.cpp
+++ b/src/work_exchange/work_view.cpp
@@ -230,8 +230,9 @@
   Facts.Entries = Entries;
   Facts.ClaimDelay = Tuning.HopDelay * (Direct ? 2 : RelayedHops);
   // A change waits for half a round on average, at the entry and at each of two relays.
-  Facts.PropagationDelay = Direct ? RoundTime / 2 + Tuning.HopDelay
-                     : Tuning.MinRoundInterval / 2 + RoundTime + Tuning.HopDelay * RelayedHops;
+  Facts.PropagationDelay =
+      Direct ? RoundTime / 2 + Tuning.HopDelay
+             : Tuning.MinRoundInterval / 2 + RoundTime + Tuning.HopDelay * RelayedHops;
   return Facts;
 }
 
--- a/tests/control_state/control_state_test.cpp
+++ b/tests/control_state/control_state_test.cpp
@@ -238,7 +238,7 @@
     return {{{1, 2, 3, 4}}, incarnation(Incarnation), unix_millis(Time)};
   }
   [[nodiscard]] std::size_t countSuspects(const control_state &Source) const {
-    return Source.suspects().told(unix_millis(100'000)).size();
+    return Source.suspects().published(unix_millis(100'000)).size();
   }
 };
 
--- a/tests/work_share/simulated_network.h
+++ b/tests/work_share/simulated_network.h
@@ -81,7 +81,7 @@
     if (Found == Entries[EntryIndex].KnownLoads.end() ||
         Now - Found->second.second > std::chrono::seconds(1))
       return load(Engine, 0);
-    return after(Found->second.first, Now - Found->second.second);
+    return loadAfter(Found->second.first, Now - Found->second.second);
   }
   [[nodiscard]] bool isRelay(std::size_t EntryIndex) const {
     return Entries[EntryIndex].View->isRelay();
