--- a/bench/decision/work_bench.cpp
+++ b/bench/decision/work_bench.cpp
@@ -30,7 +30,7 @@
   Listing.Key =
       keyOf(backend_address("10.1.0.1:" + std::to_string(10'000 + Engine)), {Listing.Instance, {}});
   Listing.Service = service_name("model");
-  Listing.Places = 16;
+  Listing.Slots = 16;
   return Listing;
 }
 
--- a/programs/pollenstall-control/control_core_request.cpp
+++ b/programs/pollenstall-control/control_core_request.cpp
@@ -208,7 +208,7 @@
                                   const control_request &Request) {
   if (!mayServe(Request))
     return;
-  noteBackends(Directory.hear(Question.Notice, boot_clock::now()), Question.Notice.Instance,
+  noteBackends(Directory.handleNotice(Question.Notice, boot_clock::now()), Question.Notice.Instance,
                Request.Answer);
 }
 
--- a/programs/pollenstall-entry/decision_seam.cpp
+++ b/programs/pollenstall-entry/decision_seam.cpp
@@ -172,8 +172,9 @@
 }
 
 void decision_seam::take(const backends_listed &Listed, mono_time Now) {
-  const std::vector<backend_listing> Changes =
-      Listed.Whole ? Directory.takeAll(Listed.Listings, Now) : Directory.take(Listed.Listings);
+  const std::vector<backend_listing> Changes = Listed.Whole
+                                                   ? Directory.applyFullList(Listed.Listings, Now)
+                                                   : Directory.applyUpdates(Listed.Listings);
   for (const backend_listing &Listing : Changes)
     noteListing(Listing, Now);
 }
@@ -203,7 +204,7 @@
 mono_time decision_seam::viewsUsableUntil() const {
   // On old views a server that has said it leaves could still be given work.
   if (usesPlacer())
-    return Directory.told() ? mono_time::max() : mono_time::min();
+    return Directory.hasFullList() ? mono_time::max() : mono_time::min();
   return FreshUntil;
 }
 
--- a/src/control_link/control_link_codec_func.h
+++ b/src/control_link/control_link_codec_func.h
@@ -65,8 +65,8 @@
   Into(Message.Call);
 }
 template <typename Archive> void serialize(Archive &Into, backend_listing &Listing) {
-  Into(Listing.Key, Listing.Instance, Listing.Service, Listing.Domain, Listing.Places,
-       Listing.State, Listing.Started);
+  Into(Listing.Key, Listing.Instance, Listing.Service, Listing.Domain, Listing.Slots, Listing.State,
+       Listing.Started);
 }
 template <typename Archive> void serialize(Archive &Into, request_fingerprint &Mark) {
   Into(Mark.Account, Mark.HeadHash, Mark.High, Mark.Low);
--- a/src/directory/backend_directory.cpp
+++ b/src/directory/backend_directory.cpp
@@ -1,4 +1,4 @@
-/** @file backend_directory.cpp Notices, lives that replace each other, and silence. */
+/** @file backend_directory.cpp Notices, replaced incarnations and unresponsive backend servers. */
 #include "directory/backend_directory_base.h"
 
 #include <algorithm>
@@ -7,116 +7,119 @@
 
 namespace {
 
-/// A holder that was heard of within so many intervals is not replaced by a single notice.
-constexpr int TrustedIntervals = 2;
+/// A single notice does not replace a holder that sent one within this many intervals.
+constexpr int HolderGraceIntervals = 2;
 
 } // namespace
 
 void backend_directory::restore(const std::vector<backend_listing> &Listings, mono_time Now) {
   for (const backend_listing &Listing : Listings) {
-    if (Records.count(Listing.Instance) != 0 || holderOf(Listing.Key.Address) != nullptr)
+    if (Records.count(Listing.Instance) != 0 || findByAddress(Listing.Key.Address) != nullptr)
       continue;
-    record Kept;
-    Kept.Listing = Listing;
-    Kept.LastHeard = Now;
-    Kept.Heard = false;
-    Records.emplace(Listing.Instance, std::move(Kept));
+    record Restored;
+    Restored.Listing = Listing;
+    Restored.LastNoticeAt = Now;
+    Restored.HasNotice = false;
+    Records.emplace(Listing.Instance, std::move(Restored));
   }
 }
 
-std::vector<backend_listing> backend_directory::hear(const backend_notice &Notice, mono_time Now) {
-  const auto Known = Records.find(Notice.Instance);
+std::vector<backend_listing> backend_directory::handleNotice(const backend_notice &Notice,
+                                                             mono_time Now) {
+  const auto Record = Records.find(Notice.Instance);
   const bool SameIncarnation =
-      Known != Records.end() && Known->second.Listing.Started == Notice.Started;
+      Record != Records.end() && Record->second.Listing.Started == Notice.Started;
   if (isRetired(Notice.Instance, Notice.Started)) {
     if (SameIncarnation)
-      Known->second.LastHeard = Now;
+      Record->second.LastNoticeAt = Now;
     return {};
   }
   if (SameIncarnation)
-    return refresh(Known->second, Notice, Now);
+    return updateRecord(Record->second, Notice, Now);
   std::vector<backend_listing> Changes;
-  if (Known != Records.end()) {
-    if (Notice.Started < Known->second.Listing.Started)
-      return {}; // Late, from the life before.
-    end(Known->second, Changes);
+  if (Record != Records.end()) {
+    if (Notice.Started < Record->second.Listing.Started)
+      return {}; // A late notice of the previous incarnation.
+    endIncarnation(Record->second, Changes);
   }
-  for (backend_listing &Met : meet(Notice, Now))
-    Changes.push_back(std::move(Met));
+  for (backend_listing &Change : addInstance(Notice, Now))
+    Changes.push_back(std::move(Change));
   return Changes;
 }
 
-void backend_directory::end(record &Known, std::vector<backend_listing> &Changes) {
-  Known.Listing.State = listing_state::Gone;
-  Changes.push_back(Known.Listing);
-  const backend_incarnation Ended{Known.Listing.Instance, Known.Listing.Started};
+void backend_directory::endIncarnation(record &Record, std::vector<backend_listing> &Changes) {
+  Record.Listing.State = listing_state::Gone;
+  Changes.push_back(Record.Listing);
+  const backend_incarnation Ended{Record.Listing.Instance, Record.Listing.Started};
   retire(Ended);
   Records.erase(Ended.Instance);
 }
 
-std::vector<backend_listing> backend_directory::refresh(record &Known, const backend_notice &Notice,
-                                                        mono_time Now) {
-  if (Known.Heard && Notice.Sequence <= Known.Sequence)
-    return {}; // Late: what it says is out of date.
-  Known.Heard = true;
-  Known.Sequence = Notice.Sequence;
-  Known.LastHeard = Now;
-  const bool Leaves = Notice.Leaving || Known.Listing.State == listing_state::Leaving;
-  const listing_state State = Leaves ? listing_state::Leaving : listing_state::Active;
-  if (State == Known.Listing.State)
+std::vector<backend_listing>
+backend_directory::updateRecord(record &Record, const backend_notice &Notice, mono_time Now) {
+  if (Record.HasNotice && Notice.Sequence <= Record.Sequence)
+    return {}; // A late notice; its content is stale.
+  Record.HasNotice = true;
+  Record.Sequence = Notice.Sequence;
+  Record.LastNoticeAt = Now;
+  const bool IsLeaving = Notice.Leaving || Record.Listing.State == listing_state::Leaving;
+  const listing_state State = IsLeaving ? listing_state::Leaving : listing_state::Active;
+  if (State == Record.Listing.State)
     return {};
-  Known.Listing.State = State;
-  return {Known.Listing};
+  Record.Listing.State = State;
+  return {Record.Listing};
 }
 
-std::vector<backend_listing> backend_directory::meet(const backend_notice &Notice, mono_time Now) {
+std::vector<backend_listing> backend_directory::addInstance(const backend_notice &Notice,
+                                                            mono_time Now) {
   std::vector<backend_listing> Changes;
-  if (record *Holder = holderOf(Notice.Address)) {
+  if (record *Holder = findByAddress(Notice.Address)) {
     if (!mayTakeOver(*Holder, Notice, Now))
       return {};
-    end(*Holder, Changes);
+    endIncarnation(*Holder, Changes);
   }
   Challengers.erase(Notice.Address);
   if (Records.size() >= Options.MaxBackends)
     return Changes;
-  record Made;
-  Made.Listing = {keyOf(Notice.Address, {Notice.Instance, Notice.Started}),
-                  Notice.Instance,
-                  Notice.Service,
-                  Notice.Domain,
-                  std::max(1U, Notice.Places),
-                  Notice.Leaving ? listing_state::Leaving : listing_state::Active,
-                  Notice.Started};
-  Made.Sequence = Notice.Sequence;
-  Made.LastHeard = Now;
-  Changes.push_back(Made.Listing);
-  Records.emplace(Notice.Instance, std::move(Made));
+  record NewRecord;
+  NewRecord.Listing = {keyOf(Notice.Address, {Notice.Instance, Notice.Started}),
+                       Notice.Instance,
+                       Notice.Service,
+                       Notice.Domain,
+                       std::max(1U, Notice.Slots),
+                       Notice.Leaving ? listing_state::Leaving : listing_state::Active,
+                       Notice.Started};
+  NewRecord.Sequence = Notice.Sequence;
+  NewRecord.LastNoticeAt = Now;
+  Changes.push_back(NewRecord.Listing);
+  Records.emplace(Notice.Instance, std::move(NewRecord));
   return Changes;
 }
 
 bool backend_directory::mayTakeOver(const record &Holder, const backend_notice &Notice,
                                     mono_time Now) {
   const incarnation_start HolderStarted = Holder.Listing.Started;
-  const bool BothTell =
+  const bool AreStartsKnown =
       HolderStarted != incarnation_start() && Notice.Started != incarnation_start();
-  if (BothTell && Notice.Started < HolderStarted)
+  if (AreStartsKnown && Notice.Started < HolderStarted)
     return false;
-  if (!Holder.Heard)
-    return true; // It may have ended while nobody led.
-  if (Now - Holder.LastHeard >= TrustedIntervals * Options.NoticeInterval)
+  if (!Holder.HasNotice)
+    return true; // It may have ended while there was no leader.
+  if (Now - Holder.LastNoticeAt >= HolderGraceIntervals * Options.NoticeInterval)
     return true;
-  // A notice that a partition held back can arrive after its sender has died and another life has
-  // its address. Only a life that goes on speaking while the holder is silent replaces it.
+  // A notice that a partition delayed can arrive after its sender has died and another incarnation
+  // holds its address. The sender replaces the holder only if it sends a further notice while the
+  // holder sends none.
   const auto Found = Challengers.find(Notice.Address);
-  const bool Again = Found != Challengers.end() && Found->second.Instance == Notice.Instance &&
-                     Found->second.Sequence < Notice.Sequence &&
-                     Holder.LastHeard < Found->second.Since;
-  if (!Again)
+  const bool IsConfirmed =
+      Found != Challengers.end() && Found->second.Instance == Notice.Instance &&
+      Found->second.Sequence < Notice.Sequence && Holder.LastNoticeAt < Found->second.Since;
+  if (!IsConfirmed)
     Challengers[Notice.Address] = {Notice.Instance, Now, Notice.Sequence};
-  return Again;
+  return IsConfirmed;
 }
 
-backend_directory::record *backend_directory::holderOf(const backend_address &Address) {
+backend_directory::record *backend_directory::findByAddress(const backend_address &Address) {
   const auto Found = std::find_if(Records.begin(), Records.end(), [&Address](const auto &Item) {
     return Item.second.Listing.Key.Address == Address;
   });
@@ -126,9 +129,9 @@
 std::vector<backend_listing> backend_directory::withdraw(const backend_incarnation &Incarnation,
                                                          mono_time Now) {
   retire(Incarnation);
-  const auto Known = Records.find(Incarnation.Instance);
-  if (Known == Records.end()) {
-    // An earlier leader may have listed it: entries know it by its name and start.
+  const auto Record = Records.find(Incarnation.Instance);
+  if (Record == Records.end()) {
+    // An earlier leader may have listed it; entries identify it by its name and start.
     backend_listing Listing;
     Listing.Key = keyOf(backend_address(), Incarnation);
     Listing.Instance = Incarnation.Instance;
@@ -136,37 +139,38 @@
     Listing.State = listing_state::Leaving;
     return {Listing};
   }
-  if (Known->second.Listing.Started > Incarnation.Started)
-    return {}; // Late: the name is that of a newer life by now.
-  Known->second.LastHeard = Now;
-  if (Known->second.Listing.State == listing_state::Leaving)
+  if (Record->second.Listing.Started > Incarnation.Started)
+    return {}; // A late withdrawal; the name belongs to a newer incarnation.
+  Record->second.LastNoticeAt = Now;
+  if (Record->second.Listing.State == listing_state::Leaving)
     return {};
-  Known->second.Listing.State = listing_state::Leaving;
-  return {Known->second.Listing};
+  Record->second.Listing.State = listing_state::Leaving;
+  return {Record->second.Listing};
 }
 
 std::vector<backend_listing> backend_directory::advance(mono_time Now) {
   std::vector<backend_listing> Changes;
-  for (auto At = Records.begin(); At != Records.end();) {
-    record &Known = At->second;
-    const mono_duration Silence = Now - Known.LastHeard;
-    if (Silence > Options.ForgetAfter) {
-      const bool Leaves = Known.Listing.State == listing_state::Leaving;
-      Known.Listing.State = listing_state::Gone;
-      Changes.push_back(Known.Listing);
-      // Silence may be a cut that ends: only what was to leave must never be given work again.
-      if (Leaves)
-        retire({At->first, Known.Listing.Started});
-      At = Records.erase(At);
+  for (auto Position = Records.begin(); Position != Records.end();) {
+    record &Record = Position->second;
+    const mono_duration IdleTime = Now - Record.LastNoticeAt;
+    if (IdleTime > Options.RemoveAfter) {
+      const bool IsLeaving = Record.Listing.State == listing_state::Leaving;
+      Record.Listing.State = listing_state::Gone;
+      Changes.push_back(Record.Listing);
+      // Missing notices may be due to a partition that ends. Only an incarnation that was leaving
+      // must never get work again.
+      if (IsLeaving)
+        retire({Position->first, Record.Listing.Started});
+      Position = Records.erase(Position);
       continue;
     }
-    const bool Falls = Known.Listing.State == listing_state::Active &&
-                       Silence > Options.SilentAfter * Options.NoticeInterval;
-    if (Falls) {
-      Known.Listing.State = listing_state::Silent;
-      Changes.push_back(Known.Listing);
+    const bool BecomesUnresponsive = Record.Listing.State == listing_state::Active &&
+                                     IdleTime > Options.MaxMissedNotices * Options.NoticeInterval;
+    if (BecomesUnresponsive) {
+      Record.Listing.State = listing_state::Unresponsive;
+      Changes.push_back(Record.Listing);
     }
-    ++At;
+    ++Position;
   }
   return Changes;
 }
@@ -174,14 +178,14 @@
 std::vector<backend_listing> backend_directory::all() const {
   std::vector<backend_listing> Listings;
   Listings.reserve(Records.size());
-  for (const auto &[Instance, Known] : Records)
-    Listings.push_back(Known.Listing);
+  for (const auto &[Instance, Record] : Records)
+    Listings.push_back(Record.Listing);
   return Listings;
 }
 
 const backend_listing *backend_directory::find(const instance_name &Instance) const {
-  const auto Known = Records.find(Instance);
-  return Known == Records.end() ? nullptr : &Known->second.Listing;
+  const auto Record = Records.find(Instance);
+  return Record == Records.end() ? nullptr : &Record->second.Listing;
 }
 
 void backend_directory::clear() {
@@ -195,9 +199,9 @@
 }
 
 void backend_directory::retire(const backend_incarnation &Incarnation) {
-  const auto [Ended, New] = Retired.try_emplace(Incarnation.Instance, Incarnation.Started);
+  const auto [Ended, Inserted] = Retired.try_emplace(Incarnation.Instance, Incarnation.Started);
   Ended->second = std::max(Ended->second, Incarnation.Started);
-  if (!New)
+  if (!Inserted)
     return;
   RetiredOrder.push_back(Incarnation.Instance);
   if (RetiredOrder.size() <= Options.MaxRetired)
--- a/src/directory/backend_directory_base.h
+++ b/src/directory/backend_directory_base.h
@@ -1,4 +1,5 @@
-/** @file backend_directory_base.h The leader's list of backend servers, made of their notices. */
+/** @file backend_directory_base.h The leader's list of backend servers, built from their
+ * notices. */
 #ifndef POLLENSTALL_DIRECTORY_BACKEND_DIRECTORY_BASE_H
 #define POLLENSTALL_DIRECTORY_BACKEND_DIRECTORY_BASE_H
 
@@ -11,59 +12,61 @@
 namespace pollenstall {
 
 /**
- * A new leader starts with what the one before it has put into the log, which may be out of date by
- * what happened since; it has heard of all itself after one notice interval.
- * A life that has ended never comes back, whatever late notice of it arrives.
+ * A new leader starts with the list that its predecessor wrote to the log, which may be stale.
+ * After one notice interval it has received a notice from every live backend server. An incarnation
+ * that has ended never returns, even if a late notice of it arrives.
  */
 class backend_directory {
 public:
   explicit backend_directory(const directory_options &Times) : Options(Times) {}
 
-  /// Takes over what a former leader listed and this one has not heard of. A server that is not
-  /// heard falls silent as any other.
+  /// Restores the listings of a former leader that this leader has no notice of. A restored backend
+  /// server becomes unresponsive like any other if it sends no notice.
   void restore(const std::vector<backend_listing> &Listings, mono_time Now);
-  /// A notice arrived. @return The listings that it changed.
-  std::vector<backend_listing> hear(const backend_notice &Notice, mono_time Now);
-  /// A backend server ends this life: it gets no new work; what it runs goes on. Lives under the
-  /// same name that began earlier are over too.
+  /// Handles a notice. @return The listings that it changed.
+  std::vector<backend_listing> handleNotice(const backend_notice &Notice, mono_time Now);
+  /// Marks an incarnation as leaving: it gets no new work, but its running requests continue.
+  /// Earlier incarnations of the same name end too.
   std::vector<backend_listing> withdraw(const backend_incarnation &Incarnation, mono_time Now);
-  /// Lets time pass. @return Listings of those that have fallen silent.
+  /// Advances the time. @return Listings that became unresponsive or were removed.
   std::vector<backend_listing> advance(mono_time Now);
 
-  /// @return Every listing, those of lives that ended a short time ago included.
+  /// @return All listings.
   [[nodiscard]] std::vector<backend_listing> all() const;
-  /// @return The newest life of the name, or null.
+  /// @return The listing of the name's newest incarnation, or null.
   [[nodiscard]] const backend_listing *find(const instance_name &Instance) const;
-  /// Forgets everything: this host leads no more.
+  /// Removes all listings, because this host is no longer the leader.
   void clear();
 
 private:
   struct record {
     backend_listing Listing;
     std::uint64_t Sequence{0};
-    mono_time LastHeard;
-    bool Heard{true}; ///< By this leader.
+    mono_time LastNoticeAt;
+    bool HasNotice{true}; ///< This leader has received a notice from it.
   };
-  /// A life that claims the address of one that was heard of a moment ago.
+  /// An incarnation that claims an address whose holder sent a notice recently.
   struct challenger {
     instance_name Instance;
     mono_time Since;
     std::uint64_t Sequence{0};
   };
 
-  std::vector<backend_listing> refresh(record &Known, const backend_notice &Notice, mono_time Now);
-  std::vector<backend_listing> meet(const backend_notice &Notice, mono_time Now);
+  std::vector<backend_listing> updateRecord(record &Record, const backend_notice &Notice,
+                                            mono_time Now);
+  std::vector<backend_listing> addInstance(const backend_notice &Notice, mono_time Now);
   [[nodiscard]] bool mayTakeOver(const record &Holder, const backend_notice &Notice, mono_time Now);
-  record *holderOf(const backend_address &Address);
-  void end(record &Known, std::vector<backend_listing> &Changes);
+  record *findByAddress(const backend_address &Address);
+  void endIncarnation(record &Record, std::vector<backend_listing> &Changes);
   [[nodiscard]] bool isRetired(const instance_name &Instance, incarnation_start Started) const;
   void retire(const backend_incarnation &Incarnation);
 
   directory_options Options;
-  std::map<instance_name, record> Records; ///< The newest life of each name.
+  std::map<instance_name, record> Records; ///< The newest incarnation of each name.
   std::map<backend_address, challenger> Challengers;
-  std::map<instance_name, incarnation_start> Retired; ///< The newest ended life of each name.
-  std::deque<instance_name> RetiredOrder;             ///< Oldest first.
+  std::map<instance_name, incarnation_start>
+      Retired;                            ///< Start of the newest ended incarnation of each name.
+  std::deque<instance_name> RetiredOrder; ///< Oldest first.
 };
 
 } // namespace pollenstall
--- a/src/directory/directory.h
+++ b/src/directory/directory.h
@@ -1,6 +1,5 @@
-/** @file directory.h Public header of directory: which backend servers there are, kept by the
- * leader.
- */
+/** @file directory.h Public header of directory: the leader's list of backend servers and its
+ * copies. */
 #ifndef POLLENSTALL_DIRECTORY_DIRECTORY_H
 #define POLLENSTALL_DIRECTORY_DIRECTORY_H
 
--- a/src/directory/directory_follower.cpp
+++ b/src/directory/directory_follower.cpp
@@ -1,4 +1,4 @@
-/** @file directory_follower.cpp Takes listings over; leaving sticks. */
+/** @file directory_follower.cpp Applies the leader's listings; leaving sticks. */
 #include "directory/directory_follower_base.h"
 
 #include <algorithm>
@@ -6,95 +6,98 @@
 namespace pollenstall {
 
 std::vector<backend_listing>
-directory_follower::takeAll(const std::vector<backend_listing> &Listings, mono_time Now) {
-  for (auto &[Incarnation, Known] : Records)
-    Known.Confirmed = false;
-  Told = true;
-  ReviewAt = Now + Grace;
-  return take(Listings);
+directory_follower::applyFullList(const std::vector<backend_listing> &Listings, mono_time Now) {
+  for (auto &[Incarnation, Existing] : Records)
+    Existing.Confirmed = false;
+  HasFullList = true;
+  GraceEndsAt = Now + Grace;
+  return applyUpdates(Listings);
 }
 
 std::vector<backend_listing>
-directory_follower::take(const std::vector<backend_listing> &Listings) {
+directory_follower::applyUpdates(const std::vector<backend_listing> &Listings) {
   std::vector<backend_listing> Changes;
   for (const backend_listing &Listing : Listings)
-    takeOne(Listing, Changes);
+    applyListing(Listing, Changes);
   return Changes;
 }
 
-void directory_follower::takeOne(const backend_listing &Listing,
-                                 std::vector<backend_listing> &Changes) {
+void directory_follower::applyListing(const backend_listing &Listing,
+                                      std::vector<backend_listing> &Changes) {
   if (Listing.Key.Address.empty())
-    return takeWithdrawal(Listing, Changes);
-  const auto Known = Records.find(Listing.Key.Incarnation);
-  if (Known == Records.end())
-    return takeNew(Listing, Changes);
-  record &Record = Known->second;
+    return applyWithdrawal(Listing, Changes);
+  const auto Existing = Records.find(Listing.Key.Incarnation);
+  if (Existing == Records.end())
+    return addListing(Listing, Changes);
+  record &Record = Existing->second;
   Record.Confirmed = true;
   listing_state State = Listing.State;
-  // A new leader may have heard only the notice that was sent before the one that said so.
+  // A new leader may have received only a notice that was sent before the one about leaving.
   if (Record.Listing.State == listing_state::Leaving && State != listing_state::Gone)
     State = listing_state::Leaving;
-  change(Record, State, Changes);
+  setState(Record, State, Changes);
 }
 
 /**
- * A leader lists one life of a name. Another leader's list may have left the life before here: its
- * work and its failures must not count for the one that holds nothing of it.
+ * Adds a listing of an unknown incarnation. A leader lists one incarnation of a name, so an earlier
+ * leader's list may have left the previous one here. It is removed, because its requests and
+ * failures must not count for the new incarnation, which has none of them.
  */
-void directory_follower::takeNew(const backend_listing &Listing,
-                                 std::vector<backend_listing> &Changes) {
+void directory_follower::addListing(const backend_listing &Listing,
+                                    std::vector<backend_listing> &Changes) {
   if (Listing.State == listing_state::Gone)
     return;
-  const auto Former = std::find_if(Records.begin(), Records.end(), [&Listing](const auto &Item) {
+  const auto Previous = std::find_if(Records.begin(), Records.end(), [&Listing](const auto &Item) {
     return Item.second.Listing.Instance == Listing.Instance;
   });
-  if (Former != Records.end()) {
-    if (Former->second.Listing.Started > Listing.Started)
+  if (Previous != Records.end()) {
+    if (Previous->second.Listing.Started > Listing.Started)
       return;
-    change(Former->second, listing_state::Gone, Changes);
+    setState(Previous->second, listing_state::Gone, Changes);
   }
   Records.emplace(Listing.Key.Incarnation, record{Listing, true});
   Changes.push_back(Listing);
 }
 
-/// The leader had not heard of what was withdrawn, so it knows no address.
-void directory_follower::takeWithdrawal(const backend_listing &Listing,
-                                        std::vector<backend_listing> &Changes) {
-  for (auto &[Incarnation, Known] : Records)
-    if (Known.Listing.Instance == Listing.Instance && Known.Listing.Started <= Listing.Started) {
-      Known.Confirmed = true;
-      return change(Known, listing_state::Leaving, Changes);
+/// Applies a withdrawal without an address, which the leader sends if it has no notice of the
+/// incarnation.
+void directory_follower::applyWithdrawal(const backend_listing &Listing,
+                                         std::vector<backend_listing> &Changes) {
+  for (auto &[Incarnation, Existing] : Records)
+    if (Existing.Listing.Instance == Listing.Instance &&
+        Existing.Listing.Started <= Listing.Started) {
+      Existing.Confirmed = true;
+      return setState(Existing, listing_state::Leaving, Changes);
     }
 }
 
-void directory_follower::change(record &Known, listing_state State,
-                                std::vector<backend_listing> &Changes) {
-  if (State == Known.Listing.State)
+void directory_follower::setState(record &Existing, listing_state State,
+                                  std::vector<backend_listing> &Changes) {
+  if (State == Existing.Listing.State)
     return;
-  Known.Listing.State = State;
-  Changes.push_back(Known.Listing);
+  Existing.Listing.State = State;
+  Changes.push_back(Existing.Listing);
   if (State == listing_state::Gone)
-    Records.erase(Known.Listing.Key.Incarnation);
+    Records.erase(Existing.Listing.Key.Incarnation);
 }
 
 std::vector<backend_listing> directory_follower::advance(mono_time Now) {
   std::vector<backend_listing> Changes;
-  if (!ReviewAt || Now < *ReviewAt)
+  if (!GraceEndsAt || Now < *GraceEndsAt)
     return Changes;
-  ReviewAt.reset();
-  for (auto &[Incarnation, Known] : Records) {
-    if (Known.Confirmed || Known.Listing.State != listing_state::Active)
+  GraceEndsAt.reset();
+  for (auto &[Incarnation, Existing] : Records) {
+    if (Existing.Confirmed || Existing.Listing.State != listing_state::Active)
       continue;
-    Known.Listing.State = listing_state::Silent;
-    Changes.push_back(Known.Listing);
+    Existing.Listing.State = listing_state::Unresponsive;
+    Changes.push_back(Existing.Listing);
   }
   return Changes;
 }
 
 const backend_listing *directory_follower::find(const backend_key &Key) const {
-  const auto Known = Records.find(Key.Incarnation);
-  return Known == Records.end() ? nullptr : &Known->second.Listing;
+  const auto Existing = Records.find(Key.Incarnation);
+  return Existing == Records.end() ? nullptr : &Existing->second.Listing;
 }
 
 } // namespace pollenstall
--- a/src/directory/directory_follower_base.h
+++ b/src/directory/directory_follower_base.h
@@ -11,39 +11,44 @@
 namespace pollenstall {
 
 /**
- * Survives changes of the leader: a new one knows only those it has heard of itself, so what it
- * does not list yet keeps its place for some time. After that it counts as silent: it may have said
- * to the former leader that it leaves.
+ * Keeps the list over changes of the leader. A new leader knows only the backend servers that it
+ * has a notice of, so those that it does not list yet keep their state for a grace period. After
+ * that they count as unresponsive, because they may have notified the former leader that they
+ * leave.
  */
 class directory_follower {
 public:
-  /// @param Patience How long a new leader may take to hear of every backend server.
-  explicit directory_follower(mono_duration Patience) : Grace(Patience) {}
-
-  /// A leader told what it knows, at the start of a connection. @return What changed.
-  std::vector<backend_listing> takeAll(const std::vector<backend_listing> &Listings, mono_time Now);
-  /// @return What changed here.
-  std::vector<backend_listing> take(const std::vector<backend_listing> &Listings);
-  /// Lets time pass. @return Those that the new leader did not hear of.
+  /// @param GracePeriod How long a new leader may take to receive a notice from every backend
+  /// server.
+  explicit directory_follower(mono_duration GracePeriod) : Grace(GracePeriod) {}
+
+  /// Applies the full list that a leader sends at the start of a connection. @return The changed
+  /// listings.
+  std::vector<backend_listing> applyFullList(const std::vector<backend_listing> &Listings,
+                                             mono_time Now);
+  /// Applies listings that the leader changed. @return The listings that changed here.
+  std::vector<backend_listing> applyUpdates(const std::vector<backend_listing> &Listings);
+  /// Advances the time. @return Listings that the new leader did not confirm within the grace
+  /// period.
   std::vector<backend_listing> advance(mono_time Now);
-  /// @return Whether any leader has told its list in this life.
-  [[nodiscard]] bool told() const { return Told; }
+  /// @return Whether any leader has sent its full list to this process.
+  [[nodiscard]] bool hasFullList() const { return HasFullList; }
   [[nodiscard]] const backend_listing *find(const backend_key &Key) const;
 
 private:
   struct record {
     backend_listing Listing;
-    bool Confirmed{true}; ///< By the leader of the present connection.
+    bool Confirmed{true}; ///< The leader of the current connection has listed it.
   };
 
-  void takeOne(const backend_listing &Listing, std::vector<backend_listing> &Changes);
-  void takeNew(const backend_listing &Listing, std::vector<backend_listing> &Changes);
-  void takeWithdrawal(const backend_listing &Listing, std::vector<backend_listing> &Changes);
-  void change(record &Known, listing_state State, std::vector<backend_listing> &Changes);
+  void applyListing(const backend_listing &Listing, std::vector<backend_listing> &Changes);
+  void addListing(const backend_listing &Listing, std::vector<backend_listing> &Changes);
+  void applyWithdrawal(const backend_listing &Listing, std::vector<backend_listing> &Changes);
+  void setState(record &Existing, listing_state State, std::vector<backend_listing> &Changes);
 
   mono_duration Grace;
-  bool Told{false};
-  std::optional<mono_time> ReviewAt;
+  bool HasFullList{false};
+  std::optional<mono_time> GraceEndsAt;
   std::map<incarnation, record> Records;
 };
 
--- a/src/directory/directory_type.h
+++ b/src/directory/directory_type.h
@@ -1,4 +1,4 @@
-/** @file directory_type.h What backend servers say of themselves, and what entries are told. */
+/** @file directory_type.h Notices of backend servers and the listings that entries receive. */
 #ifndef POLLENSTALL_DIRECTORY_DIRECTORY_TYPE_H
 #define POLLENSTALL_DIRECTORY_DIRECTORY_TYPE_H
 
@@ -11,16 +11,17 @@
 namespace pollenstall {
 
 struct instance_tag {};
-/// The name that a backend server gives itself. Most take a new one at each start; names have no
+/// The name that a backend server chooses. Most choose a new one at each start; names have no
 /// order.
 using instance_name = strong_text<instance_tag>;
 
 struct incarnation_start_tag {};
-/// When a life began, in Unix milliseconds by the server's own clock; 0 where it does not say.
+/// When an incarnation began, in Unix milliseconds by the backend server's own clock; 0 if it does
+/// not report that.
 using incarnation_start = strong_id<incarnation_start_tag>;
 
-/// One life of a backend server. Of two under the same name the one that began later is the newer:
-/// it holds nothing of what the former one held.
+/// One incarnation of a backend server. Of two with the same name the one that began later is the
+/// newer: it has none of its predecessor's requests or state.
 struct backend_incarnation {
   instance_name Instance;
   incarnation_start Started;
@@ -28,54 +29,56 @@
   bool operator==(const backend_incarnation &) const = default;
 };
 
-/// What a backend server says of itself, at a steady interval and before it leaves.
+/// A notice that a backend server sends at a fixed interval and before it leaves.
 struct backend_notice {
   instance_name Instance;
   backend_address Address;
   service_name Service;
   failure_domain_name Domain;
-  std::uint32_t Places{1};   ///< Requests that it runs at once.
-  bool Leaving{false};       ///< Takes no new work.
-  std::uint64_t Sequence{0}; ///< Rises with each notice of one life, so that a late one shows.
+  std::uint32_t Slots{1};    ///< Requests that it runs concurrently.
+  bool Leaving{false};       ///< Accepts no new work.
+  std::uint64_t Sequence{0}; ///< Increases within an incarnation; reveals late notices.
   incarnation_start Started;
 };
 
-/// How a backend server stands.
+/// The state of a backend server.
 enum class listing_state : std::uint8_t {
-  Active,  ///< May be given work.
-  Leaving, ///< Finishes what it has.
-  Silent,  ///< Said nothing for some time: gone, or cut off from the control hosts alone.
-  Gone,    ///< Its life is over: another one has its address, or it was silent for very long.
+  Active,       ///< Accepts work.
+  Leaving,      ///< Finishes its running requests.
+  Unresponsive, ///< Sent no notice for some time: it has ended, or only its path to the control
+                ///< hosts is cut.
+  Gone, ///< The incarnation has ended: another one holds its address, or it sent no notice for
+        ///< RemoveAfter.
 };
 
-/// One backend server as entries are told of it.
+/// One backend server as listed for the entries.
 struct backend_listing {
   backend_key Key;
   instance_name Instance;
   service_name Service;
   failure_domain_name Domain;
-  std::uint32_t Places{1};
+  std::uint32_t Slots{1};
   listing_state State{listing_state::Active};
   incarnation_start Started;
 
   bool operator==(const backend_listing &) const = default;
 };
 
-/// @return The key of a life. Its number has no order: which of two lives at one address is the
-/// newer one is known to the directory alone.
+/// Returns the key of an incarnation. Its number has no order: only the directory knows which of
+/// two incarnations at one address is the newer.
 inline backend_key keyOf(const backend_address &Address, const backend_incarnation &Incarnation) {
   return {Address, incarnation(combineHashes(stableHash(Incarnation.Instance.str()),
                                              Incarnation.Started.value()) |
                                1U)};
 }
 
-/// Times of the directory.
+/// Timeouts and limits of the directory.
 struct directory_options {
-  mono_duration NoticeInterval{std::chrono::milliseconds(1000)}; ///< Backend servers' own.
-  std::uint32_t SilentAfter{4};                                  ///< Intervals without a notice.
-  mono_duration ForgetAfter{std::chrono::seconds(60)}; ///< Silence after which it is dropped.
-  std::size_t MaxBackends{4096};                       ///< Listed at once.
-  std::size_t MaxRetired{16'384};                      ///< Names of ended lives remembered.
+  mono_duration NoticeInterval{std::chrono::milliseconds(1000)}; ///< Of a backend server.
+  std::uint32_t MaxMissedNotices{4}; ///< Notice intervals until it is unresponsive.
+  mono_duration RemoveAfter{std::chrono::seconds(60)}; ///< Time without a notice until removal.
+  std::size_t MaxBackends{4096};                       ///< Maximum of listings.
+  std::size_t MaxRetired{16'384}; ///< Maximum of names with a remembered ended incarnation.
 };
 
 } // namespace pollenstall
--- a/src/fleet_model/fleet_run.cpp
+++ b/src/fleet_model/fleet_run.cpp
@@ -40,7 +40,7 @@
   Listing.Key = keyOf(backend_address("10.0.0.1:" + Port), {Name, {}});
   Listing.Instance = Name;
   Listing.Service = modelService();
-  Listing.Places = Figures.Places;
+  Listing.Slots = Figures.Places;
   return Listing;
 }
 
--- a/src/placement/tracked_engine_base.h
+++ b/src/placement/tracked_engine_base.h
@@ -62,7 +62,7 @@
   [[nodiscard]] const service_name &service() const { return Listing.Service; }
   [[nodiscard]] const failure_domain_name &domain() const { return Listing.Domain; }
   /// Returns the number of concurrent requests that the server announced.
-  [[nodiscard]] std::uint32_t slots() const { return Listing.Places; }
+  [[nodiscard]] std::uint32_t slots() const { return Listing.Slots; }
 
 private:
   backend_listing Listing;
--- a/tests/placement/placer_fixture.h
+++ b/tests/placement/placer_fixture.h
@@ -63,7 +63,7 @@
                         {instance_name(Name), {}});
     Listing.Instance = instance_name(Name);
     Listing.Service = service_name("llm");
-    Listing.Places = 16;
+    Listing.Slots = 16;
     return Listing;
   }
 
