--- a/bench/decision/sample_fleet.cpp
+++ b/bench/decision/sample_fleet.cpp
@@ -95,7 +95,7 @@
   Engine.Capabilities.Priorities = true;
   Engine.Capabilities.Cancels = true;
   Engine.Memory = memory_blocks(EngineBlocks);
-  View.LoadSeen = Now;
+  View.LoadReceivedAt = Now;
   View.Load.Running = 4;
   return View;
 }
--- a/bench/membership/membership_bench.cpp
+++ b/bench/membership/membership_bench.cpp
@@ -44,7 +44,7 @@
     Net.OnAction = [this](std::size_t Host, const membership_action &Action) {
       note(Host, Action);
     };
-    Net.Around = [this](const std::function<void()> &Call) {
+    Net.CallWrapper = [this](const std::function<void()> &Call) {
       const double Before = cpuMicroseconds();
       Call();
       Cpu += cpuMicroseconds() - Before;
@@ -85,28 +85,28 @@
     report("engine_joins", [this](int) {
       const std::size_t Engine = Net.addBackend();
       Net.announceNow(Engine);
-      return engineKnown(Engine, backend_standing::Active);
+      return engineKnown(Engine, backend_status::Active);
     });
     report("engine_leaves", [this](int Trial) {
       const std::size_t Engine = static_cast<std::size_t>(Trial);
       Net.Backends[Engine].Announcement.Leaving = true;
       Net.announceNow(Engine);
-      return engineKnown(Engine, backend_standing::Leaving);
+      return engineKnown(Engine, backend_status::Leaving);
     });
     report("engine_dies", [this](int Trial) {
       const std::size_t Engine = static_cast<std::size_t>(Trials) + static_cast<std::size_t>(Trial);
       Net.Backends[Engine].Alive = false;
-      return engineKnown(Engine, backend_standing::Lost);
+      return engineKnown(Engine, backend_status::Lost);
     });
     report("host_dies", [this](int Trial) {
       const std::size_t Host = trialHost(Trial);
       Net.stop(Host);
-      return hostKnown(Host, host_standing::Dead);
+      return hostKnown(Host, host_status::Dead);
     });
     report("host_joins", [this](int Trial) {
       const std::size_t Host = trialHost(Trial);
       Net.start(Host);
-      return hostKnown(Host, host_standing::Alive);
+      return hostKnown(Host, host_status::Alive);
     });
   }
 
@@ -117,9 +117,9 @@
     if (const auto *Sent = std::get_if<send_message>(&Action))
       noteSent(Host, *Sent);
     if (const auto *Engine = std::get_if<backend_changed>(&Action))
-      Engines[Engine->View.Announcement.Key][Host] = Engine->View.Standing;
+      Engines[Engine->View.Announcement.Key][Host] = Engine->View.Status;
     if (const auto *Seen = std::get_if<host_changed>(&Action))
-      Standings[Seen->View.Key][Host] = Seen->View.Standing;
+      Standings[Seen->View.Key][Host] = Seen->View.Status;
   }
 
   /// Counts the datagram with its headers, and the CPU of writing and reading it.
@@ -139,19 +139,19 @@
     Lost = 0;
     for (std::size_t Host = 0; Host < Net.Hosts.size(); ++Host)
       for (const backend_view &View : Net.Hosts[Host].Process->views())
-        if (View.Standing == backend_standing::Lost)
+        if (View.Status == backend_status::Lost)
           ++Lost;
         else
-          Ages.push_back(seconds(Net.now() - View.LoadSeen));
+          Ages.push_back(seconds(Net.now() - View.LoadReceivedAt));
     std::sort(Ages.begin(), Ages.end());
     return Ages;
   }
 
-  condition engineKnown(std::size_t Engine, backend_standing Wanted) {
+  condition engineKnown(std::size_t Engine, backend_status Wanted) {
     const backend_key Key = Net.Backends[Engine].Announcement.Key;
     return [this, Key, Wanted] { return everyone(Engines[Key], Wanted, Net.Hosts.size()); };
   }
-  condition hostKnown(std::size_t Host, host_standing Wanted) {
+  condition hostKnown(std::size_t Host, host_status Wanted) {
     const process_key Key = Net.Hosts[Host].Key;
     return [this, Key, Host, Wanted] { return everyone(Standings[Key], Wanted, Host); };
   }
@@ -198,8 +198,8 @@
   double Cpu{0};
   double Memory{0};
   std::size_t Lost{0};
-  std::map<backend_key, std::map<std::size_t, backend_standing>> Engines;
-  std::map<process_key, std::map<std::size_t, host_standing>> Standings;
+  std::map<backend_key, std::map<std::size_t, backend_status>> Engines;
+  std::map<process_key, std::map<std::size_t, host_status>> Standings;
 };
 
 /// Least squares over the number of hosts.
--- a/bench/policy/entry_policy.cpp
+++ b/bench/policy/entry_policy.cpp
@@ -68,7 +68,7 @@
   static double outstanding(const server &Server, mono_time) {
     double Fresh = 0;
     for (const auto &[Attempt, Started] : Server.Starts)
-      if (Started + ReportLag > Server.View.LoadSeen)
+      if (Started + ReportLag > Server.View.LoadReceivedAt)
         ++Fresh;
     return Fresh + Server.View.Load.Running + Server.View.Load.Waiting;
   }
@@ -76,7 +76,7 @@
   std::optional<backend_key> choose(const work_item &Item, mono_time Now) {
     std::vector<const server *> Open;
     for (const auto &[Key, Server] : Views)
-      if (Server.View.Standing == backend_standing::Active &&
+      if (Server.View.Status == backend_status::Active &&
           std::find(Item.Avoid.begin(), Item.Avoid.end(), Key) == Item.Avoid.end())
         Open.push_back(&Server);
     if (Open.empty())
--- a/bench/policy/simulation.cpp
+++ b/bench/policy/simulation.cpp
@@ -38,7 +38,7 @@
     View.Announcement.BlockTokens = tokens(Settings.Engine.BlockTokens);
     View.Announcement.Memory =
         memory_blocks(Settings.Engine.MemoryTokens / Settings.Engine.BlockTokens);
-    View.LoadSeen = now();
+    View.LoadReceivedAt = now();
     EngineNumbers[View.Announcement.Key] = Number;
     Engines.push_back({sim_engine(Settings.Engine), View, false, 0});
   }
@@ -98,7 +98,7 @@
   case event_kind::Disturb:
     return disturb(Settings.Disturbances[Event.Index]);
   case event_kind::MarkLost:
-    Engines[Event.Index].View.Standing = backend_standing::Lost;
+    Engines[Event.Index].View.Status = backend_status::Lost;
     for (entry_state &Entry : Entries)
       Entry.Policy.View(Engines[Event.Index].View, now());
     return;
@@ -236,7 +236,7 @@
     return;
   State.View.Load = State.Engine.load();
   State.View.Load.Sequence = State.Engine.nextReport();
-  State.View.LoadSeen = now() + spanOf(Settings.ReportLag);
+  State.View.LoadReceivedAt = now() + spanOf(Settings.ReportLag);
   Reports.push_back(State.View);
   push(Time + Settings.ReportLag, event_kind::Deliver, Reports.size() - 1);
   push(Time + Settings.ReportInterval, event_kind::Report, Number);
@@ -244,7 +244,7 @@
 
 void simulation::deliver(std::size_t Index) {
   const backend_view View = Reports[Index];
-  if (Engines[engineOf(View.Announcement.Key)].View.Standing != backend_standing::Active)
+  if (Engines[engineOf(View.Announcement.Key)].View.Status != backend_status::Active)
     return;
   for (std::size_t Entry = 0; Entry < Entries.size(); ++Entry) {
     Entries[Entry].Policy.View(View, now());
--- a/programs/pollenstall-entry/decision_seam.cpp
+++ b/programs/pollenstall-entry/decision_seam.cpp
@@ -128,8 +128,8 @@
 
 backend_view decision_seam::withDrain(backend_view View) const {
   const bool Drains = Drained.contains(View.Announcement.Key.Address);
-  if (Drains && View.Standing == backend_standing::Active)
-    View.Standing = backend_standing::Leaving;
+  if (Drains && View.Status == backend_status::Active)
+    View.Status = backend_status::Leaving;
   return View;
 }
 
@@ -143,12 +143,11 @@
 void decision_seam::noteBackend(const backend_view &View, mono_time Now) {
   const backend_key &Key = View.Announcement.Key;
   const auto Before = Backends.find(Key);
-  const bool WasLost =
-      Before != Backends.end() && Before->second.Standing == backend_standing::Lost;
+  const bool WasLost = Before != Backends.end() && Before->second.Status == backend_status::Lost;
   Backends.insert_or_assign(Key, View);
   Scheduler.updateBackend(withDrain(View), Now);
   Patrol.addEngine(View.Announcement);
-  if (View.Standing == backend_standing::Lost && !WasLost)
+  if (View.Status == backend_status::Lost && !WasLost)
     Dispatcher.backendLost(Key, Now);
   PollDue = true;
 }
@@ -193,7 +192,7 @@
     return Listing && Listing->State == listing_state::Leaving;
   }
   const auto Found = Backends.find(Backend);
-  return Found != Backends.end() && Found->second.Standing == backend_standing::Leaving;
+  return Found != Backends.end() && Found->second.Status == backend_status::Leaving;
 }
 
 std::string decision_seam::instanceOf(const backend_key &Backend) const {
--- a/src/gossip/membership_codec_func.h
+++ b/src/gossip/membership_codec_func.h
@@ -88,18 +88,18 @@
 }
 
 template <typename Archive> void serialize(Archive &Into, backend_record &Value) {
-  Into(Value.Announcement, Value.Sequence, Value.LoadSequence, Value.Load, Value.Forgotten);
+  Into(Value.Announcement, Value.Sequence, Value.LoadSequence, Value.Load, Value.Tombstone);
 }
 
 template <typename Archive> void serialize(Archive &Into, host_record &Value) {
   packProcess(Into, Value.Key);
   packName(Into, Value.Domain);
   packList(Into, Value.Addresses, [&Into](peer_address &Address) { packName(Into, Address); });
-  Into(Value.Refutation, Value.Standing);
+  Into(Value.Refutation, Value.Status);
   packName(Into, Value.Accuser);
 }
 
-template <typename Archive> void serialize(Archive & /*Into*/, news & /*Value*/) {}
+template <typename Archive> void serialize(Archive & /*Into*/, record_updates & /*Value*/) {}
 
 template <typename Archive> void serialize(Archive &Into, ping &Value) {
   Into(Value.Nonce);
--- a/src/membership/backend_expiry.cpp
+++ b/src/membership/backend_expiry.cpp
@@ -1,4 +1,4 @@
-/** @file backend_expiry.cpp Backend servers: when silence means lost, and what others are told. */
+/** @file backend_expiry.cpp backend_table: expiry of backend servers, gossip turns and views. */
 #include "membership/backend_table_base.h"
 
 #include "membership/load_digest_func.h"
@@ -10,90 +10,93 @@
 
 namespace {
 
-constexpr std::uint32_t SteadyRun = 6;    // by chance rarer than 1 in 30,000 among 8 hosts
-constexpr double EnvelopeAllowance = 120; // bytes of a datagram that are no digests
-constexpr double Slack = 1.1;             // a full queue would add its own lag to every report
+constexpr std::uint32_t MinDirectReports = 6; // a run by chance: under 1 in 30,000 among 8 hosts
+constexpr double EnvelopeAllowance = 120;     // bytes of a datagram besides its digests
+constexpr double BudgetHeadroom = 1.1;        // avoids the queueing delay of a fully used budget
 
 } // namespace
 
-mono_duration backend_table::releaseInterval() const {
+mono_duration backend_table::loadGossipInterval() const {
   const std::chrono::duration<double> Round = Settings.GossipInterval;
   const double Datagram = Settings.LoadBytesPerSecond * Round.count() / Settings.Fanout;
   const double Digests = std::max(1.0, (Datagram - EnvelopeAllowance) / DigestWireBytes);
-  const auto Rounds = static_cast<double>(Present) / Digests * Slack;
+  const auto Rounds = static_cast<double>(LiveBackends) / Digests * BudgetHeadroom;
   const auto Budgeted = std::chrono::duration_cast<mono_duration>(Round * Rounds);
   return std::max(Settings.AnnouncementInterval, Budgeted);
 }
 
-mono_duration backend_table::quietExpiry() const {
-  return Settings.BackendExpiry + 2 * (releaseInterval() - Settings.AnnouncementInterval);
+mono_duration backend_table::indirectExpiry() const {
+  return Settings.BackendExpiry + 2 * (loadGossipInterval() - Settings.AnnouncementInterval);
 }
 
-mono_duration backend_table::patience(const backend_entry &Entry) const {
-  // Whoever heard it regularly is the first to know. Reports that reach now this host, now that one
-  // prove nothing by staying away from here, nor does the lag of the gossip.
-  return Entry.DirectRun >= SteadyRun ? Settings.BackendExpiry
-                                      : quietExpiry() + Settings.QueryGrace;
+mono_duration backend_table::expiryTimeout(const backend_entry &Entry) const {
+  // The host that receives all reports directly detects a loss first. If reports reach alternating
+  // hosts, their absence at this host proves nothing, and neither does the delay of the gossip.
+  return Entry.DirectReports >= MinDirectReports ? Settings.BackendExpiry
+                                                 : indirectExpiry() + Settings.QueryGrace;
 }
 
-bool backend_table::givenUp(const backend_entry &Entry, mono_duration Listened) const {
-  return Listened - Entry.HeardListening >= patience(Entry);
+bool backend_table::isExpired(const backend_entry &Entry, mono_duration ConnectedTime) const {
+  return ConnectedTime - Entry.ReportedConnectedTime >= expiryTimeout(Entry);
 }
 
-std::vector<std::uint64_t> backend_table::takeDoubtful(mono_duration Listened) {
-  std::vector<std::uint64_t> Doubtful;
+std::vector<std::uint64_t> backend_table::takeQueriesDue(mono_duration ConnectedTime) {
+  std::vector<std::uint64_t> QueriesDue;
   for (auto &[Subject, Entry] : Entries) {
-    if (Entry.Lost || Listened - Entry.HeardListening < patience(Entry) - Settings.QueryGrace ||
-        Listened - Entry.QueriedListening < Settings.QueryGrace / 2)
+    if (Entry.Lost ||
+        ConnectedTime - Entry.ReportedConnectedTime < expiryTimeout(Entry) - Settings.QueryGrace ||
+        ConnectedTime - Entry.QueriedConnectedTime < Settings.QueryGrace / 2)
       continue;
-    Entry.QueriedListening = Listened;
-    Doubtful.push_back(Subject);
+    Entry.QueriedConnectedTime = ConnectedTime;
+    QueriesDue.push_back(Subject);
   }
-  return Doubtful;
+  return QueriesDue;
 }
 
-std::vector<std::uint64_t> backend_table::expire(mono_duration Listened) {
+std::vector<std::uint64_t> backend_table::expire(mono_duration ConnectedTime) {
   std::vector<std::uint64_t> Expired;
   for (auto &[Subject, Entry] : Entries) {
-    if (Entry.Lost || !givenUp(Entry, Listened))
+    if (Entry.Lost || !isExpired(Entry, ConnectedTime))
       continue;
     Entry.Lost = true;
-    Entry.DirectRun = 0;
+    Entry.DirectReports = 0;
     Expired.push_back(Subject);
   }
-  Present -= Expired.size();
+  LiveBackends -= Expired.size();
   return Expired;
 }
 
-std::vector<backend_key> backend_table::forget(mono_duration Listened) {
-  std::vector<backend_key> Gone;
+std::vector<backend_key> backend_table::createTombstones(mono_duration ConnectedTime) {
+  std::vector<backend_key> Retired;
   for (auto &[Subject, Entry] : Entries) {
-    if (!Entry.Lost || Entry.Forgotten || Listened - Entry.HeardListening < Settings.ForgetAfter)
+    if (!Entry.Lost || Entry.Tombstone ||
+        ConnectedTime - Entry.ReportedConnectedTime < Settings.TombstoneAfter)
       continue;
-    Entry.Forgotten = true;
-    backend_announcement Stub;
-    Stub.Key = Entry.Announcement.Key;
-    Stub.Leaving = Entry.Announcement.Leaving;
-    Entry.Announcement = Stub;
-    Gone.push_back(Stub.Key);
+    Entry.Tombstone = true;
+    backend_announcement Remnant;
+    Remnant.Key = Entry.Announcement.Key;
+    Remnant.Leaving = Entry.Announcement.Leaving;
+    Entry.Announcement = Remnant;
+    Retired.push_back(Remnant.Key);
   }
-  return Gone;
+  return Retired;
 }
 
-bool backend_table::takeRelease(std::uint64_t Subject, mono_duration Listened) {
+bool backend_table::takeGossipTurn(std::uint64_t Subject, mono_duration ConnectedTime) {
   backend_entry &Entry = Entries.at(Subject);
-  const mono_duration Interval = releaseInterval();
-  const auto Every =
+  const mono_duration Interval = loadGossipInterval();
+  const auto ReportsPerTurn =
       static_cast<std::uint64_t>((Interval + Settings.AnnouncementInterval - mono_duration(1)) /
                                  Settings.AnnouncementInterval);
-  // Reports reach now this host, now that one. By time alone each host that the last release has
-  // not reached yet would release its own; by the report's number all agree on which one it is.
-  const bool Turn = Entry.Load.Sequence % Every == Subject % Every;
-  // A backend server may count its reports in other steps than one, or the turn's report was lost.
-  const bool Overdue = Listened - Entry.ReleasedListening >= 2 * Interval;
-  if (!Turn && !Overdue)
+  // Reports reach alternating hosts. If only the time decided, each host that the last gossiped
+  // report has not reached yet would gossip its own; by the report's sequence all hosts select the
+  // same one.
+  const bool HasTurn = Entry.Load.Sequence % ReportsPerTurn == Subject % ReportsPerTurn;
+  // A backend server may increase its sequence by more than one, or the selected report was lost.
+  const bool IsOverdue = ConnectedTime - Entry.GossipedConnectedTime >= 2 * Interval;
+  if (!HasTurn && !IsOverdue)
     return false;
-  Entry.ReleasedListening = Listened;
+  Entry.GossipedConnectedTime = ConnectedTime;
   return true;
 }
 
@@ -109,30 +112,30 @@
   return Found->second.front();
 }
 
-bool backend_table::ambiguous(std::uint64_t Subject) const {
+bool backend_table::hasDigestIdCollision(std::uint64_t Subject) const {
   return !subjectOfDigest(digestId(Entries.at(Subject).Announcement.Key)).has_value();
 }
 
 load_digest backend_table::digest(std::uint64_t Subject, mono_time Now) const {
   const backend_entry &Entry = Entries.at(Subject);
   return packLoad(Entry.Announcement.Key, Entry.Load,
-                  {Now - Entry.HeardAt, Entry.Announcement.Leaving, Entry.Lost});
+                  {Now - Entry.ReportedAt, Entry.Announcement.Leaving, Entry.Lost});
 }
 
 backend_record backend_table::record(std::uint64_t Subject, mono_time Now) const {
   const backend_entry &Entry = Entries.at(Subject);
   return {Entry.Announcement, Entry.Sequence, Entry.Load.Sequence, digest(Subject, Now),
-          Entry.Forgotten};
+          Entry.Tombstone};
 }
 
 backend_view backend_table::view(std::uint64_t Subject) const {
   const backend_entry &Entry = Entries.at(Subject);
-  backend_standing Standing = backend_standing::Active;
+  backend_status Status = backend_status::Active;
   if (Entry.Announcement.Leaving)
-    Standing = backend_standing::Leaving;
+    Status = backend_status::Leaving;
   if (Entry.Lost)
-    Standing = backend_standing::Lost;
-  return {Entry.Announcement, Entry.Load, Standing, Entry.HeardAt};
+    Status = backend_status::Lost;
+  return {Entry.Announcement, Entry.Load, Status, Entry.ReportedAt};
 }
 
 } // namespace pollenstall
--- a/src/membership/backend_table.cpp
+++ b/src/membership/backend_table.cpp
@@ -1,4 +1,4 @@
-/** @file backend_table.cpp Backend servers: which record prevails. */
+/** @file backend_table.cpp backend_table: merging records, reports and digests. */
 #include "membership/backend_table_base.h"
 
 #include "membership/load_digest_func.h"
@@ -11,7 +11,7 @@
 namespace {
 
 bool sameContent(const backend_announcement &A, backend_announcement B) {
-  B.Leaving = A.Leaving; // sticks by itself and is merged apart from the content
+  B.Leaving = A.Leaving; // Leaving sticks and is merged apart from the content
   return A == B;
 }
 
@@ -20,111 +20,112 @@
 } // namespace
 
 backend_change backend_table::announce(const backend_announcement &Announcement,
-                                       const backend_load &Load, table_time Time) {
+                                       const backend_load &Load, event_time Time) {
   backend_change Change;
   Change.Subject = subjectOf(Announcement.Key.Address);
-  backend_entry *Entry = admit(Change.Subject);
-  Change.Refused = Entry == nullptr;
-  Change.Older =
+  backend_entry *Entry = findOrCreate(Change.Subject);
+  Change.Rejected = Entry == nullptr;
+  Change.Stale =
       Entry != nullptr && Announcement.Key.Incarnation < Entry->Announcement.Key.Incarnation;
-  if (Change.Refused || Change.Older)
+  if (Change.Rejected || Change.Stale)
     return Change;
   if (isNew(*Entry) || Announcement.Key.Incarnation > Entry->Announcement.Key.Incarnation)
     replaceIncarnation(Change.Subject, *Entry, Announcement, Change);
   if (Announcement.Leaving)
     markLeaving(Change.Subject, *Entry, Change);
-  const bool First = Change.Record && Load.Sequence == Entry->Load.Sequence;
-  if (Load.Sequence <= Entry->Load.Sequence && !First)
-    return Change; // a repeat, or overtaken on the way
-  // A return from Lost counts as a change: hosts that forgot the announcement need it again.
-  if (Entry->Lost || Entry->Forgotten || Change.Record ||
+  const bool IsFirstReport = Change.RecordChanged && Load.Sequence == Entry->Load.Sequence;
+  if (Load.Sequence <= Entry->Load.Sequence && !IsFirstReport)
+    return Change; // duplicate or reordered
+  // A return from Lost counts as a change: hosts that hold a tombstone need the announcement again.
+  if (Entry->Lost || Entry->Tombstone || Change.RecordChanged ||
       !sameContent(Entry->Announcement, Announcement)) {
-    rewrite(Change.Subject, *Entry, Announcement, Load.Sequence);
-    Change.Record = true;
+    replaceRecord(Change.Subject, *Entry, Announcement, Load.Sequence);
+    Change.RecordChanged = true;
   }
-  Change.Standing = Change.Standing || Entry->Lost;
-  Present += Entry->Lost ? 1 : 0;
+  Change.StatusChanged = Change.StatusChanged || Entry->Lost;
+  LiveBackends += Entry->Lost ? 1 : 0;
   const bool NextInRun = Load.Sequence == Entry->Load.Sequence + 1;
-  Entry->DirectRun = NextInRun && !Change.Record ? Entry->DirectRun + 1 : 1;
+  Entry->DirectReports = NextInRun && !Change.RecordChanged ? Entry->DirectReports + 1 : 1;
   Entry->Load = Load;
   Entry->Lost = false;
-  Entry->HeardAt = Time.Now;
-  Entry->HeardListening = Time.Listened;
-  Change.Load = true;
+  Entry->ReportedAt = Time.Now;
+  Entry->ReportedConnectedTime = Time.ConnectedTime;
+  Change.LoadChanged = true;
   return Change;
 }
 
-backend_change backend_table::merge(const backend_record &Record, table_time Time) {
+backend_change backend_table::merge(const backend_record &Record, event_time Time) {
   backend_change Change;
   Change.Subject = subjectOf(Record.Announcement.Key.Address);
-  backend_entry *Entry = admit(Change.Subject);
-  Change.Refused = Entry == nullptr;
-  Change.Older =
+  backend_entry *Entry = findOrCreate(Change.Subject);
+  Change.Rejected = Entry == nullptr;
+  Change.Stale =
       Entry != nullptr && Record.Announcement.Key.Incarnation < Entry->Announcement.Key.Incarnation;
-  if (Change.Refused || Change.Older)
+  if (Change.Rejected || Change.Stale)
     return Change;
   if (isNew(*Entry) || Record.Announcement.Key.Incarnation > Entry->Announcement.Key.Incarnation)
     replaceIncarnation(Change.Subject, *Entry, Record.Announcement, Change);
   if (Record.Announcement.Leaving)
     markLeaving(Change.Subject, *Entry, Change);
-  mergeBody(Change.Subject, *Entry, Record, Change);
+  mergeRecord(Change.Subject, *Entry, Record, Change);
   mergeLoad(*Entry, unpackLoad(Record.Load, Record.LoadSequence), Record.Load, Time, Change);
   return Change;
 }
 
-backend_change backend_table::merge(const load_digest &Digest, table_time Time) {
+backend_change backend_table::merge(const load_digest &Digest, event_time Time) {
   backend_change Change;
   const auto Subject = subjectOfDigest(Digest.Backend);
   if (!Subject)
     return Change;
   Change.Subject = *Subject;
   backend_entry &Entry = Entries.at(*Subject);
-  if (stateOf(Digest).Leaving)
+  if (unpackState(Digest).Leaving)
     markLeaving(*Subject, Entry, Change);
   mergeLoad(Entry, unpackLoad(Digest, Entry.Load.Sequence), Digest, Time, Change);
-  Change.NeedsBody = Entry.Forgotten && Change.Load;
+  Change.NeedsRecord = Entry.Tombstone && Change.LoadChanged;
   return Change;
 }
 
-void backend_table::mergeBody(std::uint64_t Subject, backend_entry &Entry,
-                              const backend_record &Record, backend_change &Change) {
-  const bool Restores = Entry.Forgotten && !Record.Forgotten;
+void backend_table::mergeRecord(std::uint64_t Subject, backend_entry &Entry,
+                                const backend_record &Record, backend_change &Change) {
+  const bool Restores = Entry.Tombstone && !Record.Tombstone;
   const bool Newer = Record.Sequence > Entry.Sequence;
-  if (!Newer && !Restores && !Change.Record)
+  if (!Newer && !Restores && !Change.RecordChanged)
     return;
   if (Newer || Restores || Record.Sequence == Entry.Sequence) {
-    rewrite(Subject, Entry, Record.Announcement, std::max(Record.Sequence, Entry.Sequence));
-    Entry.Forgotten = Record.Forgotten;
-    Change.Record = true;
+    replaceRecord(Subject, Entry, Record.Announcement, std::max(Record.Sequence, Entry.Sequence));
+    Entry.Tombstone = Record.Tombstone;
+    Change.RecordChanged = true;
   }
 }
 
 void backend_table::mergeLoad(backend_entry &Entry, const backend_load &Load,
-                              const load_digest &Digest, table_time Time, backend_change &Change) {
-  const digest_state State = stateOf(Digest);
-  const bool First = Change.Replaced.has_value() || Entry.HeardAt == mono_time{};
-  const mono_duration Silence = Time.Listened - Entry.HeardListening;
-  if (Load.Sequence > Entry.Load.Sequence || First) {
-    Change.Standing = Change.Standing || Entry.Lost != State.Lost;
-    Present += Entry.Lost ? 1 : 0;
-    Present -= State.Lost ? 1 : 0;
+                              const load_digest &Digest, event_time Time, backend_change &Change) {
+  const digest_state State = unpackState(Digest);
+  const bool IsFirstReport = Change.Replaced.has_value() || Entry.ReportedAt == mono_time{};
+  const mono_duration IdleTime = Time.ConnectedTime - Entry.ReportedConnectedTime;
+  if (Load.Sequence > Entry.Load.Sequence || IsFirstReport) {
+    Change.StatusChanged = Change.StatusChanged || Entry.Lost != State.Lost;
+    LiveBackends += Entry.Lost ? 1 : 0;
+    LiveBackends -= State.Lost ? 1 : 0;
     Entry.Load = Load;
     Entry.Lost = State.Lost;
-    Entry.HeardAt = Time.Now - State.Age;
-    Entry.HeardListening = Time.Listened - State.Age;
-    Entry.ReleasedListening = Entry.HeardListening;
-    Entry.DirectRun = 0;
-    Change.Load = true;
+    Entry.ReportedAt = Time.Now - State.Age;
+    Entry.ReportedConnectedTime = Time.ConnectedTime - State.Age;
+    Entry.GossipedConnectedTime = Entry.ReportedConnectedTime;
+    Entry.DirectReports = 0;
+    Change.LoadChanged = true;
     return;
   }
-  Change.Contradicts = State.Lost && Load.Sequence < Entry.Load.Sequence && !Entry.Lost;
-  // The same report, given up elsewhere. Where it is young here, the other's clock is not believed:
-  // if the silence is real, this host comes to the same end by itself.
-  const bool Agrees = Load.Sequence == Entry.Load.Sequence && State.Lost && !Entry.Lost;
-  if (Agrees && Silence >= Settings.BackendExpiry / 2) {
+  Change.ContradictsLoss = State.Lost && Load.Sequence < Entry.Load.Sequence && !Entry.Lost;
+  // Another host declared a loss at the same report. If that report is recent here, the other
+  // host's clock is not trusted; if the backend server is in fact lost, this host's own timeout
+  // expires too.
+  const bool ConfirmsLoss = Load.Sequence == Entry.Load.Sequence && State.Lost && !Entry.Lost;
+  if (ConfirmsLoss && IdleTime >= Settings.BackendExpiry / 2) {
     Entry.Lost = true;
-    --Present;
-    Change.Standing = true;
+    --LiveBackends;
+    Change.StatusChanged = true;
   }
 }
 
@@ -134,23 +135,24 @@
   if (!isNew(Entry)) {
     requireInvariant(Announcement.Key.Incarnation > Entry.Announcement.Key.Incarnation,
                      "no older incarnation of a backend server replaces a newer one");
-    if (!Entry.Forgotten)
+    if (!Entry.Tombstone)
       Change.Replaced = Entry.Announcement.Key;
     toggleBucket(Subject, Entry);
     dropDigestId(Subject, Entry.Announcement.Key);
-    Present -= Entry.Lost ? 0 : 1;
+    LiveBackends -= Entry.Lost ? 0 : 1;
   }
   Entry = backend_entry{};
   Entry.Announcement = Announcement;
   toggleBucket(Subject, Entry);
   ByDigest[digestId(Announcement.Key)].push_back(Subject);
-  ++Present;
-  Change.Record = true;
-  Change.Standing = true;
+  ++LiveBackends;
+  Change.RecordChanged = true;
+  Change.StatusChanged = true;
 }
 
-void backend_table::rewrite(std::uint64_t Subject, backend_entry &Entry,
-                            const backend_announcement &Announcement, std::uint64_t Sequence) {
+void backend_table::replaceRecord(std::uint64_t Subject, backend_entry &Entry,
+                                  const backend_announcement &Announcement,
+                                  std::uint64_t Sequence) {
   const bool Leaving = Entry.Announcement.Leaving || Announcement.Leaving;
   requireInvariant(Announcement.Key == Entry.Announcement.Key,
                    "a record is rewritten within one incarnation only");
@@ -158,7 +160,7 @@
   Entry.Announcement = Announcement;
   Entry.Announcement.Leaving = Leaving;
   Entry.Sequence = Sequence;
-  Entry.Forgotten = false;
+  Entry.Tombstone = false;
   toggleBucket(Subject, Entry);
 }
 
@@ -169,23 +171,23 @@
   toggleBucket(Subject, Entry);
   Entry.Announcement.Leaving = true;
   toggleBucket(Subject, Entry);
-  Change.Standing = true;
+  Change.StatusChanged = true;
 }
 
-backend_entry *backend_table::admit(std::uint64_t Subject) {
+backend_entry *backend_table::findOrCreate(std::uint64_t Subject) {
   const auto Found = Entries.find(Subject);
   if (Found != Entries.end())
     return &Found->second;
-  if (Entries.size() >= Settings.MaxBackends && !evictOne())
+  if (Entries.size() >= Settings.MaxBackends && !evictTombstone())
     return nullptr;
   return &Entries[Subject];
 }
 
-bool backend_table::evictOne() {
+bool backend_table::evictTombstone() {
   auto Oldest = Entries.end();
   for (auto Entry = Entries.begin(); Entry != Entries.end(); ++Entry)
-    if (Entry->second.Forgotten &&
-        (Oldest == Entries.end() || Entry->second.HeardAt < Oldest->second.HeardAt))
+    if (Entry->second.Tombstone &&
+        (Oldest == Entries.end() || Entry->second.ReportedAt < Oldest->second.ReportedAt))
       Oldest = Entry;
   if (Oldest == Entries.end())
     return false;
--- a/src/membership/backend_table_base.h
+++ b/src/membership/backend_table_base.h
@@ -1,5 +1,4 @@
-/** @file backend_table_base.h Backend servers: which record prevails, and when silence means lost.
- */
+/** @file backend_table_base.h Merges backend server records and detects expired backend servers. */
 #ifndef POLLENSTALL_MEMBERSHIP_BACKEND_TABLE_BASE_H
 #define POLLENSTALL_MEMBERSHIP_BACKEND_TABLE_BASE_H
 
@@ -15,106 +14,115 @@
 
 namespace pollenstall {
 
-/// The moment of an event on both clocks.
-struct table_time {
+/// The time of an event on both clocks.
+struct event_time {
   mono_time Now;
-  mono_duration Listened; ///< See listening_clock.
+  mono_duration ConnectedTime; ///< See connected_clock.
 };
 
-/// One backend server address as this host knows it; kept for good, so that no older life returns.
+/// What this host knows of one backend server address. A lost backend server's entry remains as a
+/// tombstone, so that no older incarnation returns.
 struct backend_entry {
-  backend_announcement Announcement; ///< The highest incarnation heard of.
-  std::uint64_t Sequence{0};         ///< Report at which the announcement last changed.
+  backend_announcement Announcement; ///< Of the highest known incarnation.
+  std::uint64_t Sequence{0}; ///< Sequence of the report at which the announcement last changed.
   backend_load Load;
-  mono_time HeardAt;                 ///< When the backend server made that report.
-  mono_duration HeardListening{};    ///< The same on the listening clock; expiry counts from here.
-  mono_duration QueriedListening{};  ///< When others were last asked for news of it.
-  mono_duration ReleasedListening{}; ///< When a report of it last entered the gossip.
-  std::uint32_t DirectRun{0};        ///< Reports in a row that this host heard itself.
+  mono_time ReportedAt;                  ///< When the backend server made the report in Load.
+  mono_duration ReportedConnectedTime{}; ///< On the connected clock; expiry counts from here.
+  mono_duration QueriedConnectedTime{};  ///< When this host last sent a load_query for it.
+  mono_duration GossipedConnectedTime{}; ///< When this host last gossiped one of its reports.
+  std::uint32_t DirectReports{0};        ///< Consecutive reports that this host received directly.
   bool Lost{false};
-  bool Forgotten{false};
+  bool Tombstone{false};
 };
 
-/// What an event did to one backend server.
+/// The effect of an event on the entry of one backend server.
 struct backend_change {
   std::uint64_t Subject{0};
-  bool Refused{false};     ///< Malformed or the table is full.
-  bool Older{false};       ///< Of an incarnation that was replaced.
-  bool Record{false};      ///< The record changed and is worth spreading.
-  bool Load{false};        ///< A newer report.
-  bool Standing{false};    ///< Leaving or Lost changed.
-  bool Contradicts{false}; ///< Given up elsewhere for a silence that is known to have ended.
-  bool NeedsBody{false};   ///< Heard again after its announcement was forgotten here.
-  std::optional<backend_key> Replaced; ///< The incarnation that is gone for good.
-
-  /// @return Whether the view changed.
-  [[nodiscard]] bool any() const { return Record || Load || Standing || Replaced.has_value(); }
+  bool Rejected{false};      ///< The table is full.
+  bool Stale{false};         ///< The event belongs to an incarnation that a newer one has replaced.
+  bool RecordChanged{false}; ///< The record changed and has to be gossiped.
+  bool LoadChanged{false};   ///< A newer load report was stored.
+  bool StatusChanged{false}; ///< Leaving or Lost changed.
+  bool ContradictsLoss{false}; ///< The event reports a loss that a newer report has disproved.
+  bool NeedsRecord{false};     ///< A new report arrived for a tombstone.
+  std::optional<backend_key> Replaced; ///< The incarnation that a newer one replaced.
+
+  /// @return Whether the backend_view changed.
+  [[nodiscard]] bool viewChanged() const {
+    return RecordChanged || LoadChanged || StatusChanged || Replaced.has_value();
+  }
 };
 
 /**
- * Records of backend servers, merged so that the order of arrival does not matter: the higher
- * incarnation prevails; within one, Leaving sticks and the higher report sequence prevails; at the
- * same sequence Lost prevails until a newer report contradicts it.
+ * Records of backend servers. The result of merging does not depend on the order of arrival: the
+ * higher incarnation prevails; within an incarnation, Leaving sticks and the higher report sequence
+ * prevails; at the same sequence, Lost prevails until a newer report contradicts it.
  */
 class backend_table {
 public:
   explicit backend_table(const membership_settings &Values) : Settings(Values) {}
 
-  /// The backend server told this host itself.
+  /// Merges an announcement that the backend server sent to this host.
   backend_change announce(const backend_announcement &Announcement, const backend_load &Load,
-                          table_time Time);
-  /// Another host passed on a record.
-  backend_change merge(const backend_record &Record, table_time Time);
-  /// Another host passed on a load digest; one of an unknown backend server does nothing.
-  backend_change merge(const load_digest &Digest, table_time Time);
-
-  /// @return Those silent for so long that others should be asked; marks them as asked.
-  std::vector<std::uint64_t> takeDoubtful(mono_duration Listened);
-  /// Gives up those that stayed silent. @return Their subjects.
-  std::vector<std::uint64_t> expire(mono_duration Listened);
-  /// Drops the announcements of those lost for long. @return Their keys.
-  std::vector<backend_key> forget(mono_duration Listened);
-
-  /// @return Whether a report heard directly is due to enter the gossip; notes that it did.
-  bool takeRelease(std::uint64_t Subject, mono_duration Listened);
-  /// @return Time between two reports of one backend server in the gossip, from the byte budget.
-  [[nodiscard]] mono_duration releaseInterval() const;
+                          event_time Time);
+  /// Merges a record received from another host.
+  backend_change merge(const backend_record &Record, event_time Time);
+  /// Merges a load digest received from another host. Ignores the digest of an unknown backend
+  /// server.
+  backend_change merge(const load_digest &Digest, event_time Time);
+
+  /// Returns the backend servers whose reports are overdue and about which this host should query
+  /// its peers, and records the query time.
+  std::vector<std::uint64_t> takeQueriesDue(mono_duration ConnectedTime);
+  /// Marks backend servers whose expiry timeout has passed as lost. @return Their subjects.
+  std::vector<std::uint64_t> expire(mono_duration ConnectedTime);
+  /// Replaces the records of backend servers that have been lost for TombstoneAfter by tombstones.
+  /// @return Their keys.
+  std::vector<backend_key> createTombstones(mono_duration ConnectedTime);
+
+  /// Returns whether this host has to gossip the report that it just received directly, and if so,
+  /// records the time.
+  bool takeGossipTurn(std::uint64_t Subject, mono_duration ConnectedTime);
+  /// @return Time between two gossiped reports of one backend server, as the bandwidth budget
+  /// permits.
+  [[nodiscard]] mono_duration loadGossipInterval() const;
 
   [[nodiscard]] const backend_entry *find(std::uint64_t Subject) const;
   [[nodiscard]] const std::map<std::uint64_t, backend_entry> &entries() const { return Entries; }
-  /// @return The subject of a digest id, or nothing where it is unknown or ambiguous.
+  /// @return The subject of a digest id, or nothing if the id is unknown or ambiguous.
   [[nodiscard]] std::optional<std::uint64_t> subjectOfDigest(std::uint32_t Id) const;
-  /// @return Whether two known backend servers share the digest id, so that records must be sent.
-  [[nodiscard]] bool ambiguous(std::uint64_t Subject) const;
+  /// @return Whether two known backend servers share the digest id. Full records must then be sent
+  /// instead of digests.
+  [[nodiscard]] bool hasDigestIdCollision(std::uint64_t Subject) const;
   [[nodiscard]] backend_record record(std::uint64_t Subject, mono_time Now) const;
   [[nodiscard]] load_digest digest(std::uint64_t Subject, mono_time Now) const;
   [[nodiscard]] backend_view view(std::uint64_t Subject) const;
-  /// @return The hash of each bucket, at the places that backend servers have among SyncBuckets.
+  /// @return The hash of each bucket; those of backend servers come first among SyncBuckets.
   [[nodiscard]] const std::array<std::uint64_t, SyncBuckets> &buckets() const { return Buckets; }
 
 private:
-  backend_entry *admit(std::uint64_t Subject);
-  bool evictOne();
+  backend_entry *findOrCreate(std::uint64_t Subject);
+  bool evictTombstone();
   void replaceIncarnation(std::uint64_t Subject, backend_entry &Entry,
                           const backend_announcement &Announcement, backend_change &Change);
-  void rewrite(std::uint64_t Subject, backend_entry &Entry,
-               const backend_announcement &Announcement, std::uint64_t Sequence);
+  void replaceRecord(std::uint64_t Subject, backend_entry &Entry,
+                     const backend_announcement &Announcement, std::uint64_t Sequence);
   void markLeaving(std::uint64_t Subject, backend_entry &Entry, backend_change &Change);
-  void mergeBody(std::uint64_t Subject, backend_entry &Entry, const backend_record &Record,
-                 backend_change &Change);
+  void mergeRecord(std::uint64_t Subject, backend_entry &Entry, const backend_record &Record,
+                   backend_change &Change);
   void mergeLoad(backend_entry &Entry, const backend_load &Load, const load_digest &Digest,
-                 table_time Time, backend_change &Change);
+                 event_time Time, backend_change &Change);
   void toggleBucket(std::uint64_t Subject, const backend_entry &Entry);
   void dropDigestId(std::uint64_t Subject, const backend_key &Key);
-  [[nodiscard]] bool givenUp(const backend_entry &Entry, mono_duration Listened) const;
-  [[nodiscard]] mono_duration quietExpiry() const;
-  [[nodiscard]] mono_duration patience(const backend_entry &Entry) const;
+  [[nodiscard]] bool isExpired(const backend_entry &Entry, mono_duration ConnectedTime) const;
+  [[nodiscard]] mono_duration indirectExpiry() const;
+  [[nodiscard]] mono_duration expiryTimeout(const backend_entry &Entry) const;
 
   membership_settings Settings;
   std::map<std::uint64_t, backend_entry> Entries;
   std::unordered_map<std::uint32_t, std::vector<std::uint64_t>> ByDigest;
   std::array<std::uint64_t, SyncBuckets> Buckets{};
-  std::size_t Present{0}; ///< Entries that are not Lost.
+  std::size_t LiveBackends{0}; ///< Number of entries that are not Lost.
 };
 
 } // namespace pollenstall
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -1,5 +1,4 @@
-/** @file failure_detector.cpp Whom to probe, and whether a missing answer accuses the other host.
- */
+/** @file failure_detector.cpp SWIM failure detector with Lifeguard's local health multiplier. */
 #include "membership/failure_detector_base.h"
 
 #include <algorithm>
@@ -17,73 +16,75 @@
   if (Round.empty()) {
     for (const host_record *Host : Hosts)
       Round.push_back(Host->Key.Host);
-    for (std::size_t Left = Round.size(); Left > 1; --Left)
-      std::swap(Round[Left - 1], Round[Random.below(Left)]);
+    for (std::size_t Remaining = Round.size(); Remaining > 1; --Remaining)
+      std::swap(Round[Remaining - 1], Round[Random.below(Remaining)]);
   }
   while (!Round.empty()) {
     const host_name Host = Round.back();
     Round.pop_back();
-    const bool Known = std::any_of(Hosts.begin(), Hosts.end(), [&](const host_record *Record) {
+    const bool IsPresent = std::any_of(Hosts.begin(), Hosts.end(), [&](const host_record *Record) {
       return Record->Key.Host == Host;
     });
-    if (Known)
+    if (IsPresent)
       return Host;
   }
   return std::nullopt;
 }
 
-void failure_detector::begin(const process_key &Target, std::uint64_t Nonce, mono_time Now) {
-  const auto Patience = static_cast<mono_duration::rep>(Health) + 1;
-  Probe = active_probe{Target, Nonce, Now + Settings.ProbeTimeout * Patience,
-                       Now + Settings.ProbeInterval * Patience, false};
+void failure_detector::startProbe(const process_key &Target, std::uint64_t Nonce, mono_time Now) {
+  const auto Multiplier = static_cast<mono_duration::rep>(HealthMultiplier) + 1;
+  Probe = active_probe{Target, Nonce, Now + Settings.ProbeTimeout * Multiplier,
+                       Now + Settings.ProbeInterval * Multiplier, false};
   NextProbe = Now + Settings.ProbeInterval;
 }
 
-std::optional<active_probe> failure_detector::takeIndirect(mono_time Now) {
+std::optional<active_probe> failure_detector::takeIndirectProbe(mono_time Now) {
   if (!Probe || Probe->IndirectSent || Now < Probe->IndirectAt)
     return std::nullopt;
   Probe->IndirectSent = true;
   return Probe;
 }
 
-std::optional<process_key> failure_detector::takeFailure(mono_time Now) {
-  if (!Probe || Now < Probe->EndsAt)
+std::optional<process_key> failure_detector::takeFailedTarget(mono_time Now) {
+  if (!Probe || Now < Probe->Deadline)
     return std::nullopt;
   const process_key Target = Probe->Target;
   Probe.reset();
-  worsen();
+  raiseMultiplier();
   return Target;
 }
 
-bool failure_detector::answered(std::uint64_t Nonce, const process_key &From) {
+bool failure_detector::handleAck(std::uint64_t Nonce, const process_key &From) {
   if (!Probe || Probe->Nonce != Nonce || Probe->Target != From)
     return false;
   Probe.reset();
-  Health -= Health > 0 ? 1 : 0;
+  HealthMultiplier -= HealthMultiplier > 0 ? 1 : 0;
   return true;
 }
 
-void failure_detector::distrustSelf(mono_time Now) {
-  // The answer may wait unread in the socket, behind whatever kept this process from running.
+void failure_detector::recordLocalFault(mono_time Now) {
+  // The answer may be unread in the socket, behind whatever blocked this process.
   Probe.reset();
   NextProbe = Now + Settings.ProbeTimeout;
-  worsen();
+  raiseMultiplier();
 }
 
 mono_time failure_detector::nextWake() const {
   if (!Probe)
     return NextProbe;
-  return Probe->IndirectSent ? Probe->EndsAt : Probe->IndirectAt;
+  return Probe->IndirectSent ? Probe->Deadline : Probe->IndirectAt;
 }
 
-void failure_detector::worsen() { Health = std::min(Health + 1, Settings.MaxLocalHealth); }
+void failure_detector::raiseMultiplier() {
+  HealthMultiplier = std::min(HealthMultiplier + 1, Settings.MaxLocalHealth);
+}
 
-void failure_detector::relay(std::uint64_t Nonce, const relayed_ping &Ping) {
+void failure_detector::addRelayedPing(std::uint64_t Nonce, const relayed_ping &Ping) {
   if (Relayed.size() < MaxRelayed)
     Relayed.emplace(Nonce, Ping);
 }
 
-std::optional<relayed_ping> failure_detector::takeRelayed(std::uint64_t Nonce) {
+std::optional<relayed_ping> failure_detector::takeRelayedPing(std::uint64_t Nonce) {
   const auto Found = Relayed.find(Nonce);
   if (Found == Relayed.end())
     return std::nullopt;
@@ -92,8 +93,8 @@
   return Ping;
 }
 
-void failure_detector::dropRelayed(mono_time Now) {
-  std::erase_if(Relayed, [Now](const auto &Item) { return Item.second.EndsAt < Now; });
+void failure_detector::expireRelayedPings(mono_time Now) {
+  std::erase_if(Relayed, [Now](const auto &Entry) { return Entry.second.Deadline < Now; });
 }
 
 } // namespace pollenstall
--- a/src/membership/failure_detector_base.h
+++ b/src/membership/failure_detector_base.h
@@ -1,5 +1,4 @@
-/** @file failure_detector_base.h Whom to probe, and whether a missing answer accuses the other
- * host. */
+/** @file failure_detector_base.h SWIM failure detector with Lifeguard's local health multiplier. */
 #ifndef POLLENSTALL_MEMBERSHIP_FAILURE_DETECTOR_BASE_H
 #define POLLENSTALL_MEMBERSHIP_FAILURE_DETECTOR_BASE_H
 
@@ -12,71 +11,73 @@
 
 namespace pollenstall {
 
-/// The probe that is under way.
+/// The probe in flight.
 struct active_probe {
   process_key Target;
   std::uint64_t Nonce{0};
-  mono_time IndirectAt; ///< Then others are asked to try.
-  mono_time EndsAt;     ///< Then the target is suspected.
+  mono_time IndirectAt; ///< When indirect pings are requested.
+  mono_time Deadline;   ///< When the target becomes suspect.
   bool IndirectSent{false};
 };
 
-/// A ping made for another host.
+/// An indirect ping that this host sent on behalf of another host.
 struct relayed_ping {
-  peer_address AskedBy;
-  std::uint64_t Nonce{0}; ///< As the asking host knows it.
-  mono_time EndsAt;
+  peer_address Requester;
+  std::uint64_t Nonce{0}; ///< The nonce of the requesting host's own ping.
+  mono_time Deadline;
 };
 
 /**
  * Probes one host at a time in a shuffled round (SWIM), with the local health multiplier of
- * Lifeguard: a host that is itself slow gives its targets more time before it accuses them.
+ * Lifeguard: a host that is itself slow gives its targets more time before it suspects them.
  */
 class failure_detector {
 public:
   failure_detector(const membership_settings &Values, mono_time Now)
       : Settings(Values), NextProbe(Now) {}
 
-  /// @return Whether it is time to begin a probe.
+  /// @return Whether the next probe is due.
   [[nodiscard]] bool due(mono_time Now) const { return !Probe && Now >= NextProbe; }
-  /// @return The next host of the round, which is reshuffled from Hosts when it ends.
+  /// @return The next host of the round, which is reshuffled from Hosts after its last host;
+  /// nothing if no host of the round is in Hosts any more.
   std::optional<host_name> nextTarget(const std::vector<const host_record *> &Hosts,
                                       random_source &Random);
-  /// Begins a probe.
-  void begin(const process_key &Target, std::uint64_t Nonce, mono_time Now);
-  /// Nobody to probe now: looks again after an interval.
-  void skip(mono_time Now) { NextProbe = Now + Settings.ProbeInterval; }
+  /// Starts a probe.
+  void startProbe(const process_key &Target, std::uint64_t Nonce, mono_time Now);
+  /// Postpones the next probe by an interval, as there is no host to probe.
+  void postponeProbe(mono_time Now) { NextProbe = Now + Settings.ProbeInterval; }
 
-  /// @return The target, once, when others are to be asked to try.
-  std::optional<active_probe> takeIndirect(mono_time Now);
-  /// @return The target that did not answer, once the probe's time is over.
-  std::optional<process_key> takeFailure(mono_time Now);
-  /// An answer came. @return Whether it is the probe's.
-  bool answered(std::uint64_t Nonce, const process_key &From);
+  /// @return The probe, once, when indirect pings are due.
+  std::optional<active_probe> takeIndirectProbe(mono_time Now);
+  /// Ends the probe if it timed out. @return Its target.
+  std::optional<process_key> takeFailedTarget(mono_time Now);
+  /// Handles an acknowledgement. @return Whether it belongs to the probe in flight.
+  bool handleAck(std::uint64_t Nonce, const process_key &From);
 
-  /// This host was paused or was accused itself: nobody is accused now, and all get more time.
-  void distrustSelf(mono_time Now);
+  /// Handles a sign that this host itself is slow: it was paused, or another host suspects it.
+  /// Drops the probe in flight and raises the health multiplier.
+  void recordLocalFault(mono_time Now);
 
-  /// Keeps a ping made for another host.
-  void relay(std::uint64_t Nonce, const relayed_ping &Ping);
-  /// @return For whom a ping was made, once.
-  std::optional<relayed_ping> takeRelayed(std::uint64_t Nonce);
-  /// Drops relayed pings that nobody waits for any more.
-  void dropRelayed(mono_time Now);
+  /// Stores a ping sent on behalf of another host.
+  void addRelayedPing(std::uint64_t Nonce, const relayed_ping &Ping);
+  /// @return The stored ping with this nonce, once.
+  std::optional<relayed_ping> takeRelayedPing(std::uint64_t Nonce);
+  /// Removes relayed pings whose deadline has passed.
+  void expireRelayedPings(mono_time Now);
 
-  /// @return When something is due.
+  /// @return When the next call is due.
   [[nodiscard]] mono_time nextWake() const;
-  [[nodiscard]] std::uint32_t localHealth() const { return Health; }
+  [[nodiscard]] std::uint32_t healthMultiplier() const { return HealthMultiplier; }
 
 private:
-  void worsen();
+  void raiseMultiplier();
 
   membership_settings Settings;
   mono_time NextProbe;
   std::optional<active_probe> Probe;
   std::vector<host_name> Round;
   std::map<std::uint64_t, relayed_ping> Relayed;
-  std::uint32_t Health{0}; ///< 0 is best; multiplies the probe's times by one more than this.
+  std::uint32_t HealthMultiplier{0}; ///< 0 is best; the probe timeouts are scaled by one more.
 };
 
 } // namespace pollenstall
--- a/src/membership/load_digest.cpp
+++ b/src/membership/load_digest.cpp
@@ -1,4 +1,4 @@
-/** @file load_digest.cpp Packing a load report and its age into a load_digest. */
+/** @file load_digest.cpp Packs a load report and its age into a load_digest. */
 #include "membership/load_digest_func.h"
 
 #include <algorithm>
@@ -69,17 +69,17 @@
   return Digest;
 }
 
-digest_state stateOf(const load_digest &Digest) {
+digest_state unpackState(const load_digest &Digest) {
   return {AgeStep * (Digest.AgeFlags & AgeMask), (Digest.AgeFlags & LeavingBit) != 0,
           (Digest.AgeFlags & LostBit) != 0};
 }
 
-backend_load unpackLoad(const load_digest &Digest, std::uint64_t Known) {
+backend_load unpackLoad(const load_digest &Digest, std::uint64_t ReferenceSequence) {
   const std::int64_t Step =
-      static_cast<std::int32_t>(Digest.Sequence - static_cast<std::uint32_t>(Known));
+      static_cast<std::int32_t>(Digest.Sequence - static_cast<std::uint32_t>(ReferenceSequence));
   backend_load Load;
-  const bool BeforeFirst = Step < 0 && static_cast<std::uint64_t>(-Step) > Known;
-  Load.Sequence = BeforeFirst ? 0 : Known + static_cast<std::uint64_t>(Step);
+  const bool BeforeFirst = Step < 0 && static_cast<std::uint64_t>(-Step) > ReferenceSequence;
+  Load.Sequence = BeforeFirst ? 0 : ReferenceSequence + static_cast<std::uint64_t>(Step);
   Load.Running = Digest.Running;
   Load.Waiting = Digest.Waiting;
   Load.WaitingPrefill = tokens(unpackAmount(Digest.Prefill));
--- a/src/membership/load_digest_func.h
+++ b/src/membership/load_digest_func.h
@@ -1,4 +1,4 @@
-/** @file load_digest_func.h Packing a load report and its age into a load_digest. */
+/** @file load_digest_func.h Packs a load report and its age into a load_digest. */
 #ifndef POLLENSTALL_MEMBERSHIP_LOAD_DIGEST_FUNC_H
 #define POLLENSTALL_MEMBERSHIP_LOAD_DIGEST_FUNC_H
 
@@ -8,26 +8,27 @@
 
 namespace pollenstall {
 
-/// Standing and age that travel with a load report.
+/// Status and age that a digest carries beside the load report.
 struct digest_state {
-  mono_duration Age{}; ///< Since the backend server was heard; saturates at 819 s.
+  mono_duration Age{}; ///< Time since the backend server's report; saturates at 819 s.
   bool Leaving{false};
   bool Lost{false};
 };
 
-/// @return Value in a 5-bit exponent and an 11-bit mantissa; negative ones become 0.
+/// @return Value as a 5-bit exponent and an 11-bit mantissa; a negative value becomes 0.
 std::uint16_t packAmount(std::int64_t Value);
-/// @return The amount, rounded down by less than 0.1 per cent.
+/// @return The unpacked amount, rounded down by less than 0.1 per cent.
 std::int64_t unpackAmount(std::uint16_t Packed);
 
-/// @return The short hash under which a backend server's digests travel.
+/// @return The short hash that identifies a backend server in digests.
 std::uint32_t digestId(const backend_key &Key);
-/// @return The digest of a report.
+/// @return The digest of a load report.
 load_digest packLoad(const backend_key &Key, const backend_load &Load, const digest_state &State);
-/// @return Age and standing in a digest.
-digest_state stateOf(const load_digest &Digest);
-/// @return The report in a digest; Sequence is the one nearest to Known with the digest's low half.
-backend_load unpackLoad(const load_digest &Digest, std::uint64_t Known);
+/// @return The age and the status in a digest.
+digest_state unpackState(const load_digest &Digest);
+/// Returns the report in a digest. Its sequence is the number with the digest's low 32 bits that is
+/// nearest to ReferenceSequence.
+backend_load unpackLoad(const load_digest &Digest, std::uint64_t ReferenceSequence);
 
 } // namespace pollenstall
 
--- a/src/membership/membership_dump.cpp
+++ b/src/membership/membership_dump.cpp
@@ -1,4 +1,4 @@
-/** @file membership_dump.cpp fleet_membership: its state as JSON for operators. */
+/** @file membership_dump.cpp fleet_membership: state as JSON for operators. */
 #include "membership/membership.h"
 
 #include <cstdio>
@@ -28,27 +28,27 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(Span).count();
 }
 
-const char *name(host_standing Standing) {
-  switch (Standing) {
-  case host_standing::Alive:
+const char *name(host_status Status) {
+  switch (Status) {
+  case host_status::Alive:
     return "alive";
-  case host_standing::Suspect:
+  case host_status::Suspect:
     return "suspect";
-  case host_standing::Dead:
+  case host_status::Dead:
     return "dead";
-  case host_standing::Left:
+  case host_status::Left:
     return "left";
   }
   return "unknown";
 }
 
-const char *name(backend_standing Standing) {
-  switch (Standing) {
-  case backend_standing::Active:
+const char *name(backend_status Status) {
+  switch (Status) {
+  case backend_status::Active:
     return "active";
-  case backend_standing::Leaving:
+  case backend_status::Leaving:
     return "leaving";
-  case backend_standing::Lost:
+  case backend_status::Lost:
     return "lost";
   }
   return "unknown";
@@ -57,8 +57,8 @@
 void writeHost(std::ostream &Out, const host_record &Record) {
   Out << "{\"host\":" << quoted(Record.Key.Host.str())
       << ",\"incarnation\":" << Record.Key.Incarnation
-      << ",\"domain\":" << quoted(Record.Domain.str()) << ",\"standing\":\""
-      << name(Record.Standing) << "\",\"refutation\":" << Record.Refutation << "}";
+      << ",\"domain\":" << quoted(Record.Domain.str()) << ",\"standing\":\"" << name(Record.Status)
+      << "\",\"refutation\":" << Record.Refutation << "}";
 }
 
 void writeBackend(std::ostream &Out, const backend_view &View, mono_time Now) {
@@ -66,9 +66,9 @@
       << ",\"incarnation\":" << View.Announcement.Key.Incarnation
       << ",\"service\":" << quoted(View.Announcement.Service.str())
       << ",\"domain\":" << quoted(View.Announcement.Domain.str()) << ",\"standing\":\""
-      << name(View.Standing) << "\",\"report\":" << View.Load.Sequence
+      << name(View.Status) << "\",\"report\":" << View.Load.Sequence
       << ",\"running\":" << View.Load.Running << ",\"waiting\":" << View.Load.Waiting
-      << ",\"age_ms\":" << milliseconds(Now - View.LoadSeen) << "}";
+      << ",\"age_ms\":" << milliseconds(Now - View.LoadReceivedAt) << "}";
 }
 
 } // namespace
@@ -79,9 +79,9 @@
       << ",\"incarnation\":" << Identity.Self.Incarnation
       << ",\"fresh_ms\":" << milliseconds(FreshUntil - Clock.now())
       << ",\"resyncing\":" << (Resyncing ? "true" : "false")
-      << ",\"local_health\":" << Detector.localHealth() << ",\"news\":" << News.size()
-      << ",\"loads_queued\":" << FreshLoads.size()
-      << ",\"load_interval_ms\":" << milliseconds(Backends.releaseInterval()) << ",\"hosts\":[";
+      << ",\"local_health\":" << Detector.healthMultiplier() << ",\"news\":" << Updates.size()
+      << ",\"loads_queued\":" << PendingLoads.size()
+      << ",\"load_interval_ms\":" << milliseconds(Backends.loadGossipInterval()) << ",\"hosts\":[";
   const char *Separator = "";
   for (const auto &[Subject, Entry] : Hosts.entries()) {
     Out << Separator;
--- a/src/membership/membership_probe.cpp
+++ b/src/membership/membership_probe.cpp
@@ -1,50 +1,50 @@
-/** @file membership_probe.cpp fleet_membership: which of the system's own hosts live. */
+/** @file membership_probe.cpp fleet_membership: failure detection among the system's own hosts. */
 #include "membership/membership.h"
 
 namespace pollenstall {
 
 namespace {
 
-constexpr mono_duration ProofLifetime =
-    std::chrono::seconds(5); // an answer later than this proves nothing
+constexpr mono_duration NonceLifetime =
+    std::chrono::seconds(5); // later answers do not prove contact
 
 } // namespace
 
 void fleet_membership::probe() {
   const mono_time Now = Clock.now();
-  if (const auto Failed = Detector.takeFailure(Now))
+  if (const auto Failed = Detector.takeFailedTarget(Now))
     suspect(*Failed);
-  if (const auto Probe = Detector.takeIndirect(Now))
-    askOthers(*Probe);
+  if (const auto Probe = Detector.takeIndirectProbe(Now))
+    sendIndirectPings(*Probe);
   if (!Detector.due(Now))
     return;
   const auto Target = Detector.nextTarget(Hosts.reachable(), Random);
   if (!Target) {
-    Detector.skip(Now);
+    Detector.postponeProbe(Now);
     return;
   }
   const host_record &Record = Hosts.find(*Target)->Record;
   const std::uint64_t Nonce = Random();
-  Detector.begin(Record.Key, Nonce, Now);
-  Detector.dropRelayed(Now);
+  Detector.startProbe(Record.Key, Nonce, Now);
+  Detector.expireRelayedPings(Now);
   sendPing(Record, Nonce);
 }
 
 void fleet_membership::sendPing(const host_record &Target, std::uint64_t Nonce) {
-  membership_message Message = envelope(ping{Nonce, Target.Key});
-  // A suspected host must hear of it to be able to refute it, also where gossip misses it.
-  if (Target.Standing != host_standing::Alive)
+  membership_message Message = makeMessage(ping{Nonce, Target.Key});
+  // A suspected host must learn of the suspicion to refute it, even if gossip does not reach it.
+  if (Target.Status != host_status::Alive)
     Message.Hosts.push_back(Target);
-  ProofNonces[Nonce] = Clock.now();
+  ContactNonces[Nonce] = Clock.now();
   send(Target.Addresses.front(), std::move(Message));
 }
 
-void fleet_membership::askOthers(const active_probe &Probe) {
+void fleet_membership::sendIndirectPings(const active_probe &Probe) {
   const host_entry *Entry = Hosts.find(Probe.Target.Host);
   const std::vector<peer_address> &Addresses = Entry->Record.Addresses;
   for (const peer_address &Peer : randomPeers(Settings.IndirectProbes, Probe.Target.Host)) {
     const peer_address &Address = Addresses[Random.below(Addresses.size())];
-    send(Peer, envelope(ping_request{Probe.Nonce, Probe.Target, Address}));
+    send(Peer, makeMessage(ping_request{Probe.Nonce, Probe.Target, Address}));
   }
 }
 
@@ -52,48 +52,50 @@
   const host_entry *Entry = Hosts.find(Target.Host);
   if (Entry == nullptr || Entry->Record.Key != Target)
     return;
-  if (Entry->Record.Standing > host_standing::Suspect)
+  if (Entry->Record.Status > host_status::Suspect)
     return;
   host_record Claim = Entry->Record;
-  Claim.Standing = host_standing::Suspect;
+  Claim.Status = host_status::Suspect;
   Claim.Accuser = Identity.Self.Host;
   mergeHost(Claim);
 }
 
-void fleet_membership::buryOverdue() {
-  for (host_record Claim : Hosts.overdue(Settings, Clock.listened())) {
-    Claim.Standing = host_standing::Dead;
+void fleet_membership::declareDeadHosts() {
+  for (host_record Claim : Hosts.expiredSuspicions(Settings, Clock.connectedTime())) {
+    Claim.Status = host_status::Dead;
     mergeHost(Claim);
   }
 }
 
-void fleet_membership::keepContact() {
+void fleet_membership::renewFreshness() {
   const mono_time Now = Clock.now();
-  std::erase_if(ProofNonces,
-                [Now](const auto &Proof) { return Now - Proof.second > ProofLifetime; });
-  if (!alone()) {
-    askForProof();
+  std::erase_if(ContactNonces, [Now](const auto &PendingNonce) {
+    return Now - PendingNonce.second > NonceLifetime;
+  });
+  if (!hasNoPeers()) {
+    pingForContact();
     return;
   }
-  // Nobody else is known to live, so nobody can know better.
-  const bool NobodyToAsk = strangers().empty() || Now - Started >= Settings.StartGrace;
-  Resyncing = Resyncing && !NobodyToAsk;
-  proveContact(Now);
+  // No other host is known to be live, so no other host has newer records.
+  const bool NoSyncTarget = unreachableAddresses().empty() || Now - Started >= Settings.StartGrace;
+  Resyncing = Resyncing && !NoSyncTarget;
+  recordContact(Now);
 }
 
-void fleet_membership::askForProof() {
-  // The probe's own target may be the one that is dead; the views would then lapse with it.
+void fleet_membership::pingForContact() {
+  // The target of the regular probe may be dead. Without an extra ping the views would then become
+  // stale.
   const mono_time Now = Clock.now();
-  if (Now - LastContact < Settings.FreshSpan / 2 || Now < NextContact)
+  if (Now - LastContact < Settings.FreshnessLease / 2 || Now < NextContactPing)
     return;
-  NextContact = Now + Settings.GossipInterval;
+  NextContactPing = Now + Settings.GossipInterval;
   const std::vector<const host_record *> Peers = Hosts.reachable();
   sendPing(*Peers[Random.below(Peers.size())], Random());
 }
 
-void fleet_membership::proveContact(mono_time SentAt) {
+void fleet_membership::recordContact(mono_time SentAt) {
   LastContact = std::max(LastContact, SentAt);
-  const mono_time Until = LastContact + Settings.FreshSpan;
+  const mono_time Until = LastContact + Settings.FreshnessLease;
   if (Resyncing || Until <= FreshUntil)
     return;
   FreshUntil = Until;
--- a/src/membership/record.cpp
+++ b/src/membership/record.cpp
@@ -1,4 +1,4 @@
-/** @file record.cpp Keys, versions and sizes of records. */
+/** @file record.cpp Subjects, versions and sizes of records. */
 #include "membership/record_func.h"
 
 #include "membership/load_digest_func.h"
@@ -11,20 +11,20 @@
 
 namespace {
 
-constexpr std::uint64_t HostKind = 1ULL << 63U; // the top bit of a subject
-constexpr std::uint64_t LeavingVersion = 1ULL << 63U;
+constexpr std::uint64_t HostSubjectBit = 1ULL << 63U; // the top bit of a subject
+constexpr std::uint64_t LeavingVersionBit = 1ULL << 63U;
 constexpr unsigned StandingBits = 2;
 
-constexpr std::uint32_t MaxRefutation = 1U << 30U; // far from wrapping around
+constexpr std::uint32_t MaxRefutation = 1U << 30U; // far below the overflow of the version
 
-constexpr std::size_t SizeTagBytes = 2;       // before each text; a list takes less
-constexpr std::size_t EnvelopeBytes = 72;     // head with the fleet's name, list sizes, HMAC tag
-constexpr std::size_t HostFixedBytes = 16;    // incarnation, refutation, standing
+constexpr std::size_t SizeTagBytes = 2;       // length before each text; a list count takes less
+constexpr std::size_t EnvelopeBytes = 72;     // header with the fleet's name, list sizes, HMAC tag
+constexpr std::size_t HostFixedBytes = 16;    // incarnation, refutation, status
 constexpr std::size_t BackendFixedBytes = 64; // numbers and flags
 
 std::size_t textBytes(std::string_view Text) { return SizeTagBytes + Text.size(); }
 
-bool shortText(std::string_view Text) { return Text.size() <= MaxNameBytes; }
+bool isNameWithinLimit(std::string_view Text) { return Text.size() <= MaxNameBytes; }
 
 std::size_t announcementBytes(const backend_announcement &Announcement) {
   std::size_t Bytes = BackendFixedBytes + textBytes(Announcement.Key.Address.str()) +
@@ -42,20 +42,22 @@
 }
 
 std::size_t bodyBytes(const membership_body &Body) {
-  constexpr std::size_t Number = sizeof(std::uint64_t);
+  constexpr std::size_t NumberBytes = sizeof(std::uint64_t);
   return std::visit(
       overloaded{
-          [](const news &) { return std::size_t{0}; },
-          [](const ping &Ping) { return Number + processBytes(Ping.Target); },
-          [](const ping_ack &Ack) { return Number + processBytes(Ack.Target); },
+          [](const record_updates &) { return std::size_t{0}; },
+          [](const ping &Ping) { return NumberBytes + processBytes(Ping.Target); },
+          [](const ping_ack &Ack) { return NumberBytes + processBytes(Ack.Target); },
           [](const ping_request &Request) {
-            return Number + processBytes(Request.Target) + textBytes(Request.Address.str());
+            return NumberBytes + processBytes(Request.Target) + textBytes(Request.Address.str());
           },
-          [](const sync_request &) { return Number * (1 + SyncBuckets); },
+          [](const sync_request &) { return NumberBytes * (1 + SyncBuckets); },
           [](const sync_versions &Answer) {
-            return 3 * Number + SizeTagBytes + Answer.Versions.size() * VersionWireBytes;
+            return 3 * NumberBytes + SizeTagBytes + Answer.Versions.size() * VersionWireBytes;
+          },
+          [](const sync_fetch &Fetch) {
+            return SizeTagBytes + Fetch.Subjects.size() * NumberBytes;
           },
-          [](const sync_fetch &Fetch) { return SizeTagBytes + Fetch.Subjects.size() * Number; },
           [](const load_query &Query) {
             return SizeTagBytes + Query.Backends.size() * sizeof(std::uint32_t);
           }},
@@ -65,14 +67,14 @@
 } // namespace
 
 std::uint64_t subjectOf(const host_name &Host) {
-  return combineHashes(stableHash(Host.str()), 0) | HostKind;
+  return combineHashes(stableHash(Host.str()), 0) | HostSubjectBit;
 }
 
 std::uint64_t subjectOf(const backend_address &Address) {
-  return combineHashes(stableHash(Address.str()), 0) & ~HostKind;
+  return combineHashes(stableHash(Address.str()), 0) & ~HostSubjectBit;
 }
 
-bool isHost(std::uint64_t Subject) { return (Subject & HostKind) != 0; }
+bool isHost(std::uint64_t Subject) { return (Subject & HostSubjectBit) != 0; }
 
 std::size_t hostBucket(std::uint64_t Subject) { return BackendBuckets + Subject % HostBuckets; }
 
@@ -80,15 +82,15 @@
 
 subject_version versionOf(const host_record &Record) {
   const std::uint64_t Refuted = static_cast<std::uint64_t>(Record.Refutation) << StandingBits;
-  const bool Left = Record.Standing == host_standing::Left;
-  const std::uint64_t Version = Refuted + static_cast<std::uint64_t>(Record.Standing);
+  const bool Left = Record.Status == host_status::Left;
+  const std::uint64_t Version = Refuted + static_cast<std::uint64_t>(Record.Status);
   return {subjectOf(Record.Key.Host), Record.Key.Incarnation.value(),
-          Left ? LeavingVersion | Version : Version};
+          Left ? LeavingVersionBit | Version : Version};
 }
 
 subject_version versionOf(const backend_announcement &Announcement, std::uint64_t Sequence) {
   return {subjectOf(Announcement.Key.Address), Announcement.Key.Incarnation.value(),
-          Announcement.Leaving ? LeavingVersion | Sequence : Sequence};
+          Announcement.Leaving ? LeavingVersionBit | Sequence : Sequence};
 }
 
 bool newerThan(const subject_version &A, const subject_version &B) {
@@ -122,24 +124,26 @@
 }
 
 bool wellFormed(const host_record &Record) {
-  const bool Addressed = !Record.Addresses.empty() && Record.Addresses.size() <= MaxHostAddresses;
-  const bool Named = !Record.Key.Host.empty() && shortText(Record.Key.Host.str()) &&
-                     shortText(Record.Domain.str()) && shortText(Record.Accuser.str());
-  return Addressed && Named && Record.Standing <= host_standing::Left &&
+  const bool HasAddresses =
+      !Record.Addresses.empty() && Record.Addresses.size() <= MaxHostAddresses;
+  const bool HasNames = !Record.Key.Host.empty() && isNameWithinLimit(Record.Key.Host.str()) &&
+                        isNameWithinLimit(Record.Domain.str()) &&
+                        isNameWithinLimit(Record.Accuser.str());
+  return HasAddresses && HasNames && Record.Status <= host_status::Left &&
          Record.Refutation < MaxRefutation &&
          std::all_of(Record.Addresses.begin(), Record.Addresses.end(),
-                     [](const peer_address &Address) { return shortText(Address.str()); });
+                     [](const peer_address &Address) { return isNameWithinLimit(Address.str()); });
 }
 
 bool wellFormed(const backend_announcement &Announcement) {
-  return !Announcement.Key.Address.empty() && shortText(Announcement.Key.Address.str()) &&
-         shortText(Announcement.Domain.str()) &&
+  return !Announcement.Key.Address.empty() && isNameWithinLimit(Announcement.Key.Address.str()) &&
+         isNameWithinLimit(Announcement.Domain.str()) &&
          Announcement.Capabilities.Orders <= order_check::Fenced;
 }
 
 bool wellFormed(const backend_record &Record) {
   return wellFormed(Record.Announcement) && wireBytes(Record) <= MaxRecordBytes &&
-         Record.Sequence < LeavingVersion &&
+         Record.Sequence < LeavingVersionBit &&
          Record.Load.Backend == digestId(Record.Announcement.Key);
 }
 
--- a/src/membership/record_func.h
+++ b/src/membership/record_func.h
@@ -1,4 +1,4 @@
-/** @file record_func.h Keys, versions and sizes of records. */
+/** @file record_func.h Subjects, versions and sizes of records. */
 #ifndef POLLENSTALL_MEMBERSHIP_RECORD_FUNC_H
 #define POLLENSTALL_MEMBERSHIP_RECORD_FUNC_H
 
@@ -9,9 +9,10 @@
 
 namespace pollenstall {
 
-/// @return What a host's record is compared under.
+/// @return The key by which hosts compare a host's record.
 std::uint64_t subjectOf(const host_name &Host);
-/// @return What a backend server's record is compared under; the same for every incarnation.
+/// @return The key by which hosts compare a backend server's record; the same for every
+/// incarnation.
 std::uint64_t subjectOf(const backend_address &Address);
 
 /// @return Whether a subject is a host; otherwise it is a backend server.
@@ -24,22 +25,22 @@
 
 /// @return The version of a host's record.
 subject_version versionOf(const host_record &Record);
-/// @return The version of a backend server's record; its Leaving outranks any sequence.
+/// @return The version of a backend server's record; Leaving outranks any sequence.
 subject_version versionOf(const backend_announcement &Announcement, std::uint64_t Sequence);
-/// @return Whether A replaces B, both of one subject.
+/// @return Whether A replaces B; both must have the same subject.
 bool newerThan(const subject_version &A, const subject_version &B);
-/// @return A hash that changes with each part of the version.
+/// @return A hash over all parts of the version.
 std::uint64_t hashOf(const subject_version &Version);
 
-/// @return An upper bound of the bytes on the wire.
+/// @return An upper bound of the size on the wire in bytes.
 std::size_t wireBytes(const host_record &Record);
 std::size_t wireBytes(const backend_record &Record);
 std::size_t wireBytes(const membership_message &Message);
-constexpr std::size_t DigestWireBytes = 20;  ///< Of one load_digest.
-constexpr std::size_t VersionWireBytes = 24; ///< Of one subject_version.
+constexpr std::size_t DigestWireBytes = 20;  ///< Size of one load_digest.
+constexpr std::size_t VersionWireBytes = 24; ///< Size of one subject_version.
 constexpr std::size_t PacketBytes = 28;      ///< IP and UDP headers.
 
-/// @return Whether a record from the network keeps the bounds.
+/// @return Whether a record from the network is within the limits.
 bool wellFormed(const host_record &Record);
 bool wellFormed(const backend_record &Record);
 bool wellFormed(const backend_announcement &Announcement);
--- a/src/order_link/order_executor.cpp
+++ b/src/order_link/order_executor.cpp
@@ -17,7 +17,7 @@
   State.Domain = Announced.Domain;
   State.Labels = Announced.Labels;
   State.Orders = Announced.Capabilities.Orders;
-  State.Leaving = View.Standing == backend_standing::Leaving;
+  State.Leaving = View.Status == backend_status::Leaving;
   return State;
 }
 
@@ -94,7 +94,7 @@
   Changes.drain([this](membership_event &&Event) {
     if (const auto *Changed = std::get_if<backend_changed>(&Event)) {
       const backend_key &Key = Changed->View.Announcement.Key;
-      if (Changed->View.Standing != backend_standing::Lost) {
+      if (Changed->View.Status != backend_status::Lost) {
         Engines[Key] = engineStateFrom(Changed->View);
         return;
       }
--- a/src/orphan/orphan_reaper_base.h
+++ b/src/orphan/orphan_reaper_base.h
@@ -55,7 +55,7 @@
 private:
   struct host_state {
     incarnation Incarnation;
-    host_standing Standing{host_standing::Alive};
+    host_status Standing{host_status::Alive};
     mono_time StandingSince; ///< Time at which the host got this standing.
   };
 
--- a/src/scheduling/backend_pool.cpp
+++ b/src/scheduling/backend_pool.cpp
@@ -62,7 +62,7 @@
   scheduled_backend &Record = Found->second;
   const backend_announcement &Previous = Record.View.Announcement;
   if (Added || Previous.Labels != View.Announcement.Labels ||
-      Previous.Service != View.Announcement.Service || Record.View.Standing != View.Standing)
+      Previous.Service != View.Announcement.Service || Record.View.Status != View.Status)
     Stale = true;
   if (Added) {
     Record.Prefill.setLongFrom(LongFrom);
--- a/src/scheduling/backend_pool_base.h
+++ b/src/scheduling/backend_pool_base.h
@@ -26,7 +26,7 @@
   mono_time LastProgress;       ///< When an own attempt on the server last received data.
 
   [[nodiscard]] const backend_key &key() const { return View.Announcement.Key; }
-  [[nodiscard]] bool active() const { return View.Standing == backend_standing::Active; }
+  [[nodiscard]] bool active() const { return View.Status == backend_status::Active; }
   /// Returns the estimated number of requests of all hosts on the server.
   [[nodiscard]] double requestCount() const;
   /// Returns the memory blocks needed for the prompt and the longest allowed answer.
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -43,7 +43,7 @@
 void scheduler::updateBackend(const backend_view &View, mono_time Now) {
   const scheduled_backend *Previous = Pool.find(View.Announcement.Key);
   const bool NewReport = Previous == nullptr || Previous->View.Load.Sequence != View.Load.Sequence;
-  const bool NewServer = Previous == nullptr || Previous->View.Standing != View.Standing;
+  const bool NewServer = Previous == nullptr || Previous->View.Status != View.Status;
   scheduled_backend &Record = Pool.update(View, Now);
   if (NewReport && View.Load.Sequence > 0)
     updateTrackers(Record);
--- a/src/scheduling/scheduler_dump.cpp
+++ b/src/scheduling/scheduler_dump.cpp
@@ -28,7 +28,7 @@
 void writeRecord(std::ostream &Out, const scheduled_backend &Record, ejection_state Ejection) {
   Out << "{\"backend\":";
   writeText(Out, toText(Record.key()));
-  Out << ",\"standing\":\"" << StandingNames[static_cast<std::size_t>(Record.View.Standing)]
+  Out << ",\"standing\":\"" << StandingNames[static_cast<std::size_t>(Record.View.Status)]
       << "\",\"ejection\":\"" << EjectionNames[static_cast<std::size_t>(Ejection)]
       << "\",\"outstanding\":" << Record.Outstanding
       << ",\"unanswered\":" << Record.Prefill.unansweredCount()
--- a/tests/gossip/gossip_service_test.cpp
+++ b/tests/gossip/gossip_service_test.cpp
@@ -53,17 +53,17 @@
   }
 
   std::unique_ptr<gossip_service> Service;
-  std::map<backend_key, backend_standing> Backends;
-  std::map<host_name, host_standing> Hosts;
+  std::map<backend_key, backend_status> Backends;
+  std::map<host_name, host_status> Hosts;
 
 private:
   void drain() { // on the gossip thread, which is then the ring's only consumer too
     const std::lock_guard<std::mutex> Lock(Mutex);
     Service->changes().drain([this](membership_event &&Event) {
       if (const auto *Backend = std::get_if<backend_changed>(&Event))
-        Backends[Backend->View.Announcement.Key] = Backend->View.Standing;
+        Backends[Backend->View.Announcement.Key] = Backend->View.Status;
       if (const auto *Host = std::get_if<host_changed>(&Event))
-        Hosts[Host->View.Key.Host] = Host->View.Standing;
+        Hosts[Host->View.Key.Host] = Host->View.Status;
     });
     Told.notify_all();
   }
@@ -87,7 +87,7 @@
   Leaving.Leaving = true;
   A.announce(Leaving, 2);
   EXPECT_TRUE(B.waitFor([](const listener &Seen) {
-    return Seen.Backends.at(engine().Key) == backend_standing::Leaving;
+    return Seen.Backends.at(engine().Key) == backend_status::Leaving;
   }));
   EXPECT_NE(B.Service->dump().find("\"standing\":\"leaving\""), std::string::npos);
 }
@@ -99,7 +99,7 @@
   ASSERT_TRUE(B.waitFor([](const listener &Seen) { return Seen.Hosts.count(host_name("a")); }));
   B.Service->stop();
   EXPECT_TRUE(A.waitFor(
-      [](const listener &Seen) { return Seen.Hosts.at(host_name("b")) == host_standing::Left; }));
+      [](const listener &Seen) { return Seen.Hosts.at(host_name("b")) == host_status::Left; }));
 }
 
 // Somebody throws bytes at the port, more in one burst than is read in one turn. The hosts must
--- a/tests/membership/fake_network.h
+++ b/tests/membership/fake_network.h
@@ -1,5 +1,5 @@
-/** @file fake_network.h A fleet on a virtual clock and a network that drops, delays, doubles and
- * cuts. */
+/** @file fake_network.h A fleet on a virtual clock and a network that drops, delays, duplicates and
+ * cuts messages. */
 #ifndef POLLENSTALL_TESTS_MEMBERSHIP_FAKE_NETWORK_H
 #define POLLENSTALL_TESTS_MEMBERSHIP_FAKE_NETWORK_H
 
@@ -18,7 +18,7 @@
 
 using namespace std::chrono_literals;
 
-/// What the network does to a datagram.
+/// Faults of the network.
 struct network_faults {
   double Drop{0};
   double Duplicate{0};
@@ -30,35 +30,37 @@
 struct fake_host {
   std::unique_ptr<fleet_membership> Process; ///< Null while it is down.
   process_key Key;
-  mono_time WakeAt; ///< Wake events at other times are stale.
+  mono_time WakeAt; ///< Wake events for other times are stale.
   bool Frozen{false};
   std::vector<std::pair<membership_message, peer_address>> Unread; ///< Arrived while frozen.
 };
 
-/// A backend server that announces itself through the platform's balancer.
+/// A backend server that sends its announcements through the platform's load balancer.
 struct fake_backend {
   backend_announcement Announcement;
   backend_load Load;
-  std::size_t Host{0}; ///< Where it announces.
-  bool Sticky{true};   ///< Stays with a host while it answers; otherwise another one each time.
+  std::size_t Host{0}; ///< The host that receives its announcements.
+  bool Sticky{true};   ///< Keeps a running host; otherwise the host changes each time.
   bool Alive{true};
 };
 
-/// Discrete events on a virtual clock; the same seed gives the same run.
+/// Discrete event simulation on a virtual clock; the same seed gives the same run.
 class fake_network {
 public:
-  explicit fake_network(std::uint64_t Seed, membership_settings Chosen = {})
-      : Random(Seed), Settings(Chosen) {}
+  explicit fake_network(std::uint64_t Seed, membership_settings InitialSettings = {})
+      : Random(Seed), Settings(InitialSettings) {}
 
-  /// Called with every action of every process, the sent messages included.
+  /// Called with every action of every process, including sent messages.
   std::function<void(std::size_t Host, const membership_action &)> OnAction;
-  /// Runs a call into a process; a benchmark measures it here.
-  std::function<void(const std::function<void()> &Call)> Around = [](const auto &Call) { Call(); };
+  /// Wraps each call into a process, so that a benchmark can measure it.
+  std::function<void(const std::function<void()> &Call)> CallWrapper = [](const auto &Call) {
+    Call();
+  };
   network_faults Faults;
   random_source Random;
   std::vector<fake_host> Hosts;
   std::vector<fake_backend> Backends;
-  std::set<std::pair<std::size_t, std::size_t>> Cuts; ///< From, to.
+  std::set<std::pair<std::size_t, std::size_t>> Cuts; ///< Pairs of sender and receiver.
   std::uint64_t Steps{0};
 
   [[nodiscard]] mono_time now() const { return Now; }
@@ -89,7 +91,7 @@
     Host.Process = std::make_unique<fleet_membership>(Builder.build(Now));
     Host.Frozen = false;
     Host.Unread.clear();
-    settle(Index);
+    processActions(Index);
   }
   void stop(std::size_t Index) {
     Hosts[Index].Process.reset();
@@ -97,7 +99,8 @@
     Hosts[Index].Unread.clear();
   }
   void freeze(std::size_t Index) { Hosts[Index].Frozen = Hosts[Index].Process != nullptr; }
-  /// Continues a process; its timers may run before it reads what its socket held in the meantime.
+  /// Resumes a process. Its timers may run before it reads the messages that its socket received
+  /// meanwhile.
   void thaw(std::size_t Index) { thaw(Index, Random.chance(0.5)); }
   void thaw(std::size_t Index, bool TimersFirst) {
     fake_host &Host = Hosts[Index];
@@ -109,7 +112,7 @@
     for (const auto &[Message, From] : std::exchange(Host.Unread, {}))
       Host.Process->receive(Message, From, Now);
     Host.Process->advance(Now);
-    settle(Index);
+    processActions(Index);
   }
   void cutBoth(std::size_t A, std::size_t B) {
     Cuts.emplace(A, B);
@@ -133,7 +136,7 @@
              Index);
     return Index;
   }
-  /// The address comes back as a new backend server.
+  /// Starts a new backend server at the same address.
   void restartBackend(std::size_t Index) {
     fake_backend &Backend = Backends[Index];
     Backend.Announcement.Key.Incarnation = incarnation(++LastIncarnation);
@@ -141,7 +144,7 @@
     Backend.Load = {};
     Backend.Alive = true;
   }
-  /// Announces now, as a backend server does when it starts to leave.
+  /// Sends an announcement immediately, as a backend server does when it starts to leave.
   void announceNow(std::size_t Index) { announce(Index); }
 
   void runFor(mono_duration Span) {
@@ -155,11 +158,11 @@
     }
     Now = End;
   }
-  /// Runs until the condition holds. @return Whether it did within the time.
-  bool runUntil(const std::function<bool()> &Holds, mono_duration Limit,
+  /// Runs until the condition holds. @return Whether it held within the time limit.
+  bool runUntil(const std::function<bool()> &Condition, mono_duration Limit,
                 mono_duration Step = 50ms) {
     const mono_time End = Now + Limit;
-    while (!Holds()) {
+    while (!Condition()) {
       if (Now >= End)
         return false;
       runFor(Step);
@@ -170,35 +173,37 @@
   [[nodiscard]] bool running(std::size_t Host) const {
     return Hosts[Host].Process != nullptr && !Hosts[Host].Frozen;
   }
-  /// @return The standing of a backend server in one host's view; nothing where it is unknown.
-  [[nodiscard]] std::optional<backend_standing> standing(std::size_t Host,
-                                                         std::size_t Backend) const {
+  /// @return The status of a backend server in one host's view, or nothing if that host does not
+  /// know it.
+  [[nodiscard]] std::optional<backend_status> backendStatus(std::size_t Host,
+                                                            std::size_t Backend) const {
     for (const backend_view &View : Hosts[Host].Process->views())
       if (View.Announcement.Key == Backends[Backend].Announcement.Key)
-        return View.Standing;
+        return View.Status;
     return std::nullopt;
   }
-  [[nodiscard]] bool everyone(std::size_t Backend, std::optional<backend_standing> Wanted) const {
+  [[nodiscard]] bool allSeeBackend(std::size_t Backend,
+                                   std::optional<backend_status> Expected) const {
     for (std::size_t Host = 0; Host < Hosts.size(); ++Host)
-      if (running(Host) && standing(Host, Backend) != Wanted)
+      if (running(Host) && backendStatus(Host, Backend) != Expected)
         return false;
     return true;
   }
-  [[nodiscard]] std::optional<host_standing> hostStanding(std::size_t At, std::size_t Of) const {
+  [[nodiscard]] std::optional<host_status> hostStatus(std::size_t At, std::size_t Target) const {
     for (const host_view &View : Hosts[At].Process->hosts())
-      if (View.Key == Hosts[Of].Key)
-        return View.Standing;
+      if (View.Key == Hosts[Target].Key)
+        return View.Status;
     return std::nullopt;
   }
-  [[nodiscard]] bool everyoneSees(std::size_t Of, host_standing Wanted) const {
+  [[nodiscard]] bool allSeeHost(std::size_t Target, host_status Expected) const {
     for (std::size_t Host = 0; Host < Hosts.size(); ++Host)
-      if (Host != Of && running(Host) && hostStanding(Host, Of) != Wanted)
+      if (Host != Target && running(Host) && hostStatus(Host, Target) != Expected)
         return false;
     return true;
   }
-  [[nodiscard]] bool allSeeAllAlive() const {
+  [[nodiscard]] bool allSeeAllHostsAlive() const {
     for (std::size_t Host = 0; Host < Hosts.size(); ++Host)
-      if (running(Host) && !everyoneSees(Host, host_standing::Alive))
+      if (running(Host) && !allSeeHost(Host, host_status::Alive))
         return false;
     return true;
   }
@@ -209,7 +214,7 @@
     mono_time At;
     std::uint64_t Order{0};
     event_kind Kind{event_kind::Wake};
-    std::size_t Index{0}; ///< Of the host or backend server.
+    std::size_t Index{0}; ///< Index of the host or backend server.
     peer_address From;
     std::shared_ptr<const membership_message> Message;
 
@@ -241,10 +246,10 @@
     if (Host.Frozen || (Next.Kind == event_kind::Wake && Host.WakeAt != Now))
       return;
     if (Next.Kind == event_kind::Deliver)
-      Around([&] { Host.Process->receive(*Next.Message, Next.From, Now); });
+      CallWrapper([&] { Host.Process->receive(*Next.Message, Next.From, Now); });
     else
-      Around([&] { Host.Process->advance(Now); });
-    settle(Next.Index);
+      CallWrapper([&] { Host.Process->advance(Now); });
+    processActions(Next.Index);
   }
 
   void announce(std::size_t Index) {
@@ -254,25 +259,27 @@
     ++Backend.Load.Sequence;
     Backend.Load.Running = static_cast<std::uint32_t>(Random.below(64));
     if (!Backend.Sticky || !running(Backend.Host))
-      Backend.Host = balanced();
+      Backend.Host = pickAnnouncementHost();
     if (!running(Backend.Host))
       return;
-    Around([&] { Hosts[Backend.Host].Process->announce(Backend.Announcement, Backend.Load, Now); });
-    settle(Backend.Host);
+    CallWrapper(
+        [&] { Hosts[Backend.Host].Process->announce(Backend.Announcement, Backend.Load, Now); });
+    processActions(Backend.Host);
   }
 
-  /// @return Where the platform's balancer sends an announcement; its health checks lag a little.
-  std::size_t balanced() {
+  /// @return The host to which the platform's load balancer sends an announcement. Its health
+  /// checks lag, so the host may be down.
+  std::size_t pickAnnouncementHost() {
     constexpr double LagChance = 0.2;
-    std::vector<std::size_t> Healthy;
+    std::vector<std::size_t> HealthyHosts;
     for (std::size_t Host = 0; Host < Hosts.size(); ++Host)
       if (running(Host))
-        Healthy.push_back(Host);
-    const bool Lags = Healthy.empty() || Random.chance(LagChance);
-    return Lags ? Random.below(Hosts.size()) : Healthy[Random.below(Healthy.size())];
+        HealthyHosts.push_back(Host);
+    const bool Lags = HealthyHosts.empty() || Random.chance(LagChance);
+    return Lags ? Random.below(Hosts.size()) : HealthyHosts[Random.below(HealthyHosts.size())];
   }
 
-  void settle(std::size_t Index) {
+  void processActions(std::size_t Index) {
     fake_host &Host = Hosts[Index];
     for (membership_action &Action : Host.Process->takeActions()) {
       if (OnAction)
--- a/tests/membership/fleet_test.cpp
+++ b/tests/membership/fleet_test.cpp
@@ -1,4 +1,4 @@
-/** @file fleet_test.cpp Own hosts and backend servers over a virtual network, one failure at a
+/** @file fleet_test.cpp Hosts and backend servers over a virtual network, with one failure at a
  * time. */
 #include "membership/fake_network.h"
 
@@ -12,7 +12,7 @@
 protected:
   void SetUp() override {
     Net.addHosts(8);
-    ASSERT_TRUE(Net.runUntil([this] { return Net.allSeeAllAlive(); }, 10s));
+    ASSERT_TRUE(Net.runUntil([this] { return Net.allSeeAllHostsAlive(); }, 10s));
   }
 
   [[nodiscard]] bool fresh(std::size_t Host) const {
@@ -22,34 +22,34 @@
   fake_network Net{7};
 };
 
-TEST_F(EightHostsTest, AreFreshOnceTheyHaveComparedTheirRecords) {
+TEST_F(EightHostsTest, AreFreshAfterComparingRecords) {
   Net.runFor(2s);
   for (std::size_t Host = 0; Host < Net.Hosts.size(); ++Host)
     EXPECT_TRUE(fresh(Host)) << Host;
 }
 
-TEST_F(EightHostsTest, LearnOfADeath) {
+TEST_F(EightHostsTest, DetectADeadHost) {
   Net.stop(5);
-  EXPECT_TRUE(Net.runUntil([this] { return Net.everyoneSees(5, host_standing::Dead); }, 15s));
+  EXPECT_TRUE(Net.runUntil([this] { return Net.allSeeHost(5, host_status::Dead); }, 15s));
 }
 
-TEST_F(EightHostsTest, LearnOfAStopWithoutWaitingForASuspicion) {
+TEST_F(EightHostsTest, SeeAStoppedHostAsLeftWithoutSuspicion) {
   Net.Hosts[5].Process->leave(Net.now());
   Net.runFor(300ms);
-  EXPECT_TRUE(Net.everyoneSees(5, host_standing::Left));
+  EXPECT_TRUE(Net.allSeeHost(5, host_status::Left));
 }
 
-TEST_F(EightHostsTest, ReplaceAnOldIncarnationByTheNew) {
+TEST_F(EightHostsTest, ReplaceAnOldIncarnation) {
   Net.stop(5);
   Net.runFor(1s);
   Net.start(5);
-  EXPECT_TRUE(Net.runUntil([this] { return Net.everyoneSees(5, host_standing::Alive); }, 5s));
+  EXPECT_TRUE(Net.runUntil([this] { return Net.allSeeHost(5, host_status::Alive); }, 5s));
 }
 
-// An operator sees two processes with one host name. The clock of the host was set back before its
-// process restarted, so the restarted one has the lower incarnation and the fleet would ignore it
-// for good. It must learn that, or it would serve from views that nobody updates.
-TEST_F(EightHostsTest, TellAProcessThatANewerOneOfItsNameIsKnown) {
+// Two processes have the same host name. The host's clock was set back before its process
+// restarted, so the restarted process has the lower incarnation and the fleet would ignore it
+// permanently. It must learn that, or it would serve from views that are never updated.
+TEST_F(EightHostsTest, NotifyASupersededProcess) {
   membership_message Message;
   Message.Sender = Net.Hosts[0].Key;
   host_record Claim;
@@ -59,29 +59,29 @@
   fleet_membership &Process = *Net.Hosts[1].Process;
   Process.receive(Message, fake_network::addressOf(0), Net.now());
   const auto Actions = Process.takeActions();
-  const auto Told = std::count_if(Actions.begin(), Actions.end(), [](const auto &Action) {
-    return std::holds_alternative<superseded>(Action);
-  });
-  EXPECT_EQ(Told, 1);
+  const auto SupersededCount =
+      std::count_if(Actions.begin(), Actions.end(),
+                    [](const auto &Action) { return std::holds_alternative<superseded>(Action); });
+  EXPECT_EQ(SupersededCount, 1);
 }
 
-// Callers see nothing, and that is the point: host 2 cannot reach host 3 while all other ways are
-// open. Its direct pings get no answer. Others ping host 3 for it, so nobody is ever given up.
-TEST_F(EightHostsTest, DoNotGiveUpAHostOverAnAsymmetricCut) {
-  int GivenUp = 0;
-  Net.OnAction = [&GivenUp](std::size_t, const membership_action &Action) {
+// Host 2 cannot reach host 3 while all other paths work, so its direct pings get no answer. Other
+// hosts ping host 3 on its behalf, so no host is suspected and callers are not affected.
+TEST_F(EightHostsTest, KeepAHostAliveDespiteAnAsymmetricCut) {
+  int NotAliveCount = 0;
+  Net.OnAction = [&NotAliveCount](std::size_t, const membership_action &Action) {
     const auto *Changed = std::get_if<host_changed>(&Action);
-    GivenUp += Changed != nullptr && Changed->View.Standing != host_standing::Alive ? 1 : 0;
+    NotAliveCount += Changed != nullptr && Changed->View.Status != host_status::Alive ? 1 : 0;
   };
   Net.Cuts.emplace(2, 3);
   Net.runFor(60s);
-  EXPECT_EQ(GivenUp, 0);
+  EXPECT_EQ(NotAliveCount, 0);
 }
 
-// A host is stopped for half a minute in the midst of a probe and continued. Its timers run first
-// and find that the answer is overdue. The others gave it up; it comes back without a restart by a
-// higher refutation number, and must not accuse the others for its own absence.
-TEST_F(EightHostsTest, AThawedHostIsTakenBackAndAccusesNobody) {
+// A host is paused for half a minute during a probe. When it resumes, its timers run first and find
+// the answer overdue. The others have declared it dead; it must rejoin without a restart by a
+// higher refutation number, and must not suspect the others because of its own pause.
+TEST_F(EightHostsTest, APausedHostRejoinsAndSuspectsNoOtherHost) {
   bool Probing = false;
   Net.OnAction = [&Probing](std::size_t Host, const membership_action &Action) {
     const auto *Sent = std::get_if<send_message>(&Action);
@@ -90,37 +90,38 @@
   };
   ASSERT_TRUE(Net.runUntil([&Probing] { return Probing; }, 5s, 100us));
   Net.freeze(4);
-  ASSERT_TRUE(Net.runUntil([this] { return Net.everyoneSees(4, host_standing::Dead); }, 30s));
-  int Accused = 0;
-  Net.OnAction = [&Accused](std::size_t, const membership_action &Action) {
+  ASSERT_TRUE(Net.runUntil([this] { return Net.allSeeHost(4, host_status::Dead); }, 30s));
+  int NotAliveCount = 0;
+  Net.OnAction = [&NotAliveCount](std::size_t, const membership_action &Action) {
     const auto *Changed = std::get_if<host_changed>(&Action);
-    Accused += Changed != nullptr && Changed->View.Standing != host_standing::Alive ? 1 : 0;
+    NotAliveCount += Changed != nullptr && Changed->View.Status != host_status::Alive ? 1 : 0;
   };
   Net.thaw(4, true);
-  EXPECT_TRUE(Net.runUntil([this] { return Net.allSeeAllAlive(); }, 10s));
-  EXPECT_EQ(Accused, 0);
+  EXPECT_TRUE(Net.runUntil([this] { return Net.allSeeAllHostsAlive(); }, 10s));
+  EXPECT_EQ(NotAliveCount, 0);
 }
 
-TEST_F(EightHostsTest, MeetAgainAfterBothHalvesGaveEachOtherUp) {
+TEST_F(EightHostsTest, RejoinAfterBothHalvesDeclaredEachOtherDead) {
   for (std::size_t A = 0; A < 4; ++A)
     for (std::size_t B = 4; B < 8; ++B)
       Net.cutBoth(A, B);
   Net.runFor(60s);
-  ASSERT_EQ(Net.hostStanding(0, 7), host_standing::Dead);
+  ASSERT_EQ(Net.hostStatus(0, 7), host_status::Dead);
   Net.Cuts.clear();
-  EXPECT_TRUE(Net.runUntil([this] { return Net.allSeeAllAlive(); }, 40s));
+  EXPECT_TRUE(Net.runUntil([this] { return Net.allSeeAllHostsAlive(); }, 40s));
 }
 
-// Found by a randomised run: all hosts are down but one that is no seed, then one of the three
-// seeds starts and knows nobody. The first asked one random seed every five seconds, so for half a
-// minute each served without the engines that announced themselves to the other.
-TEST_F(EightHostsTest, FindTheOneSeedThatComesBack) {
+// A randomised run found this failure: all hosts are down but one that is no seed, then one of the
+// three seeds starts and knows no peer. The first host contacted one random seed every five
+// seconds, so for half a minute each of them served without the engines that announced themselves
+// to the other.
+TEST_F(EightHostsTest, FindTheOnlySeedThatRestarts) {
   for (std::size_t Host = 0; Host < 8; ++Host)
     Net.stop(Host);
   Net.start(3);
   Net.runFor(30s);
   Net.start(0);
-  EXPECT_TRUE(Net.runUntil([this] { return Net.hostStanding(3, 0) == host_standing::Alive; }, 2s));
+  EXPECT_TRUE(Net.runUntil([this] { return Net.hostStatus(3, 0) == host_status::Alive; }, 2s));
 }
 
 /// Eight hosts with engines that announce themselves.
@@ -130,12 +131,12 @@
     EightHostsTest::SetUp();
     for (int Count = 0; Count < 6; ++Count)
       Net.addBackend(Count % 2 == 0);
-    ASSERT_TRUE(Net.runUntil([this] { return everyone(backend_standing::Active); }, 5s));
+    ASSERT_TRUE(Net.runUntil([this] { return allSeeBackend(backend_status::Active); }, 5s));
   }
 
-  [[nodiscard]] bool everyone(backend_standing Wanted) const {
+  [[nodiscard]] bool allSeeBackend(backend_status Expected) const {
     for (std::size_t Backend = 0; Backend < Net.Backends.size(); ++Backend)
-      if (!Net.everyone(Backend, Wanted))
+      if (!Net.allSeeBackend(Backend, Expected))
         return false;
     return true;
   }
@@ -147,94 +148,93 @@
 };
 
 TEST_F(BackendsTest, StayActiveWhileTheyAnnounce) {
-  int Lost = 0;
-  Net.OnAction = [&Lost](std::size_t, const membership_action &Action) {
+  int LostCount = 0;
+  Net.OnAction = [&LostCount](std::size_t, const membership_action &Action) {
     const auto *Changed = std::get_if<backend_changed>(&Action);
-    Lost += Changed != nullptr && Changed->View.Standing == backend_standing::Lost ? 1 : 0;
+    LostCount += Changed != nullptr && Changed->View.Status == backend_status::Lost ? 1 : 0;
   };
   Net.Faults.Drop = 0.2;
   Net.runFor(120s);
-  EXPECT_EQ(Lost, 0);
+  EXPECT_EQ(LostCount, 0);
 }
 
 TEST_F(BackendsTest, AreLostWithoutAnnouncementsAndReturnWithThem) {
   Net.Backends[0].Alive = false;
-  ASSERT_TRUE(Net.runUntil([this] { return Net.everyone(0, backend_standing::Lost); }, 10s));
+  ASSERT_TRUE(Net.runUntil([this] { return Net.allSeeBackend(0, backend_status::Lost); }, 10s));
   Net.Backends[0].Alive = true;
-  EXPECT_TRUE(Net.runUntil([this] { return Net.everyone(0, backend_standing::Active); }, 3s));
+  EXPECT_TRUE(Net.runUntil([this] { return Net.allSeeBackend(0, backend_status::Active); }, 3s));
 }
 
 TEST_F(BackendsTest, LeavingReachesEveryoneWithinTwoSecondsThroughLoss) {
   Net.Faults.Drop = 0.2;
   leave(1);
   Net.runFor(2s);
-  EXPECT_TRUE(Net.everyone(1, backend_standing::Leaving));
+  EXPECT_TRUE(Net.allSeeBackend(1, backend_status::Leaving));
 }
 
-// A caller would see its request cut off: an engine said that it leaves, then an announcement that
-// was sent before arrives late at another host. If that took the engine back, it would be given new
-// work and stop in the midst of it. Leaving therefore sticks to the incarnation, whatever comes
-// after.
-TEST_F(BackendsTest, LeavingIsNotUndoneByAnOlderAnnouncementNorByANewerOneWithout) {
+// An engine announces that it leaves, then an announcement that was sent before arrives late at
+// another host. If that made the engine active again, it would get new requests and cut them off
+// when it ends. Leaving therefore sticks to the incarnation, whatever arrives later.
+TEST_F(BackendsTest, LeavingSticksAgainstOlderAndNewerAnnouncements) {
   leave(1);
   Net.runFor(2s);
   Net.Backends[1].Announcement.Leaving = false;
   Net.Backends[1].Announcement.Labels["version"] = "2";
   Net.runFor(3s);
-  EXPECT_TRUE(Net.everyone(1, backend_standing::Leaving));
+  EXPECT_TRUE(Net.allSeeBackend(1, backend_status::Leaving));
 }
 
-TEST_F(BackendsTest, ANewIncarnationReplacesTheOldWhichStaysGone) {
+TEST_F(BackendsTest, ANewIncarnationReplacesTheOldPermanently) {
   leave(1);
   Net.runFor(1s);
   const backend_announcement Old = Net.Backends[1].Announcement;
   Net.restartBackend(1);
-  ASSERT_TRUE(Net.runUntil([this] { return Net.everyone(1, backend_standing::Active); }, 4s));
+  ASSERT_TRUE(Net.runUntil([this] { return Net.allSeeBackend(1, backend_status::Active); }, 4s));
   backend_load Late;
   Late.Sequence = 100000;
-  const auto Taken = Net.Hosts[3].Process->announce(Old, Late, Net.now());
-  ASSERT_FALSE(succeeded(Taken));
-  EXPECT_EQ(errorOf(Taken), announcement_error::OlderIncarnation);
-  EXPECT_TRUE(Net.everyone(1, backend_standing::Active));
+  const auto Result = Net.Hosts[3].Process->announce(Old, Late, Net.now());
+  ASSERT_FALSE(succeeded(Result));
+  EXPECT_EQ(errorOf(Result), announcement_error::OlderIncarnation);
+  EXPECT_TRUE(Net.allSeeBackend(1, backend_status::Active));
 }
 
-// An entry is stopped while an engine starts to leave, and continued a minute later. What it
-// remembers says Active. Between going on and the first exchange it would place work on the leaving
-// engine; so its views are not fresh until another host has compared records with it.
-TEST_F(BackendsTest, AThawedHostIsNotFreshBeforeItKnowsWhatItMissed) {
+// An entry is paused while an engine starts to leave, and resumes a minute later. Its views still
+// list the engine as Active. Between the resumption and the first exchange it would place work on
+// the leaving engine, so its views are not fresh until another host has compared records with it.
+TEST_F(BackendsTest, APausedHostIsNotFreshBeforeItHasSynced) {
   Net.freeze(4);
   Net.runFor(60s);
   leave(1);
   Net.runFor(60s);
   Net.Hosts[4].Unread.clear();
-  bool UsedOldView = false;
-  Net.OnAction = [this, &UsedOldView](std::size_t Host, const membership_action &Action) {
+  bool UsedStaleView = false;
+  Net.OnAction = [this, &UsedStaleView](std::size_t Host, const membership_action &Action) {
     if (Host == 4 && std::holds_alternative<views_fresh>(Action) && fresh(4))
-      UsedOldView = UsedOldView || Net.standing(4, 1) != backend_standing::Leaving;
+      UsedStaleView = UsedStaleView || Net.backendStatus(4, 1) != backend_status::Leaving;
   };
   ASSERT_FALSE(fresh(4));
   Net.thaw(4, true);
   EXPECT_TRUE(Net.runUntil([this] { return fresh(4); }, 3s));
-  EXPECT_FALSE(UsedOldView);
+  EXPECT_FALSE(UsedStaleView);
 }
 
-// Callers would see every request refused: a host that was stopped for a minute finds on its clock
-// that no engine was heard for longer than the expiry. Only time in which it ran and could hear
-// counts.
-TEST_F(BackendsTest, AThawedHostDoesNotGiveUpAllBackends) {
-  int Lost = 0;
-  Net.OnAction = [&Lost](std::size_t, const membership_action &Action) {
+// A host that was paused for a minute finds that no engine has reported within the expiry timeout.
+// If it expired them all, every request would be rejected. Only the time in which it ran and could
+// receive counts.
+TEST_F(BackendsTest, APausedHostDoesNotExpireAllBackends) {
+  int LostCount = 0;
+  Net.OnAction = [&LostCount](std::size_t, const membership_action &Action) {
     const auto *Changed = std::get_if<backend_changed>(&Action);
-    Lost += Changed != nullptr && Changed->View.Standing == backend_standing::Lost ? 1 : 0;
+    LostCount += Changed != nullptr && Changed->View.Status == backend_status::Lost ? 1 : 0;
   };
   Net.freeze(4);
   Net.runFor(60s);
   Net.thaw(4);
   Net.runFor(20s);
-  EXPECT_EQ(Lost, 0);
+  EXPECT_EQ(LostCount, 0);
 }
 
-TEST_F(BackendsTest, AHostThatHearsNobodyKeepsItsViewsButTheyAreNotFresh) {
+TEST_F(BackendsTest, AnIsolatedHostKeepsItsViewsButTheyAreNotFresh) {
   for (std::size_t Other = 0; Other < 8; ++Other)
     if (Other != 4)
       Net.cutBoth(4, Other);
@@ -245,22 +245,22 @@
   Net.runFor(30s);
   EXPECT_FALSE(fresh(4));
   for (std::size_t Backend = 0; Backend < Net.Backends.size(); ++Backend)
-    EXPECT_EQ(Net.standing(4, Backend), backend_standing::Active) << Backend;
+    EXPECT_EQ(Net.backendStatus(4, Backend), backend_status::Active) << Backend;
 }
 
-TEST_F(BackendsTest, AllHostsRestartedAtOnceKnowAllAgain) {
+TEST_F(BackendsTest, AllHostsRecoverTheirViewsAfterASimultaneousRestart) {
   for (std::size_t Host = 0; Host < 8; ++Host)
     Net.start(Host);
   EXPECT_TRUE(Net.runUntil(
-      [this] { return Net.allSeeAllAlive() && everyone(backend_standing::Active); }, 10s));
+      [this] { return Net.allSeeAllHostsAlive() && allSeeBackend(backend_status::Active); }, 10s));
 }
 
-TEST_F(BackendsTest, AJoinerKnowsAllBeforeItIsFresh) {
+TEST_F(BackendsTest, AJoiningHostKnowsAllBackendsBeforeItIsFresh) {
   Net.Hosts.emplace_back();
   Net.start(8);
   ASSERT_TRUE(Net.runUntil([this] { return fresh(8); }, 5s, 1ms));
   for (std::size_t Backend = 0; Backend < Net.Backends.size(); ++Backend)
-    EXPECT_TRUE(Net.standing(8, Backend).has_value()) << Backend;
+    EXPECT_TRUE(Net.backendStatus(8, Backend).has_value()) << Backend;
 }
 
 TEST_F(BackendsTest, ALabelChangeReachesEveryone) {
@@ -274,7 +274,7 @@
       }
 }
 
-/// So many engines that each one's report enters the gossip every five seconds only.
+/// Enough engines that each one's report is gossiped only every five seconds.
 class ManyBackendsTest : public EightHostsTest {
 protected:
   void SetUp() override {
@@ -284,34 +284,35 @@
     Net.runFor(30s);
     Net.OnAction = [this](std::size_t, const membership_action &Action) {
       const auto *Changed = std::get_if<backend_changed>(&Action);
-      Lost += Changed != nullptr && Changed->View.Standing == backend_standing::Lost ? 1 : 0;
+      LostCount += Changed != nullptr && Changed->View.Status == backend_status::Lost ? 1 : 0;
     };
   }
 
-  int Lost{0};
+  int LostCount{0};
 };
 
-TEST_F(ManyBackendsTest, StayActiveThoughTheirReportsAreOld) {
+TEST_F(ManyBackendsTest, StayActiveDespiteOldReports) {
   Net.runFor(60s);
-  EXPECT_EQ(Lost, 0);
+  EXPECT_EQ(LostCount, 0);
 }
 
 TEST_F(ManyBackendsTest, LeavingDoesNotWaitForTheNextReport) {
   Net.Backends[7].Announcement.Leaving = true;
   Net.announceNow(7);
   Net.runFor(2s);
-  EXPECT_TRUE(Net.everyone(7, backend_standing::Leaving));
+  EXPECT_TRUE(Net.allSeeBackend(7, backend_status::Leaving));
 }
 
-// A host heard its engines regularly, was stopped, and they went on elsewhere. Continued, it would
-// count the seconds until their reports reach it through the gossip as their silence, and as their
-// regular hearer be the first to give them up for everybody; so it asks others first.
-TEST_F(ManyBackendsTest, AThawedHostAsksBeforeItGivesThemUp) {
+// A host received its engines' reports directly and was paused, and the engines continued at other
+// hosts. When it resumes, it would count the seconds until their reports arrive through the gossip
+// as missing reports, and as their direct receiver be the first to declare them lost. It must query
+// its peers before.
+TEST_F(ManyBackendsTest, APausedHostQueriesPeersBeforeExpiry) {
   Net.freeze(4);
   Net.runFor(30s);
   Net.thaw(4);
   Net.runFor(20s);
-  EXPECT_EQ(Lost, 0);
+  EXPECT_EQ(LostCount, 0);
 }
 
 } // namespace
--- a/tests/membership/random_fleet_test.cpp
+++ b/tests/membership/random_fleet_test.cpp
@@ -1,5 +1,5 @@
-/** @file random_fleet_test.cpp Randomised runs of a whole fleet with invariants checked throughout.
- */
+/** @file random_fleet_test.cpp Randomised runs of a whole fleet that check invariants
+ * throughout. */
 #include "membership/fake_network.h"
 
 #include <gtest/gtest.h>
@@ -15,18 +15,18 @@
 constexpr std::uint64_t DefaultSeeds = 60;
 constexpr std::uint64_t DefaultFirstSeed = 1;
 
-std::uint64_t fromEnvironment(const char *Name, std::uint64_t Otherwise) {
+std::uint64_t fromEnvironment(const char *Name, std::uint64_t Default) {
   const char *Text = std::getenv(Name);
-  return Text == nullptr ? Otherwise : std::strtoull(Text, nullptr, 10);
+  return Text == nullptr ? Default : std::strtoull(Text, nullptr, 10);
 }
 
-/// What one host has been shown of one backend server address.
-struct shown_backend {
+/// The latest state that one host has reported of one backend server address.
+struct reported_backend {
   incarnation Incarnation;
   bool Leaving{false};
 };
 
-/// One run: some minutes of random faults, then quiet, then everything must agree.
+/// One run: some minutes of random faults, then a quiet period, after which all hosts must agree.
 class random_run {
 public:
   explicit random_run(std::uint64_t Seed) : Net(Seed) {
@@ -41,44 +41,44 @@
   void run() {
     const std::uint64_t Rounds = 15 + Net.Random.below(25);
     for (std::uint64_t Round = 0; Round < Rounds; ++Round) {
-      disturb();
+      injectFault();
       Net.runFor(mono_duration(Net.Random.below(mono_duration(5s).count())));
     }
-    calm();
+    endFaults();
     Net.runFor(60s);
     checkAgreement();
   }
 
   fake_network Net;
-  std::vector<std::string> Faults;
+  std::vector<std::string> Violations;
 
 private:
-  void fault(const std::string &What) { Faults.push_back(What); }
+  void recordViolation(const std::string &Description) { Violations.push_back(Description); }
 
   void check(std::size_t Host, const membership_action &Action) {
     if (const auto *Changed = std::get_if<backend_changed>(&Action))
       checkBackend(Host, Changed->View);
     if (const auto *Sent = std::get_if<send_message>(&Action))
       if (wireBytes(Sent->Message) > MaxDatagramBytes)
-        fault("a message does not fit a datagram");
+        recordViolation("a message does not fit a datagram");
   }
 
   void checkBackend(std::size_t Host, const backend_view &View) {
     const backend_key &Key = View.Announcement.Key;
-    shown_backend &Shown = ShownAt[{Net.Hosts[Host].Key, Key.Address}];
-    if (Key.Incarnation < Shown.Incarnation)
-      fault("an older incarnation replaced a newer one: " + toText(Key));
-    if (Key.Incarnation > Shown.Incarnation)
-      Shown = {Key.Incarnation, false};
-    if (Shown.Leaving && View.Standing == backend_standing::Active)
-      fault("active again after leaving: " + toText(Key));
-    Shown.Leaving = Shown.Leaving || View.Standing == backend_standing::Leaving;
+    reported_backend &Reported = ReportedBackends[{Net.Hosts[Host].Key, Key.Address}];
+    if (Key.Incarnation < Reported.Incarnation)
+      recordViolation("an older incarnation replaced a newer one: " + toText(Key));
+    if (Key.Incarnation > Reported.Incarnation)
+      Reported = {Key.Incarnation, false};
+    if (Reported.Leaving && View.Status == backend_status::Active)
+      recordViolation("active again after leaving: " + toText(Key));
+    Reported.Leaving = Reported.Leaving || View.Status == backend_status::Leaving;
   }
 
   std::size_t anyHost() { return Net.Random.below(Net.Hosts.size()); }
   std::size_t anyBackend() { return Net.Random.below(Net.Backends.size()); }
 
-  void disturb() {
+  void injectFault() {
     switch (Net.Random.below(14)) {
     case 0:
       return Net.stop(anyHost());
@@ -96,7 +96,7 @@
     case 6:
       return Net.Cuts.clear();
     case 7:
-      return loseDomain();
+      return failDomain();
     case 8:
       return restartAll();
     case 9:
@@ -117,7 +117,7 @@
     }
   }
 
-  void loseDomain() {
+  void failDomain() {
     const std::size_t Domain = Net.Random.below(3);
     for (std::size_t Host = Domain; Host < Net.Hosts.size(); Host += 3)
       Net.stop(Host);
@@ -136,8 +136,8 @@
     Net.announceNow(Backend);
   }
 
-  /// Ends all faults; some hosts and backend servers stay down for good.
-  void calm() {
+  /// Ends all faults; some hosts and backend servers remain down.
+  void endFaults() {
     Net.Cuts.clear();
     Net.Faults = {};
     for (std::size_t Host = 0; Host < Net.Hosts.size(); ++Host) {
@@ -153,57 +153,58 @@
         checkHost(Host);
   }
 
-  /// A host that hears no host and no backend server cannot tell their death from its own
-  /// isolation: it buries nobody and its views stay unfresh until somebody speaks.
-  [[nodiscard]] bool somebodySpeaks(std::size_t To) const {
+  /// A host that receives nothing from any host or backend server cannot distinguish their failure
+  /// from its own isolation: it declares no host dead, and its views are not fresh until a message
+  /// arrives.
+  [[nodiscard]] bool receivesAnything(std::size_t Receiver) const {
     for (std::size_t Host = 0; Host < Net.Hosts.size(); ++Host)
-      if (Host != To && Net.running(Host))
+      if (Host != Receiver && Net.running(Host))
         return true;
     return std::any_of(Net.Backends.begin(), Net.Backends.end(),
                        [](const fake_backend &Backend) { return Backend.Alive; });
   }
 
   void checkHost(std::size_t Host) {
-    const std::string At = " at host " + std::to_string(Host);
-    const bool Hears = somebodySpeaks(Host);
-    if (Hears && Net.Hosts[Host].Process->freshUntil() <= Net.now())
-      fault("views are not fresh after quiet" + At);
+    const std::string Location = " at host " + std::to_string(Host);
+    const bool ReceivesAnything = receivesAnything(Host);
+    if (ReceivesAnything && Net.Hosts[Host].Process->freshUntil() <= Net.now())
+      recordViolation("views are not fresh after quiet" + Location);
     for (std::size_t Other = 0; Other < Net.Hosts.size(); ++Other) {
-      const auto Standing = Net.hostStanding(Host, Other);
-      const bool Doubted = !Hears && Standing == host_standing::Suspect;
-      const bool Gone = !Standing || *Standing == host_standing::Dead || Doubted;
-      if (Net.running(Other) ? Standing != host_standing::Alive : !Gone)
-        fault("wrong view of host " + std::to_string(Other) + At);
+      const auto Status = Net.hostStatus(Host, Other);
+      const bool IsSuspectOnly = !ReceivesAnything && Status == host_status::Suspect;
+      const bool IsGone = !Status || *Status == host_status::Dead || IsSuspectOnly;
+      if (Net.running(Other) ? Status != host_status::Alive : !IsGone)
+        recordViolation("wrong view of host " + std::to_string(Other) + Location);
     }
     for (std::size_t Backend = 0; Backend < Net.Backends.size(); ++Backend)
-      checkStanding(Host, Backend, At);
+      checkBackendStatus(Host, Backend, Location);
   }
 
-  void checkStanding(std::size_t Host, std::size_t Backend, const std::string &At) {
-    const fake_backend &Real = Net.Backends[Backend];
-    const auto Standing = Net.standing(Host, Backend);
-    const std::string What = " of backend " + std::to_string(Backend) + At;
-    if (Real.Alive) {
-      const bool Leaving = Real.Announcement.Leaving;
-      if (Standing != (Leaving ? backend_standing::Leaving : backend_standing::Active))
-        fault("wrong view" + What + ", standing " +
-              std::to_string(Standing ? static_cast<int>(*Standing) : -1));
-    } else if (Standing && *Standing != backend_standing::Lost) {
-      fault("not lost without announcements" + What);
+  void checkBackendStatus(std::size_t Host, std::size_t Backend, const std::string &Location) {
+    const fake_backend &Actual = Net.Backends[Backend];
+    const auto Status = Net.backendStatus(Host, Backend);
+    const std::string Suffix = " of backend " + std::to_string(Backend) + Location;
+    if (Actual.Alive) {
+      const bool Leaving = Actual.Announcement.Leaving;
+      if (Status != (Leaving ? backend_status::Leaving : backend_status::Active))
+        recordViolation("wrong view" + Suffix + ", standing " +
+                        std::to_string(Status ? static_cast<int>(*Status) : -1));
+    } else if (Status && *Status != backend_status::Lost) {
+      recordViolation("not lost without announcements" + Suffix);
     }
     for (const backend_view &View : Net.Hosts[Host].Process->views())
-      if (Real.Alive && View.Announcement.Key == Real.Announcement.Key &&
-          View.Announcement != Real.Announcement)
-        fault("old announcement" + What);
+      if (Actual.Alive && View.Announcement.Key == Actual.Announcement.Key &&
+          View.Announcement != Actual.Announcement)
+        recordViolation("old announcement" + Suffix);
   }
 
-  std::map<std::pair<process_key, backend_address>, shown_backend> ShownAt;
+  std::map<std::pair<process_key, backend_address>, reported_backend> ReportedBackends;
 };
 
-// What callers and operators see while hosts are killed, stopped and continued, cut one way,
-// restarted all at once or lost with their failure domain, and backend servers come, leave, die and
-// return: never new work on a leaving server, never an old incarnation back. When it gets quiet all
-// hosts agree.
+// Hosts are killed, paused and resumed, cut in one direction, restarted all at once or lost with
+// their failure domain, and backend servers join, leave, crash and return. A leaving backend server
+// must never become active again, and an old incarnation must never replace a newer one. After a
+// quiet period all hosts must agree.
 TEST(RandomFleet, KeepsItsInvariantsAndAgreesAfterQuiet) {
   const std::uint64_t Seeds = fromEnvironment("POLLENSTALL_SEEDS", DefaultSeeds);
   const std::uint64_t First = fromEnvironment("POLLENSTALL_FIRST_SEED", DefaultFirstSeed);
@@ -212,8 +213,8 @@
     random_run Run(Seed);
     Run.run();
     Steps += Run.Net.Steps;
-    for (const std::string &Fault : Run.Faults)
-      ADD_FAILURE() << "seed " << Seed << ": " << Fault;
+    for (const std::string &Violation : Run.Violations)
+      ADD_FAILURE() << "seed " << Seed << ": " << Violation;
   }
   std::cout << "schedules " << Seeds << " steps " << Steps << "\n";
 }
--- a/tests/orphan/orphan_reaper_test.cpp
+++ b/tests/orphan/orphan_reaper_test.cpp
@@ -11,10 +11,10 @@
 
 const process_key Self{host_name("e1"), incarnation(10)};
 
-host_view makeHost(const std::string &Name, std::uint64_t Incarnation, host_standing Standing) {
+host_view makeHost(const std::string &Name, std::uint64_t Incarnation, host_status Standing) {
   host_view View;
   View.Key = {host_name(Name), incarnation(Incarnation)};
-  View.Standing = Standing;
+  View.Status = Standing;
   return View;
 }
 
@@ -35,7 +35,7 @@
 };
 
 TEST_F(OrphanReaperTest, KeepsAttemptsOfItselfAndOfLiveHosts) {
-  Reaper.updateHost(makeHost("e2", 5, host_standing::Alive), Now);
+  Reaper.updateHost(makeHost("e2", 5, host_status::Alive), Now);
   EXPECT_FALSE(Reaper.isOrphan(makeAttempt("e1", 10), Now));
   EXPECT_FALSE(Reaper.isOrphan(makeAttempt("e2", 5), Now));
   EXPECT_FALSE(Reaper.isOrphan(makeAttempt("e2", 6), Now))
@@ -43,24 +43,24 @@
 }
 
 TEST_F(OrphanReaperTest, ReapsAttemptsOfAnEarlierIncarnation) {
-  Reaper.updateHost(makeHost("e2", 5, host_standing::Alive), Now);
+  Reaper.updateHost(makeHost("e2", 5, host_status::Alive), Now);
   EXPECT_TRUE(Reaper.isOrphan(makeAttempt("e1", 9), Now));
   EXPECT_TRUE(Reaper.isOrphan(makeAttempt("e2", 4), Now));
 }
 
 TEST_F(OrphanReaperTest, ReapsAttemptsOfAHostThatLeft) {
-  Reaper.updateHost(makeHost("e2", 5, host_standing::Left), Now);
+  Reaper.updateHost(makeHost("e2", 5, host_status::Left), Now);
   EXPECT_TRUE(Reaper.isOrphan(makeAttempt("e2", 5), Now));
 }
 
 TEST_F(OrphanReaperTest, KeepsAttemptsOfADeadHostForAGracePeriod) {
   // The host may only be partitioned from the other hosts and still answer its callers.
-  Reaper.updateHost(makeHost("e2", 5, host_standing::Dead), Now);
+  Reaper.updateHost(makeHost("e2", 5, host_status::Dead), Now);
   EXPECT_FALSE(Reaper.isOrphan(makeAttempt("e2", 5), Now + 59s));
-  Reaper.updateHost(makeHost("e2", 5, host_standing::Dead), Now + 30s);
+  Reaper.updateHost(makeHost("e2", 5, host_status::Dead), Now + 30s);
   EXPECT_TRUE(Reaper.isOrphan(makeAttempt("e2", 5), Now + 60s))
       << "a repeated event does not restart the grace period";
-  Reaper.updateHost(makeHost("e2", 5, host_standing::Alive), Now + 61s);
+  Reaper.updateHost(makeHost("e2", 5, host_status::Alive), Now + 61s);
   EXPECT_FALSE(Reaper.isOrphan(makeAttempt("e2", 5), Now + 62s));
 }
 
@@ -79,8 +79,8 @@
 
 TEST_F(OrphanReaperTest, DividesTheEnginesAmongLiveHosts) {
   orphan_reaper OtherReaper({host_name("e2"), incarnation(5)}, {});
-  Reaper.updateHost(makeHost("e2", 5, host_standing::Alive), Now);
-  OtherReaper.updateHost(makeHost("e1", 10, host_standing::Alive), Now);
+  Reaper.updateHost(makeHost("e2", 5, host_status::Alive), Now);
+  OtherReaper.updateHost(makeHost("e1", 10, host_status::Alive), Now);
   constexpr std::size_t Engines = 40;
   for (std::size_t Port = 1; Port <= Engines; ++Port) {
     Reaper.addEngine(makeEngine("127.0.0.1:" + std::to_string(Port)));
@@ -90,7 +90,7 @@
   EXPECT_EQ(OwnEngines + OtherReaper.takeDueEngines(Now).size(), Engines);
   EXPECT_GT(OwnEngines, 0U);
   EXPECT_LT(OwnEngines, Engines);
-  Reaper.updateHost(makeHost("e2", 5, host_standing::Dead), Now);
+  Reaper.updateHost(makeHost("e2", 5, host_status::Dead), Now);
   EXPECT_EQ(Reaper.takeDueEngines(Now + 5s).size(), Engines)
       << "the remaining host checks all engines";
 }
--- a/tests/scheduling/scheduler_test.cpp
+++ b/tests/scheduling/scheduler_test.cpp
@@ -137,9 +137,9 @@
 
 TEST_F(LeavingServerTest, ReceivesNoNewWork) {
   addEngines(2);
-  for (const backend_standing Standing : {backend_standing::Leaving, backend_standing::Lost}) {
+  for (const backend_status Standing : {backend_status::Leaving, backend_status::Lost}) {
     backend_view View = engine(1);
-    View.Standing = Standing;
+    View.Status = Standing;
     Scheduler.updateBackend(View, Now);
     for (int Index = 0; Index < 4; ++Index)
       EXPECT_NE(placeNow(makeWork(1'000)), engineKey(1));
