--- a/programs/pollenstall-entry/announcement.cpp
+++ b/programs/pollenstall-entry/announcement.cpp
@@ -157,8 +157,8 @@
   return Load;
 }
 
-heard_announcement readMembers(member_reader &From) {
-  heard_announcement Read;
+received_announcement readMembers(member_reader &From) {
+  received_announcement Read;
   backend_announcement &Into = Read.Announcement;
   Into.Key.Address = backend_address(From.text("address"));
   if (checkAddress(Into.Key.Address.str()))
@@ -181,8 +181,8 @@
 
 } // namespace
 
-result<heard_announcement, announcement_fault> readAnnouncement(std::string_view Body,
-                                                                std::string_view Fleet) {
+result<received_announcement, announcement_fault> readAnnouncement(std::string_view Body,
+                                                                   std::string_view Fleet) {
   if (Body.size() > MaxAnnouncementBytes)
     return announcement_fault{"body", "must not be larger than 65536 bytes"};
   json::error_code Code;
@@ -191,7 +191,7 @@
     return announcement_fault{"body", "must be a JSON object"};
   std::optional<announcement_fault> Fault;
   member_reader From(Parsed.get_object(), "", Fault);
-  heard_announcement Read = readMembers(From);
+  received_announcement Read = readMembers(From);
   if (From.text("fleet") != Fleet)
     From.refuse("fleet", "names another fleet");
   if (Fault)
--- a/programs/pollenstall-entry/announcement_func.h
+++ b/programs/pollenstall-entry/announcement_func.h
@@ -20,8 +20,8 @@
  * Reads the JSON of docs/BACKEND-PROTOCOL.md; unknown members are ignored.
  * @param Fleet An announcement of another fleet is refused.
  */
-result<heard_announcement, announcement_fault> readAnnouncement(std::string_view Body,
-                                                                std::string_view Fleet);
+result<received_announcement, announcement_fault> readAnnouncement(std::string_view Body,
+                                                                   std::string_view Fleet);
 
 } // namespace pollenstall
 
--- a/src/gossip/change_outbox_base.h
+++ b/src/gossip/change_outbox_base.h
@@ -1,4 +1,4 @@
-/** @file change_outbox_base.h Changes that wait for room in the ring to another thread. */
+/** @file change_outbox_base.h Events that wait for space in the ring to another thread. */
 #ifndef POLLENSTALL_GOSSIP_CHANGE_OUTBOX_BASE_H
 #define POLLENSTALL_GOSSIP_CHANGE_OUTBOX_BASE_H
 
@@ -10,10 +10,10 @@
 namespace pollenstall {
 
 /**
- * Holds the latest event of each subject until it fits the ring.
- * The consumer may stall for long; a queue would grow without bound, and dropping would leave it
- * with a leaving server as Active for good. The latest event of each key says all and is bounded by
- * the fleet.
+ * Holds the latest event of each subject until the ring has space for it. If the consumer stalls, a
+ * plain queue would grow without bound, and dropping events could leave a leaving backend server as
+ * Active at the consumer permanently. The latest event of each key suffices and is bounded by the
+ * fleet's size.
  */
 class change_outbox {
 public:
@@ -26,39 +26,40 @@
                    [&](const host_changed &Changed) {
                      Hosts.insert_or_assign(Changed.View.Key.Host, Event);
                    },
-                   [&](const views_fresh & /*Fresh*/) { Fresh = Event; },
-                   [&](const superseded & /*By*/) { Replaced = Event; }},
+                   [&](const views_fresh & /*Fresh*/) { Freshness = Event; },
+                   [&](const superseded & /*By*/) { Supersession = Event; }},
         Event);
   }
 
-  /// Moves what fits into the ring; changes first, since views_fresh vouches for them.
+  /// Moves as many events as fit into the ring. views_fresh comes last, because it asserts that all
+  /// changes before it are included.
   void flush(bounded_ring<membership_event> &Ring) {
     flushMap(Hosts, Ring);
     flushMap(Backends, Ring);
-    flushOne(Replaced, Ring);
+    flushEvent(Supersession, Ring);
     if (Backends.empty())
-      flushOne(Fresh, Ring);
+      flushEvent(Freshness, Ring);
   }
 
   [[nodiscard]] bool empty() const {
-    return Backends.empty() && Hosts.empty() && !Fresh && !Replaced;
+    return Backends.empty() && Hosts.empty() && !Freshness && !Supersession;
   }
 
 private:
-  template <typename Map> static void flushMap(Map &Waiting, bounded_ring<membership_event> &Ring) {
-    while (!Waiting.empty() && Ring.push(std::move(Waiting.begin()->second)))
-      Waiting.erase(Waiting.begin());
+  template <typename Map> static void flushMap(Map &Pending, bounded_ring<membership_event> &Ring) {
+    while (!Pending.empty() && Ring.push(std::move(Pending.begin()->second)))
+      Pending.erase(Pending.begin());
   }
-  static void flushOne(std::optional<membership_event> &Waiting,
-                       bounded_ring<membership_event> &Ring) {
-    if (Waiting && Ring.push(std::move(*Waiting)))
-      Waiting.reset();
+  static void flushEvent(std::optional<membership_event> &Pending,
+                         bounded_ring<membership_event> &Ring) {
+    if (Pending && Ring.push(std::move(*Pending)))
+      Pending.reset();
   }
 
   std::map<backend_key, membership_event> Backends;
   std::map<host_name, membership_event> Hosts;
-  std::optional<membership_event> Fresh;
-  std::optional<membership_event> Replaced;
+  std::optional<membership_event> Freshness;
+  std::optional<membership_event> Supersession;
 };
 
 } // namespace pollenstall
--- a/src/gossip/gossip_codec.cpp
+++ b/src/gossip/gossip_codec.cpp
@@ -1,4 +1,4 @@
-/** @file gossip_codec.cpp A membership message as one datagram, and back. */
+/** @file gossip_codec.cpp Encodes and decodes membership messages as datagrams. */
 #include "gossip/gossip_codec_func.h"
 
 #include "gossip/membership_codec_func.h"
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::size_t TagBytes = 16; // HMAC-SHA256 cut to 128 bits, as RFC 2104 allows
+constexpr std::size_t TagBytes = 16; // HMAC-SHA256 truncated to 128 bits, as RFC 2104 allows
 
 std::string tagOf(const std::string &Key, std::span<const char> Bytes) {
   std::array<unsigned char, EVP_MAX_MD_SIZE> Digest{};
@@ -28,7 +28,7 @@
   return CRYPTO_memcmp(Expected.data(), Tag.data(), TagBytes) == 0;
 }
 
-datagram_error turned(wire_error Error) {
+datagram_error toDatagramError(wire_error Error) {
   switch (Error) {
   case wire_error::TooLarge:
     return datagram_error::TooLarge;
@@ -67,7 +67,7 @@
   auto Decoded = decodeEnvelope<membership_message>(Secret.Fleet, message_kind::Gossip, Bytes,
                                                     MaxDatagramBytes);
   if (!succeeded(Decoded))
-    return turned(errorOf(Decoded));
+    return toDatagramError(errorOf(Decoded));
   return valueOf(std::move(Decoded));
 }
 
--- a/src/gossip/gossip_codec_func.h
+++ b/src/gossip/gossip_codec_func.h
@@ -1,4 +1,4 @@
-/** @file gossip_codec_func.h A membership message as one datagram, and back. */
+/** @file gossip_codec_func.h Encodes and decodes membership messages as datagrams. */
 #ifndef POLLENSTALL_GOSSIP_GOSSIP_CODEC_FUNC_H
 #define POLLENSTALL_GOSSIP_GOSSIP_CODEC_FUNC_H
 
@@ -9,20 +9,20 @@
 
 namespace pollenstall {
 
-/// What a datagram must carry to be believed.
+/// The credentials that a datagram is checked against.
 struct gossip_secret {
-  std::string Fleet; ///< At most MaxFleetBytes.
-  std::string Key;   ///< Shared by all hosts; empty: datagrams carry no tag.
+  std::string Fleet; ///< The fleet's name, at most MaxFleetBytes.
+  std::string Key;   ///< Shared by all hosts; if empty, datagrams carry no tag.
 };
 
 /**
- * @return The datagram: envelope, message, and where there is a key the first 16 bytes of
- * HMAC-SHA256 over both. A replayed datagram passes; it can only repeat what was true of its time,
- * which merging ignores, and answers are believed by their nonce only.
+ * Returns the datagram: envelope, message and, if there is a key, the first 16 bytes of HMAC-SHA256
+ * over both. A replayed datagram passes the check, but it only repeats state that was true when it
+ * was sent, which merging ignores; and answers are accepted only by their nonce.
  */
 std::string encodeDatagram(const gossip_secret &Secret, const membership_message &Message);
 
-/// Reads a datagram. Sizes are checked before anything is allocated; never throws.
+/// Decodes a datagram. Checks sizes before any allocation; never throws.
 result<membership_message, datagram_error> decodeDatagram(const gossip_secret &Secret,
                                                           std::span<const char> Bytes);
 
--- a/src/gossip/gossip_service.cpp
+++ b/src/gossip/gossip_service.cpp
@@ -1,4 +1,4 @@
-/** @file gossip_service.cpp The thread that carries membership over UDP. */
+/** @file gossip_service.cpp The thread that runs the membership protocol over UDP. */
 #include "gossip/gossip_service_base.h"
 
 #include "address/address.h"
@@ -23,19 +23,20 @@
 
 constexpr std::size_t AnnouncementRingItems = 1024;
 constexpr std::size_t ChangeRingItems = 4096;
-constexpr int SocketBufferBytes = 1 << 20; // a joiner's records arrive in one burst
-constexpr int DatagramsPerTurn = 64;       // then timers and announcements get their turn
+constexpr int SocketBufferBytes = 1 << 20; // the records for a joining host arrive in one burst
+constexpr int DatagramsPerBatch = 64;      // timers and announcements are handled between batches
 
 } // namespace
 
-/// All that belongs to the thread; only the rings, counters and posted work cross to others.
-class gossip_service::duty {
+/// State of the gossip thread. Other threads access only the rings, the counters and posted work.
+class gossip_service::event_loop {
 public:
-  explicit duty(gossip_options Chosen)
-      : Options(std::move(Chosen)), Socket(Context), Timer(Context),
+  explicit event_loop(gossip_options InitialOptions)
+      : Options(std::move(InitialOptions)), Socket(Context), Timer(Context),
         Announcements(AnnouncementRingItems), Changes(ChangeRingItems) {
-    // Here and not in start(): announcements may come as soon as others can reach the ring.
-    Announcements.onWake([this] { boost::asio::post(Context, [this] { takeAnnouncements(); }); });
+    // Set here and not in start(): announcements may arrive as soon as other threads can access the
+    // ring.
+    Announcements.onWake([this] { boost::asio::post(Context, [this] { handleAnnouncements(); }); });
   }
 
   result<done, gossip_error> bind() {
@@ -47,7 +48,7 @@
     if (!Error)
       Socket.bind(*Endpoint, Error);
     if (Error)
-      return gossip_error::NotBound;
+      return gossip_error::BindFailed;
     Socket.non_blocking(true, Error);
     Socket.set_option(boost::asio::socket_base::receive_buffer_size(SocketBufferBytes), Error);
     Bound = peer_address(toText(Socket.local_endpoint(Error)));
@@ -59,12 +60,12 @@
   void start() {
     Fleet.emplace(Options.Identity, Options.Settings, Options.RandomSeed, boot_clock::now());
     Thread = std::thread([this] {
-      takeAnnouncements();
+      handleAnnouncements();
       advance();
       waitForDatagram();
       Context.run();
     });
-    const std::lock_guard<std::mutex> Lock(RunningGuard);
+    const std::lock_guard<std::mutex> Lock(RunningMutex);
     Running = true;
   }
 
@@ -72,11 +73,11 @@
     if (!Thread.joinable())
       return;
     {
-      const std::lock_guard<std::mutex> Lock(RunningGuard);
+      const std::lock_guard<std::mutex> Lock(RunningMutex);
       Running = false;
       boost::asio::post(Context, [this] {
         Fleet->leave(boot_clock::now());
-        act();
+        performActions();
         Context.stop();
       });
     }
@@ -84,39 +85,41 @@
   }
 
   std::string dump() {
-    // Shared: the waiter may be gone while set_value() still returns.
+    // Shared, because the waiting thread may have returned while set_value() still runs.
     const auto Answer = std::make_shared<std::promise<std::string>>();
-    std::future<std::string> Waiting = Answer->get_future();
+    std::future<std::string> Pending = Answer->get_future();
     {
-      // Posted work runs in order, so what is posted while Running is answered before the stop.
-      const std::lock_guard<std::mutex> Lock(RunningGuard);
+      // Posted work runs in order, so work that is posted while Running is set completes before the
+      // stop.
+      const std::lock_guard<std::mutex> Lock(RunningMutex);
       if (!Running)
         return {};
       boost::asio::post(Context, [this, Answer] { Answer->set_value(Fleet->dump()); });
     }
-    return Waiting.get();
+    return Pending.get();
   }
 
-  bounded_ring<heard_announcement> &announcements() { return Announcements; }
+  bounded_ring<received_announcement> &announcements() { return Announcements; }
   bounded_ring<membership_event> &changes() { return Changes; }
   [[nodiscard]] const gossip_counters &counters() const { return Counters; }
   [[nodiscard]] const peer_address &address() const { return Bound; }
 
 private:
-  void takeAnnouncements() {
-    Announcements.drain([this](heard_announcement &&Heard) {
-      const auto Taken = Fleet->announce(Heard.Announcement, Heard.Load, boot_clock::now());
-      if (!succeeded(Taken))
+  void handleAnnouncements() {
+    Announcements.drain([this](received_announcement &&Received) {
+      const auto Accepted =
+          Fleet->announce(Received.Announcement, Received.Load, boot_clock::now());
+      if (!succeeded(Accepted))
         ++Counters.AnnouncementsRefused;
     });
-    act();
+    performActions();
   }
 
   void advance() {
-    // Answers that wait in the socket are read before the timers find them overdue.
+    // Reads pending answers from the socket before the timers treat them as overdue.
     readDatagrams();
     Fleet->advance(boot_clock::now());
-    act();
+    performActions();
   }
 
   void waitForDatagram() {
@@ -129,17 +132,18 @@
   }
 
   void readDatagrams() {
-    for (int Count = 0; Count < DatagramsPerTurn; ++Count) {
+    for (int Count = 0; Count < DatagramsPerBatch; ++Count) {
       udp::endpoint Sender;
       boost::system::error_code Error;
-      // One byte over the limit: a longer datagram would otherwise be cut to a valid length.
+      // The buffer is one byte larger than the limit; otherwise a longer datagram would be
+      // truncated to a valid length.
       const std::size_t Size = Socket.receive_from(boost::asio::buffer(Buffer), Sender, 0, Error);
       if (Error == boost::asio::error::would_block)
         break;
-      if (!Error) // an ICMP answer to something sent earlier is no datagram
+      if (!Error) // an ICMP error for an earlier datagram is no datagram
         handleDatagram(std::span<const char>(Buffer).first(Size), Sender);
     }
-    act();
+    performActions();
   }
 
   void handleDatagram(std::span<const char> Bytes, const udp::endpoint &Sender) {
@@ -170,9 +174,9 @@
     }
   }
 
-  void act() {
+  void performActions() {
     for (membership_action &Action : Fleet->takeActions())
-      std::visit(overloaded{[this](send_message &Send) { transmit(Send); },
+      std::visit(overloaded{[this](send_message &Send) { sendDatagram(Send); },
                             [this](auto &Event) { Outbox.add(std::move(Event)); }},
                  Action);
     Outbox.flush(Changes);
@@ -184,7 +188,7 @@
     });
   }
 
-  void transmit(const send_message &Send) {
+  void sendDatagram(const send_message &Send) {
     const auto Endpoint = udpEndpoint(Send.To.str());
     if (!Endpoint) {
       ++Counters.SendErrors;
@@ -195,7 +199,7 @@
     boost::system::error_code Error;
     Socket.send_to(boost::asio::buffer(Bytes), *Endpoint, 0, Error);
     if (Error) {
-      ++Counters.SendErrors; // as good as lost on the way
+      ++Counters.SendErrors; // equivalent to a lost datagram
       return;
     }
     ++Counters.DatagramsOut;
@@ -206,40 +210,42 @@
   boost::asio::io_context Context{1};
   udp::socket Socket;
   boost::asio::steady_timer Timer;
-  bounded_ring<heard_announcement> Announcements;
+  bounded_ring<received_announcement> Announcements;
   bounded_ring<membership_event> Changes;
   change_outbox Outbox;
   gossip_counters Counters;
   peer_address Bound;
   std::optional<fleet_membership> Fleet;
   std::array<char, MaxDatagramBytes + 1> Buffer{};
-  std::mutex RunningGuard; ///< Of Running; stop() and dump() come from different threads.
-  bool Running{false};     ///< Posted work will be carried out.
+  std::mutex RunningMutex; ///< Protects Running; stop() and dump() run on different threads.
+  bool Running{false};     ///< Whether posted work will be executed.
   std::thread Thread;
 };
 
 result<std::unique_ptr<gossip_service>, gossip_error>
 gossip_service::create(gossip_options Options) {
   if (Options.Secret.Fleet.size() > MaxFleetBytes)
-    return gossip_error::FleetTooLong;
+    return gossip_error::FleetNameTooLong;
   if (Options.Identity.Self.Host.empty())
-    return gossip_error::NoOwnIdentity;
-  auto Owned = std::make_unique<duty>(std::move(Options));
-  const auto Bound = Owned->bind();
+    return gossip_error::MissingHostName;
+  auto NewLoop = std::make_unique<event_loop>(std::move(Options));
+  const auto Bound = NewLoop->bind();
   if (!succeeded(Bound))
     return errorOf(Bound);
-  return std::unique_ptr<gossip_service>(new gossip_service(std::move(Owned)));
+  return std::unique_ptr<gossip_service>(new gossip_service(std::move(NewLoop)));
 }
 
-gossip_service::gossip_service(std::unique_ptr<duty> Owned) : Duty(std::move(Owned)) {}
+gossip_service::gossip_service(std::unique_ptr<event_loop> NewLoop) : Loop(std::move(NewLoop)) {}
 gossip_service::~gossip_service() { stop(); }
 
-const peer_address &gossip_service::address() const { return Duty->address(); }
-bounded_ring<heard_announcement> &gossip_service::announcements() { return Duty->announcements(); }
-bounded_ring<membership_event> &gossip_service::changes() { return Duty->changes(); }
-void gossip_service::start() { Duty->start(); }
-void gossip_service::stop() { Duty->stop(); }
-std::string gossip_service::dump() { return Duty->dump(); }
-const gossip_counters &gossip_service::counters() const { return Duty->counters(); }
+const peer_address &gossip_service::address() const { return Loop->address(); }
+bounded_ring<received_announcement> &gossip_service::announcements() {
+  return Loop->announcements();
+}
+bounded_ring<membership_event> &gossip_service::changes() { return Loop->changes(); }
+void gossip_service::start() { Loop->start(); }
+void gossip_service::stop() { Loop->stop(); }
+std::string gossip_service::dump() { return Loop->dump(); }
+const gossip_counters &gossip_service::counters() const { return Loop->counters(); }
 
 } // namespace pollenstall
--- a/src/gossip/gossip_service_base.h
+++ b/src/gossip/gossip_service_base.h
@@ -1,4 +1,4 @@
-/** @file gossip_service_base.h The thread that carries membership over UDP. */
+/** @file gossip_service_base.h The thread that runs the membership protocol over UDP. */
 #ifndef POLLENSTALL_GOSSIP_GOSSIP_SERVICE_BASE_H
 #define POLLENSTALL_GOSSIP_GOSSIP_SERVICE_BASE_H
 
@@ -10,50 +10,53 @@
 
 namespace pollenstall {
 
-/// What the gossip thread needs from the settings.
+/// Options of the gossip thread.
 struct gossip_options {
   gossip_secret Secret;
-  peer_address Bind;            ///< Port 0: the kernel's choice, see gossip_service::address().
-  membership_identity Identity; ///< Without addresses: the bound address is told to others.
+  peer_address Bind; ///< With port 0 the kernel chooses the port; see gossip_service::address().
+  membership_identity Identity; ///< If it has no addresses, the bound address is advertised.
   membership_settings Settings;
   std::uint64_t RandomSeed{0};
 };
 
 /**
- * Owns the socket, the fleet_membership and the thread that runs both.
- * announcements() takes from exactly one thread, changes() gives to exactly one thread.
+ * Owns the socket, the fleet_membership and the thread that runs both. Exactly one thread may write
+ * to announcements() and exactly one may read from changes().
  */
 class gossip_service {
 public:
-  /// Binds the socket; the thread runs from start() on.
+  /// Binds the socket; start() starts the thread.
   static result<std::unique_ptr<gossip_service>, gossip_error> create(gossip_options Options);
 
   gossip_service(const gossip_service &) = delete;
   gossip_service &operator=(const gossip_service &) = delete;
-  ~gossip_service(); ///< Stops, if stop() was not called.
+  ~gossip_service(); ///< Stops the thread if stop() was not called.
 
-  /// Where others reach this host.
+  /// Returns the bound address, at which peers reach this host.
   [[nodiscard]] const peer_address &address() const;
 
-  /// Ring towards the thread; what it refuses must be refused to the backend server, which repeats.
-  bounded_ring<heard_announcement> &announcements();
-  /// Ring out of the thread. Set its onWake() before start(); the hook runs on the gossip thread.
+  /// Ring to the gossip thread. If it rejects an announcement, the caller must reject it to the
+  /// backend server, which repeats it.
+  bounded_ring<received_announcement> &announcements();
+  /// Ring from the gossip thread. Set its onWake() before start(); the callback runs on the gossip
+  /// thread.
   bounded_ring<membership_event> &changes();
 
-  /// Starts the thread; call once, after onWake() is set.
+  /// Starts the thread. Call once, after onWake() is set.
   void start();
-  /// Tells the fleet that this process stops, then joins the thread.
+  /// Notifies the fleet that this process stops, then joins the thread.
   void stop();
 
-  /// @return The state as JSON; waits for the thread. Empty where it does not run. From any thread.
+  /// Returns the state as JSON, or an empty string if the thread does not run. Waits for the
+  /// thread; callable from any thread.
   [[nodiscard]] std::string dump();
   [[nodiscard]] const gossip_counters &counters() const;
 
 private:
-  class duty;
-  explicit gossip_service(std::unique_ptr<duty> Owned);
+  class event_loop;
+  explicit gossip_service(std::unique_ptr<event_loop> NewLoop);
 
-  std::unique_ptr<duty> Duty;
+  std::unique_ptr<event_loop> Loop;
 };
 
 } // namespace pollenstall
--- a/src/gossip/gossip_type.h
+++ b/src/gossip/gossip_type.h
@@ -1,4 +1,4 @@
-/** @file gossip_type.h Errors, counters and ring items of the gossip thread. */
+/** @file gossip_type.h Errors, counters and ring elements of the gossip thread. */
 #ifndef POLLENSTALL_GOSSIP_GOSSIP_TYPE_H
 #define POLLENSTALL_GOSSIP_GOSSIP_TYPE_H
 
@@ -13,32 +13,33 @@
 /// Why a datagram is dropped.
 enum class datagram_error : std::uint8_t {
   TooLarge,        ///< Over MaxDatagramBytes.
-  Unauthenticated, ///< The tag of the fleet's key is missing or wrong.
-  OtherFleet,      ///< Another fleet, protocol or version.
-  Malformed,       ///< Does not decode, or a list is longer than allowed.
+  Unauthenticated, ///< The HMAC tag is missing or wrong.
+  OtherFleet,      ///< It belongs to another fleet, protocol or version.
+  Malformed,       ///< It does not decode, or a list exceeds its limit.
 };
 
-/// Why the thread does not start.
+/// Why the gossip service cannot be created.
 enum class gossip_error : std::uint8_t {
-  BadAddress,    ///< Not "IP:port".
-  NotBound,      ///< The address is taken or not of this machine.
-  FleetTooLong,  ///< The fleet's name has more than MaxFleetBytes.
-  NoOwnIdentity, ///< Host name missing.
+  BadAddress,       ///< The address is not "IP:port".
+  BindFailed,       ///< The address is in use or not local.
+  FleetNameTooLong, ///< The fleet's name has more than MaxFleetBytes.
+  MissingHostName,  ///< The own host name is empty.
 };
 
 constexpr std::size_t MaxFleetBytes = 32;
 
-/// What a backend server told this host; from the operators' or the announcements' thread.
-struct heard_announcement {
+/// An announcement that a backend server sent to this host; written by the operators' or the
+/// announcements' thread.
+struct received_announcement {
   backend_announcement Announcement;
   backend_load Load;
 };
 
-/// What other threads learn of the fleet.
+/// Membership events for other threads.
 using membership_event =
     std::variant<backend_changed, backend_gone, host_changed, views_fresh, superseded>;
 
-/// Totals since the start; read from any thread.
+/// Totals since the start; readable from any thread.
 struct gossip_counters {
   std::atomic<std::uint64_t> DatagramsIn{0};
   std::atomic<std::uint64_t> DatagramsOut{0};
--- a/tests/control/order_duty_test.cpp
+++ b/tests/control/order_duty_test.cpp
@@ -26,7 +26,7 @@
   [[nodiscard]] std::string address() const { return Service->address().str(); }
 
   void announce(const backend_process &Engine, order_check Orders) {
-    heard_announcement Heard;
+    received_announcement Heard;
     Heard.Announcement.Key = {backend_address(Engine.address()), incarnationOf(Engine)};
     Heard.Announcement.Service = service_name("llm");
     Heard.Announcement.Domain = failure_domain_name("domain-1");
--- a/tests/gossip/gossip_codec_test.cpp
+++ b/tests/gossip/gossip_codec_test.cpp
@@ -1,4 +1,4 @@
-/** @file gossip_codec_test.cpp Datagrams read back what was written, and garbage is refused. */
+/** @file gossip_codec_test.cpp Round trips of datagrams, and rejection of invalid ones. */
 #include "gossip/gossip.h"
 
 #include <gtest/gtest.h>
@@ -6,10 +6,10 @@
 namespace pollenstall {
 namespace {
 
-const gossip_secret Open{"accra", ""};
-const gossip_secret Keyed{"accra", "a shared key"};
+const gossip_secret NoKey{"accra", ""};
+const gossip_secret WithKey{"accra", "a shared key"};
 
-membership_message sample() {
+membership_message sampleMessage() {
   membership_message Message;
   Message.Sender = {host_name("accra-a-1"), incarnation(17)};
   Message.Body = ping{42, {host_name("accra-b-1"), incarnation(9)}};
@@ -30,63 +30,64 @@
 
 std::span<const char> bytesOf(const std::string &Text) { return {Text.data(), Text.size()}; }
 
-TEST(GossipCodec, ReadsBackWhatItWrote) {
-  for (const gossip_secret &Secret : {Open, Keyed}) {
-    const auto Read = decodeDatagram(Secret, bytesOf(encodeDatagram(Secret, sample())));
+TEST(GossipCodec, RoundTrips) {
+  for (const gossip_secret &Secret : {NoKey, WithKey}) {
+    const auto Read = decodeDatagram(Secret, bytesOf(encodeDatagram(Secret, sampleMessage())));
     ASSERT_TRUE(succeeded(Read));
     const membership_message &Message = valueOf(Read);
-    EXPECT_EQ(Message.Sender, sample().Sender);
+    EXPECT_EQ(Message.Sender, sampleMessage().Sender);
     EXPECT_EQ(std::get<ping>(Message.Body).Nonce, 42U);
-    EXPECT_EQ(Message.Hosts, sample().Hosts);
-    EXPECT_EQ(Message.Backends, sample().Backends);
-    EXPECT_EQ(Message.Loads, sample().Loads);
+    EXPECT_EQ(Message.Hosts, sampleMessage().Hosts);
+    EXPECT_EQ(Message.Backends, sampleMessage().Backends);
+    EXPECT_EQ(Message.Loads, sampleMessage().Loads);
   }
 }
 
-TEST(GossipCodec, TakesNoMoreThanItWasEstimatedAt) {
-  EXPECT_LE(encodeDatagram(Keyed, sample()).size(), wireBytes(sample()));
+TEST(GossipCodec, SizeIsWithinTheEstimate) {
+  EXPECT_LE(encodeDatagram(WithKey, sampleMessage()).size(), wireBytes(sampleMessage()));
   membership_message Loads;
   Loads.Loads.resize(MaxMessageItems);
-  const std::size_t Full = encodeDatagram(Open, Loads).size();
+  const std::size_t FullBytes = encodeDatagram(NoKey, Loads).size();
   Loads.Loads.pop_back();
-  EXPECT_EQ(Full - encodeDatagram(Open, Loads).size(), DigestWireBytes);
+  EXPECT_EQ(FullBytes - encodeDatagram(NoKey, Loads).size(), DigestWireBytes);
 }
 
-TEST(GossipCodec, RefusesEveryTruncationAndALongerDatagram) {
-  const std::string Whole = encodeDatagram(Open, sample());
-  for (std::size_t Size = 0; Size < Whole.size(); ++Size)
-    EXPECT_FALSE(succeeded(decodeDatagram(Open, bytesOf(Whole).first(Size)))) << Size;
-  EXPECT_FALSE(succeeded(decodeDatagram(Open, bytesOf(Whole + "x"))));
-  EXPECT_EQ(errorOf(decodeDatagram(Open, bytesOf(std::string(MaxDatagramBytes + 1, 'x')))),
+TEST(GossipCodec, RejectsTruncatedAndOverlongDatagrams) {
+  const std::string Datagram = encodeDatagram(NoKey, sampleMessage());
+  for (std::size_t Size = 0; Size < Datagram.size(); ++Size)
+    EXPECT_FALSE(succeeded(decodeDatagram(NoKey, bytesOf(Datagram).first(Size)))) << Size;
+  EXPECT_FALSE(succeeded(decodeDatagram(NoKey, bytesOf(Datagram + "x"))));
+  EXPECT_EQ(errorOf(decodeDatagram(NoKey, bytesOf(std::string(MaxDatagramBytes + 1, 'x')))),
             datagram_error::TooLarge);
 }
 
-TEST(GossipCodec, RefusesAnotherFleetAndAWrongKey) {
-  const std::string Bytes = encodeDatagram(Keyed, sample());
+TEST(GossipCodec, RejectsAnotherFleetAndAWrongKey) {
+  const std::string Bytes = encodeDatagram(WithKey, sampleMessage());
   EXPECT_EQ(errorOf(decodeDatagram({"accra", "another key"}, bytesOf(Bytes))),
             datagram_error::Unauthenticated);
-  EXPECT_EQ(errorOf(decodeDatagram(Keyed, bytesOf(encodeDatagram(Open, sample())))),
+  EXPECT_EQ(errorOf(decodeDatagram(WithKey, bytesOf(encodeDatagram(NoKey, sampleMessage())))),
             datagram_error::Unauthenticated);
-  EXPECT_EQ(errorOf(decodeDatagram({"sognebrev", ""}, bytesOf(encodeDatagram(Open, sample())))),
-            datagram_error::OtherFleet);
+  EXPECT_EQ(
+      errorOf(decodeDatagram({"sognebrev", ""}, bytesOf(encodeDatagram(NoKey, sampleMessage())))),
+      datagram_error::OtherFleet);
 }
 
-// A forged or damaged datagram must not crash a host nor make it allocate: every byte is changed in
-// turn, and whatever still decodes is fed to a live fleet_membership, which must keep its
-// invariants.
+// A forged or damaged datagram must neither crash a host nor cause a large allocation. Each byte is
+// changed in turn, and every datagram that still decodes is passed to a fleet_membership, which
+// must keep its invariants.
 TEST(GossipCodec, SurvivesEveryChangedByte) {
   fleet_membership Fleet = fleet_membership_builder()
                                .self({host_name("accra-b-1"), incarnation(9)}, {})
                                .address(peer_address("10.0.0.2:7000"))
                                .build(mono_time(std::chrono::hours(1)));
-  const std::string Whole = encodeDatagram(Open, sample());
+  const std::string Datagram = encodeDatagram(NoKey, sampleMessage());
   random_source Random(1);
   int Decoded = 0;
-  for (std::size_t At = 0; At < Whole.size(); ++At)
+  for (std::size_t Position = 0; Position < Datagram.size(); ++Position)
     for (int Try = 0; Try < 16; ++Try) {
-      std::string Bytes = Whole;
-      Bytes[At] = static_cast<char>(Random.below(256));
-      const auto Read = decodeDatagram(Open, bytesOf(Bytes));
+      std::string Bytes = Datagram;
+      Bytes[Position] = static_cast<char>(Random.below(256));
+      const auto Read = decodeDatagram(NoKey, bytesOf(Bytes));
       if (!succeeded(Read))
         continue;
       ++Decoded;
--- a/tests/gossip/gossip_service_test.cpp
+++ b/tests/gossip/gossip_service_test.cpp
@@ -1,4 +1,4 @@
-/** @file gossip_service_test.cpp Gossip threads on loopback. */
+/** @file gossip_service_test.cpp Gossip threads over loopback. */
 #include "gossip/gossip.h"
 
 #include <boost/asio/io_context.hpp>
@@ -18,11 +18,11 @@
 using namespace std::chrono_literals;
 using udp = boost::asio::ip::udp;
 
-/// A gossip thread and what it told its consumer.
-class listener {
+/// A gossip service and the events that it reported.
+class test_host {
 public:
-  explicit listener(const std::string &Host, const std::vector<peer_address> &Seeds,
-                    const std::string &Key = "key") {
+  explicit test_host(const std::string &Host, const std::vector<peer_address> &Seeds,
+                     const std::string &Key = "key") {
     gossip_options Options;
     Options.Secret = {"accra", Key};
     Options.Bind = peer_address("127.0.0.1:0");
@@ -35,15 +35,15 @@
     Service->start();
   }
 
-  /// The thread writes to the members below, which are destroyed before the service.
-  ~listener() { Service->stop(); }
-  listener(const listener &) = delete;
-  listener &operator=(const listener &) = delete;
+  /// Stops the thread first, because it writes to members that are destroyed before the service.
+  ~test_host() { Service->stop(); }
+  test_host(const test_host &) = delete;
+  test_host &operator=(const test_host &) = delete;
 
-  /// Waits until the condition on what was told holds. @return Whether it did within 20 s.
-  template <typename Condition> bool waitFor(Condition Holds) {
+  /// Waits up to 20 s until the condition on the reported events is met. @return Whether it was.
+  template <typename Condition> bool waitFor(Condition IsMet) {
     std::unique_lock<std::mutex> Lock(Mutex);
-    return Told.wait_for(Lock, 20s, [&] { return Holds(*this); });
+    return EventsChanged.wait_for(Lock, 20s, [&] { return IsMet(*this); });
   }
 
   void announce(const backend_announcement &Announcement, std::uint64_t Sequence) {
@@ -57,7 +57,7 @@
   std::map<host_name, host_status> Hosts;
 
 private:
-  void drain() { // on the gossip thread, which is then the ring's only consumer too
+  void drain() { // runs on the gossip thread, which is then also the ring's only consumer
     const std::lock_guard<std::mutex> Lock(Mutex);
     Service->changes().drain([this](membership_event &&Event) {
       if (const auto *Backend = std::get_if<backend_changed>(&Event))
@@ -65,88 +65,90 @@
       if (const auto *Host = std::get_if<host_changed>(&Event))
         Hosts[Host->View.Key.Host] = Host->View.Status;
     });
-    Told.notify_all();
+    EventsChanged.notify_all();
   }
 
   std::mutex Mutex;
-  std::condition_variable Told;
+  std::condition_variable EventsChanged;
 };
 
-backend_announcement engine() {
+backend_announcement makeAnnouncement() {
   backend_announcement Announcement;
   Announcement.Key = {backend_address("127.0.0.1:8000"), incarnation(5)};
   return Announcement;
 }
 
 TEST(GossipService, CarriesAnAnnouncementAndItsLeavingToAnotherHost) {
-  listener A("a", {});
-  listener B("b", {A.Service->address()});
-  A.announce(engine(), 1);
-  ASSERT_TRUE(B.waitFor([](const listener &Seen) { return Seen.Backends.count(engine().Key); }));
-  backend_announcement Leaving = engine();
+  test_host A("a", {});
+  test_host B("b", {A.Service->address()});
+  A.announce(makeAnnouncement(), 1);
+  ASSERT_TRUE(
+      B.waitFor([](const test_host &Seen) { return Seen.Backends.count(makeAnnouncement().Key); }));
+  backend_announcement Leaving = makeAnnouncement();
   Leaving.Leaving = true;
   A.announce(Leaving, 2);
-  EXPECT_TRUE(B.waitFor([](const listener &Seen) {
-    return Seen.Backends.at(engine().Key) == backend_status::Leaving;
+  EXPECT_TRUE(B.waitFor([](const test_host &Seen) {
+    return Seen.Backends.at(makeAnnouncement().Key) == backend_status::Leaving;
   }));
   EXPECT_NE(B.Service->dump().find("\"standing\":\"leaving\""), std::string::npos);
 }
 
-TEST(GossipService, TellsOthersThatItStops) {
-  listener A("a", {});
-  listener B("b", {A.Service->address()});
-  ASSERT_TRUE(A.waitFor([](const listener &Seen) { return Seen.Hosts.count(host_name("b")); }));
-  ASSERT_TRUE(B.waitFor([](const listener &Seen) { return Seen.Hosts.count(host_name("a")); }));
+TEST(GossipService, NotifiesPeersWhenItStops) {
+  test_host A("a", {});
+  test_host B("b", {A.Service->address()});
+  ASSERT_TRUE(A.waitFor([](const test_host &Seen) { return Seen.Hosts.count(host_name("b")); }));
+  ASSERT_TRUE(B.waitFor([](const test_host &Seen) { return Seen.Hosts.count(host_name("a")); }));
   B.Service->stop();
   EXPECT_TRUE(A.waitFor(
-      [](const listener &Seen) { return Seen.Hosts.at(host_name("b")) == host_status::Left; }));
+      [](const test_host &Seen) { return Seen.Hosts.at(host_name("b")) == host_status::Left; }));
 }
 
-// Somebody throws bytes at the port, more in one burst than is read in one turn. The hosts must
-// count and drop them and go on as before.
-TEST(GossipService, CountsGarbageAndGoesOn) {
-  listener A("a", {});
+// A sender floods the port with random bytes, more in one burst than one batch reads. The host must
+// count and drop the datagrams and continue to work.
+TEST(GossipService, CountsInvalidDatagramsAndContinues) {
+  test_host A("a", {});
   boost::asio::io_context Context;
-  udp::socket Thrower(Context, udp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
+  udp::socket Sender(Context, udp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
   const std::string &Address = A.Service->address().str();
   const auto Port = static_cast<std::uint16_t>(std::stoi(Address.substr(Address.rfind(':') + 1)));
   const udp::endpoint Target(boost::asio::ip::address_v4::loopback(), Port);
   random_source Random(3);
-  constexpr int Thrown = 100; // all of them fit the smallest socket buffer
-  for (int Count = 0; Count < Thrown; ++Count) {
+  constexpr int DatagramCount = 100; // few enough to fit the smallest socket buffer
+  for (int Count = 0; Count < DatagramCount; ++Count) {
     std::string Bytes(Random.below(1400), '\0');
     for (char &Byte : Bytes)
       Byte = static_cast<char>(Random());
-    Thrower.send_to(boost::asio::buffer(Bytes), Target);
+    Sender.send_to(boost::asio::buffer(Bytes), Target);
   }
-  listener B("b", {A.Service->address()});
-  A.announce(engine(), 1);
-  EXPECT_TRUE(B.waitFor([](const listener &Seen) { return Seen.Backends.count(engine().Key); }));
+  test_host B("b", {A.Service->address()});
+  A.announce(makeAnnouncement(), 1);
+  EXPECT_TRUE(
+      B.waitFor([](const test_host &Seen) { return Seen.Backends.count(makeAnnouncement().Key); }));
   const gossip_counters &Counters = A.Service->counters();
-  EXPECT_EQ(Counters.DroppedTooLarge + Counters.DroppedUnauthenticated, Thrown);
+  EXPECT_EQ(Counters.DroppedTooLarge + Counters.DroppedUnauthenticated, DatagramCount);
 }
 
-TEST(GossipService, DoesNotListenToAnotherKey) {
-  listener A("a", {});
-  listener B("b", {A.Service->address()}, "another key");
+TEST(GossipService, RejectsAnotherKey) {
+  test_host A("a", {});
+  test_host B("b", {A.Service->address()}, "another key");
   while (A.Service->counters().DroppedUnauthenticated == 0)
     std::this_thread::yield();
   EXPECT_EQ(A.Service->dump().find("\"host\":\"b\""), std::string::npos);
 }
 
-// An operator reads the state while the process stops: the operators' threads ask for dumps without
-// a pause, then stop() is called. A dump that is asked for after the thread's last turn would be
-// waited for without end, and the process with it. Each must be answered or refused.
-TEST(GossipService, AnswersOrRefusesDumpsWhileItStops) {
+// Operator threads request dumps without a pause while stop() is called. A dump that is requested
+// after the thread's last task would never complete, and neither would the process. Each request
+// must be answered or rejected.
+TEST(GossipService, AnswersOrRejectsDumpsWhileItStops) {
   for (int Round = 0; Round < 20; ++Round) {
-    listener A("a", {});
+    test_host A("a", {});
     std::atomic<int> Answered{0};
-    const auto Ask = [&] {
+    const auto RequestDumps = [&] {
       while (!A.Service->dump().empty())
         ++Answered;
     };
-    std::thread First(Ask);
-    std::thread Second(Ask);
+    std::thread First(RequestDumps);
+    std::thread Second(RequestDumps);
     while (Answered < 2)
       std::this_thread::yield();
     A.Service->stop();
@@ -156,9 +158,9 @@
   }
 }
 
-// The server for announcements listens before the gossip thread starts. What it pushes by then, and
-// while the thread starts, must neither be lost nor meet a wake hook that is just being set.
-TEST(GossipService, TakesAnnouncementsThatComeBeforeItStarts) {
+// The announcement server listens before the gossip thread starts. An announcement that it pushes
+// before or during the start must neither be lost nor run a wake callback that is just being set.
+TEST(GossipService, HandlesAnnouncementsPushedBeforeStart) {
   gossip_options Options;
   Options.Bind = peer_address("127.0.0.1:0");
   Options.Identity.Self = {host_name("a"), incarnation(1)};
@@ -170,7 +172,7 @@
     for (std::uint64_t Sequence = 1; Sequence <= Pushed; ++Sequence) {
       backend_load Load;
       Load.Sequence = Sequence;
-      Service.announcements().push({engine(), Load});
+      Service.announcements().push({makeAnnouncement(), Load});
     }
   });
   Service.start();
@@ -180,7 +182,7 @@
   Service.stop();
 }
 
-TEST(GossipService, RefusesAnAddressThatIsNone) {
+TEST(GossipService, RejectsAnInvalidAddress) {
   gossip_options Options;
   Options.Identity.Self = {host_name("a"), incarnation(1)};
   Options.Bind = peer_address("localhost:1");
