--- a/programs/pollenstall-entry/decision_seam.cpp
+++ b/programs/pollenstall-entry/decision_seam.cpp
@@ -128,8 +128,8 @@
 
 backend_view decision_seam::withDrain(backend_view View) const {
   const bool Drains = Drained.contains(View.Announcement.Key.Address);
-  if (Drains && View.Standing == backend_standing::Active)
-    View.Standing = backend_standing::Leaving;
+  if (Drains && View.Status == backend_status::Active)
+    View.Status = backend_status::Leaving;
   return View;
 }
 
@@ -143,12 +143,11 @@
 void decision_seam::noteBackend(const backend_view &View, mono_time Now) {
   const backend_key &Key = View.Announcement.Key;
   const auto Before = Backends.find(Key);
-  const bool WasLost =
-      Before != Backends.end() && Before->second.Standing == backend_standing::Lost;
+  const bool WasLost = Before != Backends.end() && Before->second.Status == backend_status::Lost;
   Backends.insert_or_assign(Key, View);
   Scheduler.updateBackend(withDrain(View), Now);
   Patrol.addEngine(View.Announcement);
-  if (View.Standing == backend_standing::Lost && !WasLost)
+  if (View.Status == backend_status::Lost && !WasLost)
     Dispatcher.backendLost(Key, Now);
   PollDue = true;
 }
@@ -172,8 +171,9 @@
 }
 
 void decision_seam::take(const backends_listed &Listed, mono_time Now) {
-  const std::vector<backend_listing> Changes =
-      Listed.Whole ? Directory.takeAll(Listed.Listings, Now) : Directory.take(Listed.Listings);
+  const std::vector<backend_listing> Changes = Listed.Whole
+                                                   ? Directory.applyFullList(Listed.Listings, Now)
+                                                   : Directory.applyUpdates(Listed.Listings);
   for (const backend_listing &Listing : Changes)
     noteListing(Listing, Now);
 }
@@ -192,7 +192,7 @@
     return Listing && Listing->State == listing_state::Leaving;
   }
   const auto Found = Backends.find(Backend);
-  return Found != Backends.end() && Found->second.Standing == backend_standing::Leaving;
+  return Found != Backends.end() && Found->second.Status == backend_status::Leaving;
 }
 
 std::string decision_seam::instanceOf(const backend_key &Backend) const {
@@ -203,7 +203,7 @@
 mono_time decision_seam::viewsUsableUntil() const {
   // On old views a server that has said it leaves could still be given work.
   if (usesPlacer())
-    return Directory.told() ? mono_time::max() : mono_time::min();
+    return Directory.hasFullList() ? mono_time::max() : mono_time::min();
   return FreshUntil;
 }
 
