--- a/src/membership/backend_table.cpp
+++ b/src/membership/backend_table.cpp
@@ -24,10 +24,10 @@
   backend_change Change;
   Change.Subject = subjectOf(Announcement.Key.Address);
   backend_entry *Entry = findOrCreate(Change.Subject);
-  Change.ValidationErrors = Entry == nullptr;
+  Change.Rejected = Entry == nullptr;
   Change.Stale =
       Entry != nullptr && Announcement.Key.Incarnation < Entry->Announcement.Key.Incarnation;
-  if (Change.ValidationErrors || Change.Stale)
+  if (Change.Rejected || Change.Stale)
     return Change;
   if (isNew(*Entry) || Announcement.Key.Incarnation > Entry->Announcement.Key.Incarnation)
     replaceIncarnation(Change.Subject, *Entry, Announcement, Change);
@@ -58,10 +58,10 @@
   backend_change Change;
   Change.Subject = subjectOf(Record.Announcement.Key.Address);
   backend_entry *Entry = findOrCreate(Change.Subject);
-  Change.ValidationErrors = Entry == nullptr;
+  Change.Rejected = Entry == nullptr;
   Change.Stale =
       Entry != nullptr && Record.Announcement.Key.Incarnation < Entry->Announcement.Key.Incarnation;
-  if (Change.ValidationErrors || Change.Stale)
+  if (Change.Rejected || Change.Stale)
     return Change;
   if (isNew(*Entry) || Record.Announcement.Key.Incarnation > Entry->Announcement.Key.Incarnation)
     replaceIncarnation(Change.Subject, *Entry, Record.Announcement, Change);
--- a/src/membership/backend_table_base.h
+++ b/src/membership/backend_table_base.h
@@ -38,7 +38,7 @@
 /// The effect of an event on the entry of one backend server.
 struct backend_change {
   std::uint64_t Subject{0};
-  bool ValidationErrors{false}; ///< The table is full.
+  bool Rejected{false};      ///< The table is full.
   bool Stale{false};         ///< The event belongs to an incarnation that a newer one has replaced.
   bool RecordChanged{false}; ///< The record changed and has to be gossiped.
   bool LoadChanged{false};   ///< A newer load report was stored.
--- a/src/membership/host_table.cpp
+++ b/src/membership/host_table.cpp
@@ -61,7 +61,7 @@
   auto Found = Entries.find(Subject);
   if (Found == Entries.end()) {
     if (Entries.size() >= MaxHosts)
-      return merge_outcome::ValidationErrors;
+      return merge_outcome::Rejected;
     Found = Entries.emplace(Subject, host_entry{}).first;
   } else if (!newerThan(versionOf(Claim), versionOf(Found->second.Record))) {
     host_entry &Entry = Found->second;
--- a/src/membership/host_table_base.h
+++ b/src/membership/host_table_base.h
@@ -15,10 +15,10 @@
 
 /// The effect of a claim on the table.
 enum class merge_outcome : std::uint8_t {
-  Unchanged,        ///< The claim is already known or stale.
-  Confirmed,        ///< A further host suspects independently; the claim has to be gossiped.
-  Changed,          ///< The claim replaced the record.
-  ValidationErrors, ///< The table is full.
+  Unchanged, ///< The claim is already known or stale.
+  Confirmed, ///< A further host suspects independently; the claim has to be gossiped.
+  Changed,   ///< The claim replaced the record.
+  Rejected,  ///< The table is full.
 };
 
 /// What this host knows of one host.
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -62,7 +62,7 @@
     return announcement_error::TooLarge;
   Clock.recordReceipt();
   const backend_change Change = Backends.announce(Announcement, Load, eventTime());
-  if (Change.ValidationErrors)
+  if (Change.Rejected)
     return announcement_error::TableFull;
   if (Change.Stale)
     return announcement_error::OlderIncarnation;
@@ -191,7 +191,7 @@
   const backend_change Change = Backends.merge(Record, eventTime());
   if (Change.Stale)
     sendRecords({Change.Subject}, From);
-  if (!Change.ValidationErrors && !Change.Stale)
+  if (!Change.Rejected && !Change.Stale)
     publishBackendChange(Change);
 }
 
