--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -88,7 +88,7 @@
   const auto Read = readPlatformNotice("i-1", Text);
   ASSERT_TRUE(succeeded(Read)) << errorOf(Read);
   EXPECT_TRUE(valueOf(Read).Leaving);
-  EXPECT_EQ(valueOf(Read).Places, 16U);
+  EXPECT_EQ(valueOf(Read).Slots, 16U);
   EXPECT_FALSE(succeeded(readPlatformNotice("", Text)));
   for (const char *Bad :
        {"", "[]", "{}", R"({"service":"s","address":"x","zone":"z","state":"ready","sequence":1})",
