--- a/bench/decision/suspect_bench.cpp
+++ b/bench/decision/suspect_bench.cpp
@@ -2,7 +2,7 @@
 #include "suspect_bench_func.h"
 
 #include "measure_func.h"
-#include "relay/request_mark_func.h"
+#include "relay/request_fingerprint_func.h"
 #include "suspect/suspect.h"
 
 #include <boost/asio/io_context.hpp>
@@ -26,8 +26,8 @@
   explicit sample_call(std::size_t Bytes) : Call(Io, planned(), nullptr) {
     Call.Request.Method = "POST";
     Call.Request.Target = "/v1/chat/completions";
-    Call.Request.Body = std::make_shared<const held_body>(
-        held_body{std::string(Bytes, 'x'), body_share(Held, Bytes)});
+    Call.Request.Body = std::make_shared<const request_body>(
+        request_body{std::string(Bytes, 'x'), body_reservation(Held, Bytes)});
   }
   [[nodiscard]] const relayed_call &call() const { return Call; }
 
@@ -56,7 +56,7 @@
   const suspect_list List = listOf(Count);
   std::size_t Found = 0;
   const double Us = cpuOfCall(
-      Requests, [&] { Found += markIfSuspected(List, Sample.call()).has_value() ? 1 : 0; });
+      Requests, [&] { Found += fingerprintIfSuspected(List, Sample.call()).has_value() ? 1 : 0; });
   std::printf("{\"bench\":\"suspects\",\"suspects\":%zu,\"found\":%zu,\"ns_per_request\":%.1f}\n",
               Count, Found, Us * 1e3);
 }
@@ -64,8 +64,8 @@
 void measureMark(std::size_t Bytes) {
   const sample_call Sample(Bytes);
   std::uint64_t Sum = 0;
-  const double Us =
-      cpuOfCall(20, [&] { Sum += requestMark(Sample.call(), *Sample.call().Request.Body).High; });
+  const double Us = cpuOfCall(
+      20, [&] { Sum += requestFingerprint(Sample.call(), *Sample.call().Request.Body).High; });
   std::printf("{\"bench\":\"request_mark\",\"body_bytes\":%zu,\"cpu_us\":%.1f,\"sum\":%llu}\n",
               Bytes, Us, static_cast<unsigned long long>(Sum));
 }
--- a/programs/pollenstall-entry/decision_thread.cpp
+++ b/programs/pollenstall-entry/decision_thread.cpp
@@ -160,7 +160,7 @@
     Control->drainEvents(
         [this, Now](control_link_event &&Event) { takeControlEvent(std::move(Event), Now); });
   Lists.drain([this, Now](attempts_listed &&Listed) { endOrphans(Listed, Now); });
-  CrashNews.drain([this](crash_news &&News) {
+  CrashNews.drain([this](crash_update &&News) {
     std::visit([this](auto &&One) { tellOfCrash(std::forward<decltype(One)>(One)); },
                std::move(News));
   });
@@ -180,7 +180,8 @@
           [this, Now](const backends_listed &Listed) { Seam.take(Listed, Now); },
           [this](const entries_listed &Listed) { takeEntries(Listed); },
           [this, Now](const suspects_listed &Listed) {
-            Outbox.push(suspects_known{std::make_shared<const suspect_list>(Listed.Suspects, Now)});
+            Outbox.push(
+                suspects_update{std::make_shared<const suspect_list>(Listed.Suspects, Now)});
           },
           [](const control_lost &Lost) { logLoss(Lost); }},
       Event);
--- a/programs/pollenstall-entry/decision_thread_base.h
+++ b/programs/pollenstall-entry/decision_thread_base.h
@@ -57,7 +57,7 @@
   /// Filled by the relay thread with answers to list_attempts.
   [[nodiscard]] bounded_ring<attempts_listed> &attemptLists() { return Lists; }
   /// Filled by the relay thread.
-  [[nodiscard]] bounded_ring<crash_news> &crashNews() { return CrashNews; }
+  [[nodiscard]] bounded_ring<crash_update> &crashUpdates() { return CrashNews; }
   /// Emptied by the relay thread.
   [[nodiscard]] bounded_ring<relay_order> &orders() { return Orders; }
   /// Wakes the thread; for the gossip thread and the control link.
@@ -112,7 +112,7 @@
   bounded_ring<dispatch_event> Events;
   std::vector<dispatch_event> Batch; ///< Taken from the ring in this turn.
   bounded_ring<attempts_listed> Lists;
-  bounded_ring<crash_news> CrashNews;
+  bounded_ring<crash_update> CrashNews;
   bounded_ring<relay_order> Orders;
   event_outbox<relay_order> Outbox;
   bounded_ring<membership_event> *Views{nullptr};
--- a/programs/pollenstall-entry/entry.cpp
+++ b/programs/pollenstall-entry/entry.cpp
@@ -152,7 +152,7 @@
 result<done, entry_error> entry::startRelay() {
   Relay = relay_builder(Io, Decision->events())
               .attemptLists(Decision->attemptLists())
-              .crashNews(Decision->crashNews())
+              .crashUpdates(Decision->crashUpdates())
               .process(Self)
               .limits(limitsOf(Settings))
               .metrics(Registry)
--- a/src/relay/appending_body_type.h
+++ b/src/relay/appending_body_type.h
@@ -1,4 +1,4 @@
-/** @file appending_body_type.h A Beast body that appends what arrives to a string. */
+/** @file appending_body_type.h A Beast body that appends received bytes to a string. */
 #ifndef POLLENSTALL_RELAY_APPENDING_BODY_TYPE_H
 #define POLLENSTALL_RELAY_APPENDING_BODY_TYPE_H
 
@@ -12,7 +12,7 @@
 
 namespace pollenstall {
 
-/// Unlike string_body it reserves nothing: a forged Content-Length must not allocate.
+/// Reserves no memory up front, unlike string_body: a forged Content-Length must not allocate.
 struct appending_body {
   using value_type = std::string;
 
@@ -21,7 +21,7 @@
   class reader {
   public:
     template <bool IsRequest, typename Fields>
-    reader(boost::beast::http::header<IsRequest, Fields> &, value_type &Body) : Into(Body) {}
+    reader(boost::beast::http::header<IsRequest, Fields> &, value_type &Body) : Target(Body) {}
 
     void init(const boost::optional<std::uint64_t> &, boost::system::error_code &Code) {
       Code = {};
@@ -30,20 +30,20 @@
     template <typename Buffers>
     std::size_t put(const Buffers &Parts, boost::system::error_code &Code) {
       Code = {};
-      std::size_t Taken = 0;
+      std::size_t Appended = 0;
       for (auto At = boost::asio::buffer_sequence_begin(Parts);
            At != boost::asio::buffer_sequence_end(Parts); ++At) {
         const boost::asio::const_buffer Part(*At);
-        Into.append(static_cast<const char *>(Part.data()), Part.size());
-        Taken += Part.size();
+        Target.append(static_cast<const char *>(Part.data()), Part.size());
+        Appended += Part.size();
       }
-      return Taken;
+      return Appended;
     }
 
     void finish(boost::system::error_code &Code) { Code = {}; }
 
   private:
-    value_type &Into;
+    value_type &Target;
   };
 };
 
--- a/src/relay/async_signal_base.h
+++ b/src/relay/async_signal_base.h
@@ -1,5 +1,5 @@
-/** @file async_signal_base.h Lets a coroutine wait until another one of the same thread has changed
- * something. */
+/** @file async_signal_base.h Lets a coroutine wait for a state change made by another coroutine of
+ * the same thread. */
 #ifndef POLLENSTALL_RELAY_ASYNC_SIGNAL_BASE_H
 #define POLLENSTALL_RELAY_ASYNC_SIGNAL_BASE_H
 
@@ -10,7 +10,7 @@
 
 namespace pollenstall {
 
-/// Wakes all waiters; they look again at what they wait for.
+/// Wakes all waiters. Each waiter checks its condition again.
 class async_signal {
 public:
   explicit async_signal(boost::asio::io_context &Io)
@@ -19,7 +19,7 @@
   void notify() { Timer.cancel(); }
 
   boost::asio::awaitable<void> wait() {
-    boost::system::error_code Code; // Always "aborted": the timer never runs out.
+    boost::system::error_code Code; // Always "aborted": the timer never expires.
     co_await Timer.async_wait(boost::asio::redirect_error(boost::asio::use_awaitable, Code));
   }
 
--- a/src/relay/attempt_head.cpp
+++ b/src/relay/attempt_head.cpp
@@ -1,4 +1,4 @@
-/** @file attempt_head.cpp Request heads towards backend servers, as docs/BACKEND-PROTOCOL.md says.
+/** @file attempt_head.cpp Request heads for backend servers, as docs/BACKEND-PROTOCOL.md specifies.
  */
 #include "relay/attempt_head_func.h"
 
@@ -48,7 +48,7 @@
   return Text.find_first_not_of('0') == std::string_view::npos;
 }
 
-/// "00-<32 hex>-<16 hex>-<2 hex>", neither id all zero.
+/// Checks the form "00-<32 hex>-<16 hex>-<2 hex>"; neither id may be all zero.
 bool isTraceParent(std::string_view Text) {
   constexpr std::size_t Length = 55;
   constexpr std::size_t TraceAt = 3;
@@ -68,11 +68,11 @@
 } // namespace
 
 std::string attemptHead(const relayed_call &Call, const start_attempt &Order, mono_time Now) {
-  const auto Left =
+  const auto Remaining =
       std::chrono::duration_cast<std::chrono::milliseconds>(Call.Facts.Deadline - Now);
   const forwarded_request &Request = Call.Request;
   std::string Head = startLine(Request.Method, Request.Target);
-  // A plain service may serve several sites; an engine is addressed by itself.
+  // A plain service may serve several sites; an engine is addressed by its own address.
   addLine(Head, "Host",
           Call.Kind == service_kind::Plain ? Request.Host : Order.Backend.Address.str());
   for (const header_line &Line : Request.Headers)
@@ -80,7 +80,7 @@
   addLine(Head, "X-Pollenstall-Attempt", toText(Order.Attempt));
   addLine(Head, "X-Pollenstall-Priority", std::to_string(Order.Priority));
   addLine(Head, "X-Pollenstall-Deadline-Ms",
-          std::to_string(std::max<std::int64_t>(Left.count(), 1)));
+          std::to_string(std::max<std::int64_t>(Remaining.count(), 1)));
   addLine(Head, "X-Pollenstall-Account", Call.Facts.Account.str());
   addLine(Head, "traceparent", Request.TraceParent);
   const std::size_t Length = Request.Body ? Request.Body->Text.size() : 0;
@@ -104,8 +104,8 @@
   return Text + std::string(LineEnd) + Call.Body;
 }
 
-std::string headedAttemptHead(const relayed_call &Call, const start_attempt &Order,
-                              const call_interface &Interface, mono_time Now) {
+std::string headerRoutedAttemptHead(const relayed_call &Call, const start_attempt &Order,
+                                    const call_interface &Interface, mono_time Now) {
   const forwarded_request &Request = Call.Request;
   attempt_facts Facts;
   Facts.TimeLeft =
@@ -115,9 +115,9 @@
   Facts.Account = Call.Facts.Account;
   Facts.LastEvent = Call.LastEvent;
   for (const backend_key &Helper : Order.Helpers) {
-    const auto Hold =
-        std::find_if(Order.Holds.begin(), Order.Holds.end(),
-                     [&Helper](const memory_hold &One) { return One.Backend == Helper; });
+    const auto Hold = std::find_if(
+        Order.Holds.begin(), Order.Holds.end(),
+        [&Helper](const memory_hold &Candidate) { return Candidate.Backend == Helper; });
     Facts.Helpers.push_back({Helper.Address, Hold == Order.Holds.end()
                                                  ? std::string()
                                                  : holdName(Order.Attempt, Helper)});
@@ -162,11 +162,11 @@
   return Head;
 }
 
-std::string traceParentFrom(std::string_view Given, random_source &Random) {
-  if (isTraceParent(Given))
-    return std::string(Given);
+std::string traceParentFrom(std::string_view Header, random_source &Random) {
+  if (isTraceParent(Header))
+    return std::string(Header);
   constexpr std::size_t Digits = 16;
-  // A random id is all zero once in 2^64; setting a bit makes it never.
+  // A random id is all zero with probability 2^-64; setting one bit excludes that.
   const std::string Trace = hexText(Random() | 1U, Digits) + hexText(Random(), Digits);
   return "00-" + Trace + "-" + hexText(Random() | 1U, Digits) + "-01";
 }
--- a/src/relay/attempt_head_func.h
+++ b/src/relay/attempt_head_func.h
@@ -1,4 +1,4 @@
-/** @file attempt_head_func.h The heads of requests to backend servers. */
+/** @file attempt_head_func.h Builds the request heads sent to backend servers. */
 #ifndef POLLENSTALL_RELAY_ATTEMPT_HEAD_FUNC_H
 #define POLLENSTALL_RELAY_ATTEMPT_HEAD_FUNC_H
 
@@ -9,30 +9,31 @@
 
 namespace pollenstall {
 
-/// @return The head of an attempt, up to its blank line; the body follows as it came.
+/// Returns the request head of an attempt up to its blank line; the body follows unchanged.
 std::string attemptHead(const relayed_call &Call, const start_attempt &Order, mono_time Now);
 
-/// @return The request for the events behind the last one that the caller has.
+/// Returns the request for the events after the last one that the caller has received.
 std::string resumeHead(const relayed_call &Call, const resume_attempt &Order);
 
-/// @return The request that an attempt be ended.
+/// Returns the request that cancels an attempt.
 std::string cancelHead(const cancel_attempt &Order);
 
-/// @return The request for the attempts that an engine holds.
+/// Returns the request that lists the attempts an engine holds.
 std::string listHead(const backend_key &Backend);
 
-/// @return The caller's traceparent where it has the published form, otherwise a new one.
-std::string traceParentFrom(std::string_view Given, random_source &Random);
+/// Returns the caller's traceparent if it is well formed, otherwise a new one.
+std::string traceParentFrom(std::string_view Header, random_source &Random);
 
-/// @return The name under which memory is set aside for an attempt; no two attempts share one.
+/// Returns the name of an attempt's memory hold at an engine; it is unique per attempt and engine.
 std::string holdName(const attempt_id &Attempt, const backend_key &Backend);
 
-/// @return The whole request of a small call.
+/// Returns the whole request of a small backend call, head and body.
 std::string backendCallText(const backend_call &Call, const backend_key &Backend);
 
-/// @return The request of a call of a declared route; behind its last event where it has begun.
-std::string headedAttemptHead(const relayed_call &Call, const start_attempt &Order,
-                              const call_interface &Interface, mono_time Now);
+/// Returns the request of a call of a declared route. If its stream has started, the request asks
+/// for the events after the last relayed one.
+std::string headerRoutedAttemptHead(const relayed_call &Call, const start_attempt &Order,
+                                    const call_interface &Interface, mono_time Now);
 
 } // namespace pollenstall
 
--- a/src/relay/attempt_list.cpp
+++ b/src/relay/attempt_list.cpp
@@ -1,8 +1,8 @@
-/** @file attempt_list.cpp GET /v1/attempts. */
+/** @file attempt_list.cpp Reads GET /v1/attempts. */
 #include "relay/attempt_list_func.h"
 
 #include "relay/attempt_head_func.h"
-#include "relay/short_call_func.h"
+#include "relay/unary_call_func.h"
 
 #include <boost/json.hpp>
 
@@ -14,8 +14,8 @@
 
 constexpr unsigned Ok = 200;
 
-std::optional<attempt_id> readItem(const json::value &Item) {
-  const json::object *Object = Item.if_object();
+std::optional<attempt_id> parseAttempt(const json::value &Element) {
+  const json::object *Object = Element.if_object();
   const json::value *Name = Object ? Object->if_contains("attempt") : nullptr;
   const json::value *State = Object ? Object->if_contains("state") : nullptr;
   if (!Name || !Name->is_string() || (State && State->is_string() && *State == "finished"))
@@ -25,7 +25,7 @@
 
 } // namespace
 
-std::vector<attempt_id> attemptsIn(std::string_view Body) {
+std::vector<attempt_id> parseAttempts(std::string_view Body) {
   std::vector<attempt_id> Attempts;
   json::error_code Code;
   const json::value Parsed = json::parse(json::string_view(Body.data(), Body.size()), Code);
@@ -33,18 +33,18 @@
       !Code && Parsed.is_object() ? Parsed.get_object().if_contains("attempts") : nullptr;
   if (!List || !List->is_array())
     return Attempts;
-  for (const json::value &Item : List->get_array())
-    if (auto Attempt = readItem(Item))
+  for (const json::value &Element : List->get_array())
+    if (auto Attempt = parseAttempt(Element))
       Attempts.push_back(std::move(*Attempt));
   return Attempts;
 }
 
 boost::asio::awaitable<std::optional<std::vector<attempt_id>>>
-listAttempts(backend_links &Links, const relay_limits &Limits, backend_key Backend) {
-  const auto Answer = co_await callShortly(Links, Limits, Backend, listHead(Backend));
+listAttempts(backend_connection_pool &Pool, const relay_limits &Limits, backend_key Backend) {
+  const auto Answer = co_await unaryCall(Pool, Limits, Backend, listHead(Backend));
   if (!Answer || Answer->Status != Ok)
     co_return std::nullopt;
-  co_return attemptsIn(Answer->Body);
+  co_return parseAttempts(Answer->Body);
 }
 
 } // namespace pollenstall
--- a/src/relay/attempt_list_func.h
+++ b/src/relay/attempt_list_func.h
@@ -1,8 +1,8 @@
-/** @file attempt_list_func.h Asks an engine which attempts it holds. */
+/** @file attempt_list_func.h Lists the attempts that an engine holds. */
 #ifndef POLLENSTALL_RELAY_ATTEMPT_LIST_FUNC_H
 #define POLLENSTALL_RELAY_ATTEMPT_LIST_FUNC_H
 
-#include "relay/backend_links_base.h"
+#include "relay/backend_connection_pool_base.h"
 
 #include <boost/asio/awaitable.hpp>
 
@@ -12,13 +12,13 @@
 
 namespace pollenstall {
 
-/// @return The attempts in the body of GET /v1/attempts that still hold memory; what has another
-/// form is left out.
-std::vector<attempt_id> attemptsIn(std::string_view Body);
+/// Returns the attempts in the body of GET /v1/attempts that still hold memory. Malformed elements
+/// are skipped.
+std::vector<attempt_id> parseAttempts(std::string_view Body);
 
-/// @return The attempts, or nothing where the engine did not answer.
+/// Returns the attempts, or nothing if the engine did not answer.
 boost::asio::awaitable<std::optional<std::vector<attempt_id>>>
-listAttempts(backend_links &Links, const relay_limits &Limits, backend_key Backend);
+listAttempts(backend_connection_pool &Pool, const relay_limits &Limits, backend_key Backend);
 
 } // namespace pollenstall
 
--- a/src/relay/backend_exchange.cpp
+++ b/src/relay/backend_exchange.cpp
@@ -1,9 +1,10 @@
-/** @file backend_exchange.cpp Connect, send, judge the head, end. */
+/** @file backend_exchange.cpp Connects, sends the request, checks the head and finishes the
+ * exchange. */
 #include "relay/backend_exchange_base.h"
 
 #include "relay/attempt_head_func.h"
 #include "relay/call_error_func.h"
-#include "relay/request_mark_func.h"
+#include "relay/request_fingerprint_func.h"
 #include "relay/rethrow_func.h"
 
 #include <boost/asio/co_spawn.hpp>
@@ -31,8 +32,8 @@
 constexpr std::string_view AttemptHeader = "X-Pollenstall-Attempt";
 constexpr std::string_view StartedHeader = "X-Pollenstall-Started";
 
-/// @return How long a server that says "timeout=SECONDS" keeps an idle connection, less a margin
-/// for the way; nothing where it does not say.
+/// Returns the idle timeout from "timeout=SECONDS", reduced by a margin for network latency;
+/// nothing if the server sent none.
 std::optional<std::chrono::milliseconds> idleLimitOf(boost::beast::string_view KeepAlive) {
   constexpr std::string_view Key = "timeout=";
   constexpr std::chrono::milliseconds Margin{500};
@@ -41,8 +42,9 @@
   if (At == std::string_view::npos)
     return std::nullopt;
   std::int64_t Seconds = 0;
-  const std::string_view Number = Text.substr(At + Key.size());
-  const auto Parsed = std::from_chars(Number.data(), Number.data() + Number.size(), Seconds);
+  const std::string_view SecondsText = Text.substr(At + Key.size());
+  const auto Parsed =
+      std::from_chars(SecondsText.data(), SecondsText.data() + SecondsText.size(), Seconds);
   if (Parsed.ec != std::errc{} || Seconds < 0)
     return std::nullopt;
   return std::max(std::chrono::milliseconds(0),
@@ -55,55 +57,56 @@
 
 void backend_exchange::start() {
   asio::co_spawn(
-      Context.Io, [Self = shared_from_this()] { return Self->run(errand::Start); }, rethrow);
+      Context.Io, [Self = shared_from_this()] { return Self->run(exchange_mode::Start); }, rethrow);
 }
 
 void backend_exchange::resume() {
   asio::co_spawn(
-      Context.Io, [Self = shared_from_this()] { return Self->run(errand::Resume); }, rethrow);
+      Context.Io, [Self = shared_from_this()] { return Self->run(exchange_mode::Resume); },
+      rethrow);
 }
 
 void backend_exchange::abandon() {
   Abandoned = true;
   if (Holds)
     Holds->release();
-  if (Link)
-    Link->abort();
+  if (Connection)
+    Connection->abort();
 }
 
-asio::awaitable<void> backend_exchange::run(errand Errand) {
-  const exchange_end End = co_await perform(Errand);
+asio::awaitable<void> backend_exchange::run(exchange_mode Mode) {
+  const exchange_end End = co_await perform(Mode);
   if (Call->Relaying) {
     Call->Relaying = false;
     Call->Changed.notify();
   }
-  noteProvedNotRun(End);
-  noteForSuspects(End);
+  uncountIfNotRun(End);
+  reportForSuspects(End);
   if (!Abandoned)
     report(End);
   if (!End.Failure && !Abandoned)
-    co_await returnLink();
-  if (Link)
-    Link->abort();
+    co_await returnConnection();
+  if (Connection)
+    Connection->abort();
   if (Holds)
     Holds->release();
-  Ended(*this);
+  OnEnd(*this);
 }
 
-void backend_exchange::noteProvedNotRun(const exchange_end &End) {
+void backend_exchange::uncountIfNotRun(const exchange_end &End) {
   if (Sent && End.Failure && provesNotRun(*End.Failure) && Call->SentAttempts > 0)
     --Call->SentAttempts;
 }
 
-void backend_exchange::noteForSuspects(const exchange_end &End) {
+void backend_exchange::reportForSuspects(const exchange_end &End) {
   const bool Broke =
       End.Failure == attempt_failure::BrokenSent || End.Failure == attempt_failure::BrokenMidway;
-  if (Broke && Link && !Abandoned && !Link->expired())
-    return Context.Crashes.noteBroken(Order.Backend, Call);
+  if (Broke && Connection && !Abandoned && !Connection->expired())
+    return Context.Crashes.onBrokenConnection(Order.Backend, Call);
   if (End.Failure || !Context.AtSuspectCleared)
     return;
-  if (const auto Mark = markIfSuspected(*Context.Suspects, *Call))
-    Context.AtSuspectCleared({*Mark});
+  if (const auto Fingerprint = fingerprintIfSuspected(*Context.Suspects, *Call))
+    Context.AtSuspectCleared({*Fingerprint});
 }
 
 void backend_exchange::report(const exchange_end &End) {
@@ -120,66 +123,70 @@
   Context.Outbox.push(attempt_failed{Order.Attempt, *End.Failure, AtFault});
 }
 
-asio::awaitable<exchange_end> backend_exchange::perform(errand Errand) {
-  // Bytes of an older attempt at the caller forbid this one's; it is proved not to have run.
-  if (Errand == errand::Start && !Call->mayRelay(Order.Attempt.Ordinal))
+asio::awaitable<exchange_end> backend_exchange::perform(exchange_mode Mode) {
+  // If the caller has bytes of an older attempt, this attempt must not relay any; it is proved not
+  // to have run.
+  if (Mode == exchange_mode::Start && !Call->mayRelay(Order.Attempt.Ordinal))
     co_return exchange_end{attempt_failure::NotWanted, {}};
-  if (!Order.Holds.empty() && Errand == errand::Start) {
-    // The holds outlive this exchange while they are given back, and ask no more then.
+  if (!Order.Holds.empty() && Mode == exchange_mode::Start) {
+    // The holds outlive this exchange while they are released; they no longer call this function
+    // then.
     Holds = std::make_shared<memory_holds>(Context, Order.Attempt, Order.Holds,
                                            [this] { return isStillWanted(); });
-    const bool Held = co_await Holds->take();
+    const bool Held = co_await Holds->acquire();
     if (!Held && isStillWanted())
       co_return exchange_end{attempt_failure::Declined, {}};
   }
   if (!isStillWanted())
     co_return exchange_end{attempt_failure::NotWanted, {}};
-  const link_age Age = Call->Facts.Idempotent ? link_age::Any : link_age::Fresh;
-  Link = co_await Context.Links.open(Order.Backend, Age);
-  if (!Link)
+  const connection_reuse Reuse =
+      Call->Facts.Idempotent ? connection_reuse::Allowed : connection_reuse::NewOnly;
+  Connection = co_await Context.Pool.open(Order.Backend, Reuse);
+  if (!Connection)
     co_return exchange_end{attempt_failure::NotConnected, {}};
   if (!isStillWanted())
     co_return exchange_end{attempt_failure::NotWanted, {}};
-  Link->expireAt(Call->Facts.Deadline + DeadlineGrace);
-  if (const auto Failure = co_await send(Errand))
+  Connection->expireAt(Call->Facts.Deadline + DeadlineGrace);
+  if (const auto Failure = co_await send(Mode))
     co_return exchange_end{Failure, {}};
   if (const auto Failure = co_await readHead())
     co_return exchange_end{Failure, {}};
-  if (const auto Failure = judgeHead(Errand))
+  if (const auto Failure = checkAnswerHead(Mode))
     co_return exchange_end{Failure, {}};
   const bool Events = Call->Kind == service_kind::Model && isEventStream();
-  const bool OpenEvents = Call->Headed && isEventStream();
-  // Only one attempt may pass its answer on, and from here on it is this one.
+  const bool OpenEvents = Call->HeaderRouted && isEventStream();
+  // Only one attempt may relay its answer; from here on it is this one.
   if (!Call->mayRelay(Order.Attempt.Ordinal))
     co_return exchange_end{attempt_failure::BrokenSent, {}};
   if (OpenEvents)
     co_return co_await relayOpenEvents();
   if (Events)
     co_return co_await relayEvents();
-  co_return co_await relayWhole();
+  co_return co_await relayWholeAnswer();
 }
 
 bool backend_exchange::isBlocked() const {
-  const auto Mark = markIfSuspected(*Context.Suspects, *Call);
-  return Mark && Context.Suspects->blockedUntil(*Mark, boot_clock::now());
+  const auto Fingerprint = fingerprintIfSuspected(*Context.Suspects, *Call);
+  return Fingerprint && Context.Suspects->blockedUntil(*Fingerprint, boot_clock::now());
 }
 
 bool backend_exchange::isStillWanted() {
-  // Its watcher runs when this thread comes to it; the close may have arrived already.
+  // The close may have arrived although the session's watcher has not run yet.
   if (Call->Caller->socket().peerClosed())
     Context.noteCallerGone(*Call);
   return !Abandoned && !Call->Finish && !Call->CallerGone &&
          boot_clock::now() < Call->Facts.Deadline && !isBlocked();
 }
 
-asio::awaitable<std::optional<attempt_failure>> backend_exchange::send(errand Errand) {
-  const std::shared_ptr<const held_body> Body = Call->Request.Body;
-  const bool Start = Errand == errand::Start;
+asio::awaitable<std::optional<attempt_failure>> backend_exchange::send(exchange_mode Mode) {
+  const std::shared_ptr<const request_body> Body = Call->Request.Body;
+  const bool Start = Mode == exchange_mode::Start;
   const std::string Head =
-      Call->Headed ? headedAttemptHead(*Call, Order, Context.Interface, boot_clock::now())
-      : Start      ? attemptHead(*Call, Order, boot_clock::now())
-                   : resumeHead(*Call, resume_attempt{Order.Attempt, Order.Backend});
-  // Told before the first byte is handed to the kernel: from here on "not run" has to be proved.
+      Call->HeaderRouted
+          ? headerRoutedAttemptHead(*Call, Order, Context.Interface, boot_clock::now())
+      : Start ? attemptHead(*Call, Order, boot_clock::now())
+              : resumeHead(*Call, resume_attempt{Order.Attempt, Order.Backend});
+  // Report before the first byte is passed to the kernel: from here on "not run" must be proved.
   Context.Outbox.push(attempt_sending{Order.Attempt});
   if (Start)
     ++Call->SentAttempts;
@@ -189,16 +196,16 @@
                                           : asio::const_buffer();
   const std::array Buffers{asio::const_buffer(Head.data(), Head.size()), BodyPart};
   Call->LastSent = boot_clock::now();
-  const std::size_t Taken = co_await Link->writeAll(Buffers);
-  if (Taken == 0)
+  const std::size_t Written = co_await Connection->writeAll(Buffers);
+  if (Written == 0)
     co_return attempt_failure::BrokenUnsent;
-  SentAll = Taken == asio::buffer_size(Buffers);
-  // A server may decline and close before it has read everything: its answer is still looked for.
+  SentAll = Written == asio::buffer_size(Buffers);
+  // A server may decline and close before it has read everything, so the answer is still read.
   co_return std::nullopt;
 }
 
 asio::awaitable<bool> backend_exchange::readMore() {
-  const std::string_view Read = co_await Link->readSome();
+  const std::string_view Read = co_await Connection->readSome();
   co_return !Abandoned && !Read.empty() && Feed->feed(Read);
 }
 
@@ -207,8 +214,8 @@
     if (Call->Request.Method == "HEAD")
       Feed->message().skip(true);
     while (!Feed->headDone()) {
-      const std::string_view Read = co_await Link->readSome();
-      if (Abandoned || (Read.empty() && !Link->expired()))
+      const std::string_view Read = co_await Connection->readSome();
+      if (Abandoned || (Read.empty() && !Connection->expired()))
         co_return attempt_failure::BrokenSent;
       if (Read.empty())
         co_return attempt_failure::TimedOut;
@@ -218,19 +225,20 @@
     if (Feed->message().get().result_int() >= FirstFinalStatus)
       co_return std::nullopt;
     // An interim answer (1xx); the final one follows on the same connection.
-    const std::string Left = Feed->takeLeft();
+    const std::string Remainder = Feed->takeRemainder();
     Feed.emplace(Context.Limits.HeaderBytes);
-    if (!Feed->feed(Left))
+    if (!Feed->feed(Remainder))
       co_return attempt_failure::BadAnswer;
   }
 }
 
 bool backend_exchange::namesOtherAttempt() {
   const auto &Message = Feed->message().get();
-  const auto Named = Message[beastView(AttemptHeader)];
-  if (!Named.empty())
-    return std::string_view(Named.data(), Named.size()) != toText(Order.Attempt);
-  // Engines echo the attempt on every answer with content; a plain service need not know of it.
+  const auto NamedAttempt = Message[beastView(AttemptHeader)];
+  if (!NamedAttempt.empty())
+    return std::string_view(NamedAttempt.data(), NamedAttempt.size()) != toText(Order.Attempt);
+  // Engines echo the attempt in every successful answer; a plain service need not know about
+  // attempts.
   const unsigned Status = Message.result_int();
   return Call->Kind == service_kind::Model && Status >= Ok && Status < FirstRedirect;
 }
@@ -243,18 +251,18 @@
 bool backend_exchange::isErrorStatus(unsigned Status) const {
   if (Call->Kind == service_kind::Model)
     return Status >= FirstServerError;
-  // A plain service's own errors are its answers; these three come from what stands before it.
+  // A plain service's own errors are valid answers; these three come from a proxy in front of it.
   return Status == BadGateway || Status == Unavailable || Status == GatewayTimeout;
 }
 
-std::optional<attempt_failure> backend_exchange::judgeHead(errand Errand) {
-  if (Call->Headed)
-    return judgeHeadedAnswer();
+std::optional<attempt_failure> backend_exchange::checkAnswerHead(exchange_mode Mode) {
+  if (Call->HeaderRouted)
+    return checkHeaderRoutedAnswer();
   const auto &Message = Feed->message().get();
   const unsigned Status = Message.result_int();
   if (namesOtherAttempt())
     return attempt_failure::BadAnswer;
-  if (Errand == errand::Resume)
+  if (Mode == exchange_mode::Resume)
     return Status == Ok && isEventStream()
                ? std::nullopt
                : std::optional<attempt_failure>(attempt_failure::BrokenMidway);
@@ -266,7 +274,7 @@
   return std::nullopt;
 }
 
-std::optional<attempt_failure> backend_exchange::judgeHeadedAnswer() {
+std::optional<attempt_failure> backend_exchange::checkHeaderRoutedAnswer() {
   const auto &Message = Feed->message().get();
   const unsigned Status = Message.result_int();
   const answer_facts Facts = Context.Interface.ReadAnswer(Message, Call->SendName);
@@ -275,30 +283,31 @@
   AtFault = Facts.AtFault;
   if (Facts.NotRun)
     return attempt_failure::Declined;
-  if (Call->goesOn())
+  if (Call->canContinueStream())
     return Status == Ok && isEventStream()
                ? std::nullopt
                : std::optional<attempt_failure>(attempt_failure::BrokenMidway);
-  // A failure that no other attempt may better is the answer; it is passed on as it is.
+  // If no other attempt may follow, an error answer is the final answer and is relayed unchanged.
   if (Status >= FirstServerError && Call->Facts.Idempotent && Order.MayRetry)
     return attempt_failure::ErrorAnswer;
   return std::nullopt;
 }
 
-asio::awaitable<void> backend_exchange::returnLink() {
+asio::awaitable<void> backend_exchange::returnConnection() {
   constexpr std::chrono::seconds TrailerLimit{1};
-  // What of the request is still due would be read as the next one's.
-  if (!SentAll || Unframed)
+  // Unsent bytes of this request would be read as part of the next one.
+  if (!SentAll || EndsWithConnection)
     co_return;
-  Link->expireAt(boot_clock::now() + TrailerLimit);
-  // Behind "[DONE]" the last chunk may still be under way.
+  Connection->expireAt(boot_clock::now() + TrailerLimit);
+  // After "[DONE]" the last chunk may still be in flight.
   while (!Feed->done() && Feed->body().empty())
     if (!co_await readMore())
       co_return;
-  if (!Feed->done() || !Feed->body().empty() || Feed->hasLeft() || !Feed->message().keep_alive())
+  if (!Feed->done() || !Feed->body().empty() || Feed->hasRemainder() ||
+      !Feed->message().keep_alive())
     co_return;
-  Context.Links.giveBack(Order.Backend, std::move(Link),
-                         idleLimitOf(Feed->message().get()[http::field::keep_alive]));
+  Context.Pool.returnToPool(Order.Backend, std::move(Connection),
+                            idleLimitOf(Feed->message().get()[http::field::keep_alive]));
 }
 
 } // namespace pollenstall
--- a/src/relay/backend_exchange_base.h
+++ b/src/relay/backend_exchange_base.h
@@ -18,93 +18,94 @@
 
 namespace pollenstall {
 
-/// How an exchange ended, as far as the decision thread must know.
+/// The result of an exchange, as reported to the decision thread.
 struct exchange_end {
-  std::optional<attempt_failure> Failure; ///< Nothing where the answer is whole.
+  std::optional<attempt_failure> Failure; ///< Empty if the answer is complete.
   engine_usage Usage;
 };
 
 /**
- * Sends a request, checks the answer and relays it, all in one coroutine: nothing is handed to
- * another thread between reading an event and writing it to the caller.
+ * Sends a request, checks the answer and relays it, all in one coroutine: no other thread is
+ * involved between reading an event and writing it to the caller.
  *
- * It reads from the backend server only after the caller has taken the last bytes, so that a slow
- * caller fills no memory here.
+ * It reads from the backend server only after the caller has accepted the previous bytes, so that a
+ * slow caller does not fill memory here.
  */
 class backend_exchange : public std::enable_shared_from_this<backend_exchange> {
 public:
-  /// An exchange outlives the request's deadline by this at most; the decision thread ends it
-  /// before.
+  /// Upper bound on how long an exchange outlives the request's deadline; the decision thread
+  /// normally ends it earlier.
   static constexpr std::chrono::seconds DeadlineGrace{5};
 
-  /// Called once at the end, also of an exchange that was abandoned.
+  /// Called once at the end, for abandoned exchanges too.
   using end_hook = std::function<void(const backend_exchange &)>;
 
-  backend_exchange(relay_context &Shared, std::shared_ptr<relayed_call> For, start_attempt Wanted,
-                   end_hook AtEnd)
-      : Context(Shared), Call(std::move(For)), Order(std::move(Wanted)), Ended(std::move(AtEnd)) {
-    Feed.emplace(Shared.Limits.HeaderBytes);
+  backend_exchange(relay_context &SharedContext, std::shared_ptr<relayed_call> CallState,
+                   start_attempt AttemptOrder, end_hook EndHook)
+      : Context(SharedContext), Call(std::move(CallState)), Order(std::move(AttemptOrder)),
+        OnEnd(std::move(EndHook)) {
+    Feed.emplace(SharedContext.Limits.HeaderBytes);
   }
 
-  /// Sends the request from its start.
+  /// Sends the full request.
   void start();
-  /// Asks for the events behind the last one that the caller has.
+  /// Requests the events after the last one that the caller has received.
   void resume();
-  /// Closes the connection; no byte of the answer passes any more, and no event is told.
+  /// Closes the connection. No more bytes of the answer are relayed and no event is reported.
   void abandon();
   [[nodiscard]] const attempt_id &attempt() const { return Order.Attempt; }
 
 private:
-  enum class errand : std::uint8_t { Start, Resume };
+  enum class exchange_mode : std::uint8_t { Start, Resume };
 
-  boost::asio::awaitable<void> run(errand Errand);
-  boost::asio::awaitable<exchange_end> perform(errand Errand);
-  /// @return Whether anybody waits for the answer at this very moment. An engine cannot tell, and
-  /// would work for nobody.
+  boost::asio::awaitable<void> run(exchange_mode Mode);
+  boost::asio::awaitable<exchange_end> perform(exchange_mode Mode);
+  /// Returns whether a caller is still waiting for the answer. An engine cannot tell and would work
+  /// for nobody.
   bool isStillWanted();
-  boost::asio::awaitable<std::optional<attempt_failure>> send(errand Errand);
+  boost::asio::awaitable<std::optional<attempt_failure>> send(exchange_mode Mode);
   boost::asio::awaitable<std::optional<attempt_failure>> readHead();
   boost::asio::awaitable<exchange_end> relayEvents();
   boost::asio::awaitable<exchange_end> relayOpenEvents();
-  boost::asio::awaitable<bool> passEvents(std::string_view Ready, std::uint64_t Events);
-  boost::asio::awaitable<exchange_end> relayWhole();
-  bool feedReady();
-  void watchSilence();
-  [[nodiscard]] bool heldUntilWhole();
+  boost::asio::awaitable<bool> forwardEvents(std::string_view Ready, std::uint64_t Events);
+  boost::asio::awaitable<exchange_end> relayWholeAnswer();
+  bool feedAvailable();
+  void armIdleTimeout();
+  [[nodiscard]] bool isBufferedAnswer();
   boost::asio::awaitable<bool> startAnswer(answer_framing Framing, std::string_view First);
   boost::asio::awaitable<bool> readMore();
-  boost::asio::awaitable<void> returnLink();
+  boost::asio::awaitable<void> returnConnection();
 
-  std::optional<attempt_failure> judgeHead(errand Errand);
-  std::optional<attempt_failure> judgeHeadedAnswer();
+  std::optional<attempt_failure> checkAnswerHead(exchange_mode Mode);
+  std::optional<attempt_failure> checkHeaderRoutedAnswer();
   [[nodiscard]] bool namesOtherAttempt();
   [[nodiscard]] bool isEventStream();
   [[nodiscard]] bool isErrorStatus(unsigned Status) const;
-  [[nodiscard]] answer_head answerHead(answer_framing Framing);
-  [[nodiscard]] std::optional<answer_framing> framingOfWhole();
+  [[nodiscard]] answer_head makeAnswerHead(answer_framing Framing);
+  [[nodiscard]] std::optional<answer_framing> wholeAnswerFraming();
   void noteRelayed(std::uint64_t Events, std::size_t Bytes);
   void flushProgress();
-  void noteProvedNotRun(const exchange_end &End);
-  void noteForSuspects(const exchange_end &End);
-  /// @return Whether the request was found to crash servers since it was admitted.
+  void uncountIfNotRun(const exchange_end &End);
+  void reportForSuspects(const exchange_end &End);
+  /// Returns whether the request has been blocked for crashing servers since it was admitted.
   [[nodiscard]] bool isBlocked() const;
   void report(const exchange_end &End);
 
   relay_context &Context;
-  std::shared_ptr<memory_holds> Holds; ///< Null where none is needed.
+  std::shared_ptr<memory_holds> Holds; ///< Null if the attempt needs no memory holds.
   std::shared_ptr<relayed_call> Call;
   start_attempt Order;
-  end_hook Ended;
-  backend_link Link;
-  std::optional<message_feed<false>> Feed; ///< Made anew behind an interim answer.
+  end_hook OnEnd;
+  backend_connection Connection;
+  std::optional<message_feed<false>> Feed; ///< Replaced after each interim (1xx) answer.
   event_scanner Scanner;
   std::uint64_t UnreportedEvents{0};
   bool Answering{false};
   bool Abandoned{false};
-  bool Sent{false};        ///< The first byte went out.
-  bool SentAll{false};     ///< So did the last one.
-  backend_address AtFault; ///< Named by the server as the cause of a refusal.
-  bool Unframed{false};    ///< The answer ends with its connection.
+  bool Sent{false};               ///< The first byte was sent.
+  bool SentAll{false};            ///< The last byte was sent.
+  backend_address AtFault;        ///< The server that a refusal names as its cause.
+  bool EndsWithConnection{false}; ///< The end of the connection marks the end of the answer.
 };
 
 } // namespace pollenstall
--- a/src/relay/backend_exchange_relay.cpp
+++ b/src/relay/backend_exchange_relay.cpp
@@ -1,4 +1,4 @@
-/** @file backend_exchange_relay.cpp Passes an answer on to the caller. */
+/** @file backend_exchange_relay.cpp Relays an answer to the caller. */
 #include "relay/attempt_head_func.h"
 #include "relay/backend_exchange_base.h"
 
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// Progress is told to the decision thread once in so many events, not for each.
+/// Progress is reported to the decision thread once per this many events.
 constexpr std::uint64_t EventsPerReport = 16;
-/// The counts stand at the end of a whole answer.
+/// The token counts are at the end of a complete answer.
 constexpr std::size_t UsageTailBytes = 2048;
 
 constexpr unsigned NoContent = 204;
@@ -25,11 +25,11 @@
 
 } // namespace
 
-answer_head backend_exchange::answerHead(answer_framing Framing) {
+answer_head backend_exchange::makeAnswerHead(answer_framing Framing) {
   auto &Message = Feed->message();
   answer_head Head;
   Head.Status = Message.get().result_int();
-  if (Call->Headed) {
+  if (Call->HeaderRouted) {
     Head.Headers = endToEndHeaders(Message.get(), [](std::string_view) { return false; });
   } else {
     Head.Headers = forwardedAnswerHeaders(Message.get());
@@ -39,8 +39,9 @@
   Head.Framing = Framing;
   if (const auto Length = Message.content_length())
     Head.Length = *Length;
-  else if (const auto Named = Message.get()[http::field::content_length]; !Named.empty())
-    Head.Length = std::strtoull(std::string(Named).c_str(), nullptr, 10);
+  else if (const auto HeaderValue = Message.get()[http::field::content_length];
+           !HeaderValue.empty())
+    Head.Length = std::strtoull(std::string(HeaderValue).c_str(), nullptr, 10);
   return Head;
 }
 
@@ -50,10 +51,10 @@
   Call->Stage = Framing == answer_framing::Chunked && isEventStream() ? answer_stage::Stream
                                                                       : answer_stage::Whole;
   Call->FirstByte = boot_clock::now();
-  // A stream that breaks off is asked for again elsewhere, with the same body.
-  if (!Call->Headed || !Call->Facts.Resumable)
+  // If a stream breaks off, another attempt continues it with the same body.
+  if (!Call->HeaderRouted || !Call->Facts.Resumable)
     Call->Request.Body.reset();
-  co_return co_await Call->Caller->writeHead(answerHead(Framing), First);
+  co_return co_await Call->Caller->writeHead(makeAnswerHead(Framing), First);
 }
 
 void backend_exchange::noteRelayed(std::uint64_t Events, std::size_t Bytes) {
@@ -78,12 +79,12 @@
   UnreportedEvents = 0;
 }
 
-bool backend_exchange::feedReady() {
-  const timed_socket::read_result Read = Link->readNow();
+bool backend_exchange::feedAvailable() {
+  const timed_socket::read_result Read = Connection->readNow();
   return !Read.Ended && (Read.Bytes.empty() || Feed->feed(Read.Bytes));
 }
 
-// One coroutine for the whole stream: each further one would cost an event its frame.
+// One coroutine for the whole stream: each nested one would cost a frame per event.
 asio::awaitable<exchange_end> backend_exchange::relayEvents() {
   using part_state = caller_connection::part_state;
   Scanner = event_scanner(Call->LastEvent);
@@ -97,7 +98,7 @@
     const std::size_t Whole = valueOf(Scan).WholeBytes;
     if (Whole > 0) {
       const std::string_view Ready = std::string_view(Feed->body()).substr(0, Whole);
-      // Told first: an attempt whose bytes the caller may have must not be taken for unanswered.
+      // Report first: an attempt whose bytes the caller may have must not count as unanswered.
       noteRelayed(valueOf(Scan).Events, Whole);
       part_state Part = part_state::Written;
       if (Call->Stage == answer_stage::None)
@@ -119,8 +120,8 @@
     if (Feed->body().size() > Context.Limits.MaxEventBytes)
       co_return Bad;
     if (!Abandoned && !Feed->done())
-      co_await Link->waitRead(Code);
-    if (Abandoned || Feed->done() || Code || !feedReady())
+      co_await Connection->waitRead(Code);
+    if (Abandoned || Feed->done() || Code || !feedAvailable())
       co_return exchange_end{Call->Stage == answer_stage::None ? attempt_failure::BrokenSent
                                                                : attempt_failure::BrokenMidway,
                              {}};
@@ -128,10 +129,10 @@
   if (!co_await Call->Caller->writeEnd())
     Context.noteCallerGone(*Call);
   Call->Stage = answer_stage::Ended;
-  co_return exchange_end{std::nullopt, usageIn(Scanner.usageData())};
+  co_return exchange_end{std::nullopt, parseUsage(Scanner.usageData())};
 }
 
-std::optional<answer_framing> backend_exchange::framingOfWhole() {
+std::optional<answer_framing> backend_exchange::wholeAnswerFraming() {
   auto &Message = Feed->message();
   const unsigned Status = Message.get().result_int();
   if (Call->Request.Method == "HEAD" || Status == NoContent || Status == NotModified)
@@ -140,31 +141,32 @@
     return answer_framing::Chunked;
   if (Message.content_length())
     return answer_framing::Length;
-  return std::nullopt; // Until the connection closes: a cut would look like an end.
+  return std::nullopt; // The answer ends when the connection closes; a truncated one would look
+                       // complete.
 }
 
 /**
- * Of an answer of known length only a reset tells a caller that the rest will not come, once its
- * head is passed on. Some callers' libraries miss the reset (2 of 200 breaks, with node-fetch 2)
- * and wait for good. Held until it is whole, a broken answer becomes an error, or another server's
- * answer where the call may be repeated.
+ * Once the head of an answer of known length is relayed, only a reset can signal that the rest will
+ * not arrive. Some callers' libraries miss the reset (2 of 200 breaks, with node-fetch 2) and wait
+ * forever. If the answer is buffered until it is complete, a broken answer becomes an error, or
+ * another server's answer if the call may be repeated.
  */
-bool backend_exchange::heldUntilWhole() {
+bool backend_exchange::isBufferedAnswer() {
   const auto Length = Feed->message().content_length();
   return Length && *Length <= Context.Limits.HeldAnswerBytes;
 }
 
-/// A whole answer that ends before its length is a bad answer, not a broken stream: it has no
-/// events, and a resume would put events behind the half of a JSON body.
-asio::awaitable<exchange_end> backend_exchange::relayWhole() {
-  auto Framing = framingOfWhole();
-  Unframed = !Framing;
-  if (!Framing && !Call->Headed)
+/// An answer without events that ends before its length is a bad answer, not a broken stream: a
+/// resume would append events to half of a JSON body.
+asio::awaitable<exchange_end> backend_exchange::relayWholeAnswer() {
+  auto Framing = wholeAnswerFraming();
+  EndsWithConnection = !Framing;
+  if (!Framing && !Call->HeaderRouted)
     co_return exchange_end{attempt_failure::BadAnswer, {}};
   if (!Framing)
     Framing = answer_framing::Chunked;
   Call->Relaying = true;
-  const bool Held = heldUntilWhole();
+  const bool Held = isBufferedAnswer();
   std::string Tail;
   while (true) {
     std::string &Body = Feed->body();
@@ -185,8 +187,8 @@
       break;
     if (!Abandoned && co_await readMore())
       continue;
-    // A server that ends its answer by closing has ended it; one that was reset has not.
-    if (!Abandoned && Unframed && Link->closedCleanly() && Feed->finish())
+    // A server that closes the connection has completed its answer; a reset means that it has not.
+    if (!Abandoned && EndsWithConnection && Connection->closedCleanly() && Feed->finish())
       continue;
     co_return exchange_end{Call->Stage == answer_stage::None ? attempt_failure::BrokenSent
                                                              : attempt_failure::BadAnswer,
@@ -195,7 +197,7 @@
   if (!co_await Call->Caller->writeEnd())
     Context.noteCallerGone(*Call);
   Call->Stage = answer_stage::Ended;
-  co_return exchange_end{std::nullopt, usageIn(Tail)};
+  co_return exchange_end{std::nullopt, parseUsage(Tail)};
 }
 
 } // namespace pollenstall
--- a/src/relay/backend_exchange_stream.cpp
+++ b/src/relay/backend_exchange_stream.cpp
@@ -1,4 +1,4 @@
-/** @file backend_exchange_stream.cpp Passes on event streams that end with their message. */
+/** @file backend_exchange_stream.cpp Relays event streams that end with their HTTP message. */
 #include "relay/backend_exchange_base.h"
 #include "relay/open_event_scanner_base.h"
 
@@ -8,27 +8,28 @@
 
 namespace {
 
-/// A stream whose engine is silent for so many times its declared gap is asked for elsewhere. It is
-/// late by then; its caller leaves after eight gaps or two seconds.
-constexpr int SilentGaps = 3;
-/// Passes with a long read take up to that on engines that work.
-constexpr std::chrono::milliseconds LeastSilence{500};
+/// A stream whose engine sends nothing for this many times its declared gap is requested from
+/// another engine. That is already late; the caller leaves after eight gaps or two seconds.
+constexpr int IdleTimeoutGaps = 3;
+/// On working engines, a pass with a long prefill takes up to this long.
+constexpr std::chrono::milliseconds MinIdleTimeout{500};
 
 } // namespace
 
-/// An engine without power resets nothing: only the time since its last event tells.
-void backend_exchange::watchSilence() {
+/// An engine that lost power sends no reset; only the time since its last event shows the failure.
+void backend_exchange::armIdleTimeout() {
   const std::chrono::milliseconds Gap = Call->Facts.LongestGap;
   if (!Order.MayRetry || !Call->Facts.Resumable || Gap.count() == 0)
     return;
-  Link->expireAt(
-      std::min(boot_clock::now() + std::max<mono_duration>(LeastSilence, Gap * SilentGaps),
+  Connection->expireAt(
+      std::min(boot_clock::now() + std::max<mono_duration>(MinIdleTimeout, Gap * IdleTimeoutGaps),
                Call->Facts.Deadline + DeadlineGrace));
 }
 
-asio::awaitable<bool> backend_exchange::passEvents(std::string_view Ready, std::uint64_t Events) {
+asio::awaitable<bool> backend_exchange::forwardEvents(std::string_view Ready,
+                                                      std::uint64_t Events) {
   using part_state = caller_connection::part_state;
-  // Told first: an attempt whose bytes the caller may have must not be taken for unanswered.
+  // Report first: an attempt whose bytes the caller may have must not count as unanswered.
   noteRelayed(Events, Ready.size());
   if (Call->Stage == answer_stage::None)
     co_return co_await startAnswer(answer_framing::Chunked, Ready);
@@ -40,13 +41,13 @@
 }
 
 /**
- * Only whole events are passed on: half an event before a break could not be completed by another
- * engine. Events that the caller has already, of an engine that goes back a little, are left out.
+ * Relays only complete events: another engine could not complete half an event sent before a break.
+ * If a new engine starts a little earlier, the events that the caller already has are dropped.
  */
 asio::awaitable<exchange_end> backend_exchange::relayOpenEvents() {
   open_event_scanner Events(Call->LastEvent);
   Call->Relaying = true;
-  Unframed = !Feed->message().chunked() && !Feed->message().content_length();
+  EndsWithConnection = !Feed->message().chunked() && !Feed->message().content_length();
   boost::system::error_code Code;
   bool Closed = false;
   while (true) {
@@ -58,25 +59,26 @@
                              {}};
     const open_event_scan &Found = valueOf(Scan);
     if (!Found.Ready.empty() || (Done && Call->Stage == answer_stage::None)) {
-      const bool Passed = co_await passEvents(Found.Ready, Found.Events);
+      const bool Forwarded = co_await forwardEvents(Found.Ready, Found.Events);
       Call->LastEvent = Events.lastId();
-      if (!Passed) {
+      if (!Forwarded) {
         Context.noteCallerGone(*Call);
         Abandoned = true;
       }
     }
-    Feed->body().erase(0, Found.Taken);
+    Feed->body().erase(0, Found.Consumed);
     if (Done && !Abandoned)
       break;
     const bool TooLong = Feed->body().size() > Context.Limits.MaxEventBytes;
-    // Only now: time that the caller takes to read is not the engine's.
+    // The timeout starts only here: time that the caller takes to read does not count against the
+    // engine.
     if (Answering)
-      watchSilence();
+      armIdleTimeout();
     if (!Abandoned && !TooLong)
-      co_await Link->waitRead(Code);
-    const bool Read = !Abandoned && !TooLong && !Code && feedReady();
-    // A server that ends its answer by closing has ended it; one that was reset has not.
-    Closed = !Read && !Abandoned && !TooLong && Unframed && Link->closedCleanly();
+      co_await Connection->waitRead(Code);
+    const bool Read = !Abandoned && !TooLong && !Code && feedAvailable();
+    // A server that closes the connection has completed its answer; a reset means that it has not.
+    Closed = !Read && !Abandoned && !TooLong && EndsWithConnection && Connection->closedCleanly();
     if (!Read && !Closed)
       co_return exchange_end{Call->Stage == answer_stage::None ? attempt_failure::BrokenSent
                                                                : attempt_failure::BrokenMidway,
--- a/src/relay/call_error.cpp
+++ b/src/relay/call_error.cpp
@@ -1,4 +1,4 @@
-/** @file call_error.cpp The table from outcomes to HTTP statuses, and the error body. */
+/** @file call_error.cpp The table that maps outcomes to HTTP statuses, and the error body. */
 #include "relay/call_error_func.h"
 
 #include <boost/json.hpp>
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// How one reason is told. A caller's client library retries by the status, so that a status that
-/// every library retries (429, 503) stands only where nothing was run.
+/// How one reason is reported. A caller's client library decides by the status whether to retry, so
+/// a status that every library retries (429, 503) is used only if nothing was run.
 struct reason_row {
   failure_reason Reason;
   std::string_view Code;
@@ -33,9 +33,9 @@
     reason_row{failure_reason::AccountLimit, "account_limit", TooManyRequests, BadGateway,
                "Too many requests of this client account are waiting."},
     reason_row{failure_reason::DeadlineUnmeetable, "deadline_unmeetable", Unavailable,
-               GatewayTimeout, "The request could not finish within its time."},
+               GatewayTimeout, "The request could not finish before its deadline."},
     reason_row{failure_reason::DeadlineExceeded, "deadline_exceeded", GatewayTimeout,
-               GatewayTimeout, "The request's time ran out."},
+               GatewayTimeout, "The request's deadline passed."},
     reason_row{failure_reason::NoBackend, "no_backend", Unavailable, BadGateway,
                "No backend server can take the request now."},
     reason_row{failure_reason::TooLargeForFleet, "too_large_for_fleet", Unavailable, BadGateway,
@@ -45,7 +45,7 @@
     reason_row{failure_reason::ClaimUnavailable, "claim_unavailable", Unavailable, BadGateway,
                "The idempotency key could not be recorded durably."},
     reason_row{failure_reason::AlreadyRunning, "already_running", Conflict, Conflict,
-               "An earlier send with this idempotency key was started; its end is not known."},
+               "An earlier send with this idempotency key was started; its result is unknown."},
     reason_row{failure_reason::AlreadyComplete, "already_complete", Conflict, Conflict,
                "An earlier send with this idempotency key has completed."},
     reason_row{failure_reason::BackendFailed, "backend_failed", Unavailable, BadGateway,
@@ -91,11 +91,11 @@
   }
 }
 
-/// Libraries retry 409 and 502 too. Without an idempotency key the second send is a new request
-/// here, and a letter whose first run broke off goes out twice.
+/// Libraries retry 409 and 502 too. Without an idempotency key the second send is a new request,
+/// and non-idempotent work whose first run broke off would run twice.
 bool isRepeatable(const finish_request &Finish, unsigned Status, bool Idempotent) {
-  // An unknown outcome with a time to come back is one under a key that has no verdict yet: the
-  // claim sees to it that the second send does not run again.
+  // An unknown outcome with a retry time belongs to an idempotency key without a verdict yet: the
+  // claim prevents the second send from running again.
   const bool RunsTwice =
       Finish.Outcome == final_outcome::Unknown && !Idempotent && !Finish.RetryAfter;
   return !RunsTwice && Status != Conflict && Finish.Reason != failure_reason::TooLargeForFleet;
--- a/src/relay/call_error_func.h
+++ b/src/relay/call_error_func.h
@@ -1,4 +1,4 @@
-/** @file call_error_func.h Builds the errors that callers see. */
+/** @file call_error_func.h Builds the errors returned to callers. */
 #ifndef POLLENSTALL_RELAY_CALL_ERROR_FUNC_H
 #define POLLENSTALL_RELAY_CALL_ERROR_FUNC_H
 
@@ -9,31 +9,31 @@
 
 namespace pollenstall {
 
-/// @return A 400 that names the field; nothing was run.
+/// Returns a 400 error that names the field; the call was not run.
 call_error invalidField(std::string Field, std::string Message);
 
-/// @return A refusal with the given status; nothing was run.
+/// Returns a refusal with the given status; the call was not run.
 call_error refusal(unsigned Status, std::string Type, std::string Code, std::string Field,
                    std::string Message);
 
-/// @return The same refusal, marked as one that a newer declaration may take back.
+/// Returns the same refusal, marked as one that a newer declaration may lift.
 call_error undeclared(call_error Refusal);
 
 /**
- * @param Idempotent Of the request: whether work that may have run may run again.
- * @return The error that a request's end is told as; see docs/design/relay.md for the table.
+ * Returns the error that reports the end of a request; docs/design/relay.md has the table.
+ * @param Idempotent Whether the request may run again if it may have run before.
  */
 call_error errorFor(const finish_request &Finish, bool Idempotent);
 
-/// @return {"error":{...}} as the body of an answer or the data of an error event.
+/// Returns {"error":{...}} for the body of an answer or the data of an error event.
 std::string errorBody(const call_error &Error);
 
-/// @return "complete", "not-run" or "unknown", as headers, bodies, logs and metrics write it.
+/// Returns "complete", "not-run" or "unknown", as used in headers, bodies, logs and metrics.
 std::string_view outcomeText(final_outcome Outcome);
-/// @return Name of the failure in logs and metrics.
+/// Returns the failure's name in logs and metrics.
 std::string_view attemptFailureText(attempt_failure Failure);
 
-/// @return The reason in lower snake case, as codes, logs and metrics write it.
+/// Returns the reason in lower snake case, as used in error codes, logs and metrics.
 std::string_view reasonText(failure_reason Reason);
 
 } // namespace pollenstall
--- a/src/relay/call_error_type.h
+++ b/src/relay/call_error_type.h
@@ -1,4 +1,4 @@
-/** @file call_error_type.h What a caller is told of a call that did not complete. */
+/** @file call_error_type.h The error that a caller receives for a call that did not complete. */
 #ifndef POLLENSTALL_RELAY_CALL_ERROR_TYPE_H
 #define POLLENSTALL_RELAY_CALL_ERROR_TYPE_H
 
@@ -10,17 +10,17 @@
 
 namespace pollenstall {
 
-/// One error answer, in the shape that chat/completions clients expect.
+/// One error answer, in the format that chat/completions clients expect.
 struct call_error {
   unsigned Status{500};
-  std::string Type;    ///< "invalid_request_error", "rate_limit_error" and the like.
-  std::string Code;    ///< Fixed lower_snake word for programs.
-  std::string Field;   ///< The field, header or path that is wrong; empty where none is.
-  std::string Message; ///< For people; names the limit where one was passed.
+  std::string Type;    ///< For example "invalid_request_error" or "rate_limit_error".
+  std::string Code;    ///< Machine-readable lower_snake code.
+  std::string Field;   ///< The invalid field, header or path; empty if there is none.
+  std::string Message; ///< Human-readable; names the limit if one was exceeded.
   final_outcome Outcome{final_outcome::NotRun};
   std::optional<std::chrono::seconds> RetryAfter;
-  bool Repeatable{true};  ///< False: a client library must not send the call again by itself.
-  bool Undeclared{false}; ///< For want of a declaration that knows the route, key or model.
+  bool Repeatable{true};  ///< False: a client library must not retry the call automatically.
+  bool Undeclared{false}; ///< The declaration in force does not know the route, key or model.
 };
 
 } // namespace pollenstall
--- a/src/relay/call_interface_type.h
+++ b/src/relay/call_interface_type.h
@@ -1,5 +1,5 @@
-/** @file call_interface_type.h Hooks for callers and backend servers whose heads say what the body
- * of a chat call would. */
+/** @file call_interface_type.h Hooks for protocols whose headers carry the request facts that a
+ * chat call has in its body. */
 #ifndef POLLENSTALL_RELAY_CALL_INTERFACE_TYPE_H
 #define POLLENSTALL_RELAY_CALL_INTERFACE_TYPE_H
 
@@ -20,70 +20,74 @@
 
 namespace pollenstall {
 
-/// What the head of a caller's request says.
+/// Facts from the head of a caller's request.
 struct head_facts {
-  std::string Key;                                   ///< Bearer key; empty where none was sent.
-  std::optional<std::chrono::milliseconds> TimeLeft; ///< How long the caller waits.
+  std::string Key;                                   ///< Bearer key; empty if none was sent.
+  std::optional<std::chrono::milliseconds> TimeLeft; ///< The caller's remaining timeout.
   model_name Model;
   tokens Prompt;
   tokens AnswerLimit;
-  tokens AnswerHint;                       ///< 0 where none was sent.
-  std::vector<std::uint64_t> PrefixHashes; ///< One for each part that the prompt begins with.
-  std::uint64_t LastEvent{0}; ///< The caller goes on behind this event; 0: from the start.
+  tokens AnswerHint;                       ///< 0 if none was sent.
+  std::vector<std::uint64_t> PrefixHashes; ///< One for each leading part of the prompt.
+  std::uint64_t LastEvent{0}; ///< The caller resumes after this event; 0: from the start.
 };
 
-/// An engine that reads a part of a prompt.
-struct helper_facts {
+/// A helper engine that reads a part of the prompt.
+struct helper_engine {
   backend_address Address;
-  std::string Hold; ///< Name of the memory that is set aside there for this attempt; may be empty.
+  std::string Hold; ///< Name of the attempt's memory hold at this engine; may be empty.
 };
 
-/// Memory that an engine is asked to set aside.
-struct hold_facts {
-  std::string Name; ///< Chosen here, unique.
+/// A request to an engine to hold memory.
+struct hold_request {
+  std::string Name; ///< Chosen by the entry, unique.
   tokens Amount;
-  std::chrono::milliseconds Lasts{0}; ///< From the call's arrival; asking again starts it anew.
+  std::chrono::milliseconds Ttl{
+      0}; ///< Counts from the call's arrival; a repeated call restarts it.
 };
 
-/// A small call of a backend server: method, target and body.
+/// A small request to a backend server: method, target and body.
 struct backend_call {
   std::string Method;
   std::string Target;
   std::string Body;
 };
 
-/// What a backend server is told beside the caller's own headers.
+/// Facts sent to a backend server in addition to the caller's own headers.
 struct attempt_facts {
   std::chrono::milliseconds TimeLeft{0};
-  std::string Instance;        ///< The server's name for its life; another life refuses.
-  client_account_name Account; ///< Empty where the caller needs none.
-  std::vector<helper_facts> Helpers;
-  std::uint64_t LastEvent{0}; ///< 0: from the start.
+  std::string
+      Instance; ///< Identifies the server's incarnation; another incarnation refuses the request.
+  client_account_name Account; ///< Empty if the call needs no client account.
+  std::vector<helper_engine> Helpers;
+  std::uint64_t LastEvent{0}; ///< The caller resumes after this event; 0: from the start.
 };
 
-/// What the head of an answer says.
+/// Facts from the head of an answer.
 struct answer_facts {
-  bool NotRun{false};    ///< The server says that it did not start.
-  bool OtherSend{false}; ///< It belongs to another send.
+  bool NotRun{false};    ///< The server states that it did not start the request.
+  bool OtherSend{false}; ///< The answer belongs to another send.
   backend_address
-      AtFault; ///< Another server because of which nothing ran; empty where none is named.
+      AtFault; ///< Another server that prevented the request from running; empty if none is named.
 };
 
-/// How callers and backend servers of another protocol are spoken to. All hooks are set, or none.
+/// Adapter for callers and backend servers that use another protocol. Either all hooks are set or
+/// none.
 struct call_interface {
   std::function<result<head_facts, call_error>(const request_head &)> ReadHead;
-  /// The caller's own name for this send, which answers carry; also of a head that can't be read.
+  /// Returns the caller's own name for this send, which answers carry. Also works on a head that
+  /// ReadHead rejects.
   std::function<std::string(const request_head &)> SendName;
-  /// Whether only the system may set this header towards a backend server.
+  /// Returns whether only the system may set this header on requests to a backend server.
   std::function<bool(std::string_view Name)> IsSystemHeader;
-  /// Adds the system's own headers to those that are passed on.
+  /// Adds the system's own headers to the forwarded ones.
   std::function<void(const attempt_facts &, std::vector<header_line> &)> WriteAttempt;
   std::function<answer_facts(const boost::beast::http::response_header<> &,
                              const std::string &SendName)>
       ReadAnswer;
 
-  std::function<backend_call(const hold_facts &)> TakeHold; ///< Answered by 200 where it is held.
-  std::function<backend_call(const std::string &Name)> EndHold;
+  std::function<backend_call(const hold_request &)> AcquireHold; ///< Status 200 confirms the hold.
+  std::function<backend_call(const std::string &Name)> ReleaseHold;
 
   [[nodiscard]] bool isSet() const { return static_cast<bool>(ReadHead); }
 };
--- a/src/relay/call_plan.cpp
+++ b/src/relay/call_plan.cpp
@@ -1,4 +1,4 @@
-/** @file call_plan.cpp From a checked head and body to the facts of a request. */
+/** @file call_plan.cpp Extracts the facts of a request from a validated head and body. */
 #include "relay/call_plan_func.h"
 
 #include "core/core.h"
@@ -41,11 +41,11 @@
 }
 
 std::size_t largestBody(const fleet_declaration &Declaration) {
-  std::int64_t Most = 0;
+  std::int64_t Largest = 0;
   for (const service_declaration &Service : Declaration.Services)
     if (Service.Kind == service_kind::Model)
-      Most = std::max(Most, Service.MaxBody.value());
-  return static_cast<std::size_t>(Most);
+      Largest = std::max(Largest, Service.MaxBody.value());
+  return static_cast<std::size_t>(Largest);
 }
 
 result<call_plan, call_error> planModelCall(call_plan Plan, const request_head &Head,
@@ -88,13 +88,13 @@
   const std::string_view Text = Head.header(TimeoutHeader);
   if (Text.empty())
     return mono_duration(std::min(Service.DefaultTimeout, Service.MaxTimeout));
-  const auto Asked = positiveNumber(Text);
-  if (!Asked)
+  const auto Requested = positiveNumber(Text);
+  if (!Requested)
     return invalidField(std::string(TimeoutHeader), "must be milliseconds, a whole number from 1");
-  return mono_duration(std::chrono::milliseconds(std::min(*Asked, Service.MaxTimeout.count())));
+  return mono_duration(std::chrono::milliseconds(std::min(*Requested, Service.MaxTimeout.count())));
 }
 
-/// The caller may forbid a second run, but not allow one that the declaration forbids.
+/// The caller may forbid a second run, but cannot allow one that the declaration forbids.
 result<bool, call_error> idempotenceOf(const request_head &Head, bool Declared) {
   const std::string_view Text = Head.header(IdempotentHeader);
   if (Text.empty() || Text == "true")
@@ -113,7 +113,7 @@
   return Headers;
 }
 
-/// What all kinds of calls have in common.
+/// Plans what all kinds of calls have in common.
 result<planned_call, call_error> planCommon(const call_plan &Plan, const request_head &Head,
                                             const service_declaration &Service, bool Idempotent,
                                             mono_time Now) {
@@ -138,8 +138,8 @@
   return Call;
 }
 
-std::string limitText(std::string_view What, std::int64_t Limit, std::string_view Unit) {
-  return std::string(What) + " must not be larger than " + std::to_string(Limit) + " " +
+std::string limitText(std::string_view Subject, std::int64_t Limit, std::string_view Unit) {
+  return std::string(Subject) + " must not be larger than " + std::to_string(Limit) + " " +
          std::string(Unit);
 }
 
@@ -163,24 +163,25 @@
 result<planned_call, call_error> planPrompt(const call_plan &Plan, prompt_form Form,
                                             const request_head &Head, std::string_view Body,
                                             const token_estimator &Tokens, mono_time Now) {
-  auto Read = readPrompt(Body, Form);
-  if (!succeeded(Read))
-    return invalidField(errorOf(Read).Field, errorOf(Read).Field + " " + errorOf(Read).Message);
-  prompt_facts &Prompt = valueOf(Read);
+  auto Parsed = readPrompt(Body, Form);
+  if (!succeeded(Parsed))
+    return invalidField(errorOf(Parsed).Field,
+                        errorOf(Parsed).Field + " " + errorOf(Parsed).Message);
+  prompt_facts &Prompt = valueOf(Parsed);
   const service_declaration *Service = Plan.Declaration->findModel(Prompt.Model);
   if (!Service)
     return unknownModel(Prompt.Model);
   std::optional<tokens> Hint;
   if (const std::string_view Text = Head.header(TokensHeader); !Text.empty()) {
-    const auto Given = positiveNumber(Text);
-    if (!Given)
+    const auto HintValue = positiveNumber(Text);
+    if (!HintValue)
       return invalidField(std::string(TokensHeader), "must be a whole number from 1");
-    Hint = tokens(*Given);
+    Hint = tokens(*HintValue);
   }
   const model_name Model(Prompt.Model);
   const tokens Estimated = Tokens.estimate(Model, Prompt.PromptBytes, Hint);
-  if (const auto Wrong = checkSizes(Prompt, Body.size(), Estimated, Form, *Service))
-    return *Wrong;
+  if (const auto SizeError = checkSizes(Prompt, Body.size(), Estimated, Form, *Service))
+    return *SizeError;
   auto Planned = planCommon(Plan, Head, *Service, true, Now);
   if (!succeeded(Planned))
     return errorOf(Planned);
@@ -206,7 +207,7 @@
 
 result<call_plan, call_error> planCall(const request_head &Head, const declaration_view &View) {
   if (Head.Method == "CONNECT" || Head.Method == "TRACE")
-    return methodError("another one");
+    return methodError("another method");
   const auto Key = bearerKey(Head.header("Authorization"));
   const account_declaration *Account = Key ? View->findAccount(keyHash(*Key)) : nullptr;
   if (!Account)
@@ -231,8 +232,8 @@
                                           mono_time Now) {
   if (const auto *Model = std::get_if<model_call>(&Plan.Kind))
     return planPrompt(Plan, Model->Form, Head, Body, Tokens, Now);
-  if (std::holds_alternative<headed_call>(Plan.Kind))
-    return planHeaded(Plan, Now);
+  if (std::holds_alternative<header_routed_call>(Plan.Kind))
+    return planFromHeaders(Plan, Now);
   const plain_call &Plain = std::get<plain_call>(Plan.Kind);
   return planCommon(Plan, Head, *Plain.Service, Plain.Idempotent, Now);
 }
--- a/src/relay/caller_connection.cpp
+++ b/src/relay/caller_connection.cpp
@@ -1,4 +1,4 @@
-/** @file caller_connection.cpp Bounded reads from a caller, framed writes to it. */
+/** @file caller_connection.cpp Bounded reads from a caller and framed writes to it. */
 #include "relay/caller_connection_base.h"
 
 #include "relay/call_error_func.h"
@@ -23,8 +23,8 @@
 constexpr std::string_view ChunkedHead =
     "POST / HTTP/1.1\r\nHost: -\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Bytes that the kernel holds for a slow caller (it takes twice the figure); several milliseconds
-/// of a fast network's traffic.
+/// Bytes that the kernel buffers for a slow caller (it allocates twice this figure): several
+/// milliseconds of traffic on a fast network.
 constexpr int CallerSendBuffer = 128 << 10;
 
 constexpr unsigned RequestTimeout = 408;
@@ -36,7 +36,7 @@
                  "must not be larger than " + std::to_string(Limit) + " bytes");
 }
 
-/// A chunk's size line, without allocation.
+/// A chunk's size line, formatted without allocation.
 class chunk_size_line {
 public:
   explicit chunk_size_line(std::size_t Size) {
@@ -74,51 +74,53 @@
 std::string statusText(unsigned Status) {
   if (Status == 499)
     return "Client Closed Request";
-  const auto Known = boost::beast::http::int_to_status(Status);
-  return std::string(boost::beast::http::obsolete_reason(Known));
+  const auto StandardStatus = boost::beast::http::int_to_status(Status);
+  return std::string(boost::beast::http::obsolete_reason(StandardStatus));
 }
 
 caller_connection::caller_connection(socket_sweeper &Sweeper, asio::ip::tcp::socket Open,
                                      const relay_limits &Bounds)
     : Limits(Bounds), Socket(Sweeper, std::move(Open)) {
-  // The kernel would let a caller that stops reading collect megabytes before a write stalls.
+  // By default the kernel would buffer megabytes for a caller that stops reading before a write
+  // stalls.
   boost::system::error_code Ignored;
   Socket.raw().set_option(asio::socket_base::send_buffer_size(CallerSendBuffer), Ignored);
 }
 
-call_error caller_connection::slowError(std::string_view What) const {
-  return refusal(RequestTimeout, "invalid_request_error", "request_timeout", std::string(What),
+call_error caller_connection::timeoutError(std::string_view Field) const {
+  return refusal(RequestTimeout, "invalid_request_error", "request_timeout", std::string(Field),
                  "did not arrive in time");
 }
 
 asio::awaitable<std::variant<request_head, call_error, connection_ended>>
 caller_connection::readHead() {
-  bool Started = !Inbox.empty();
+  bool Started = !Received.empty();
   const auto FirstLimit = Started ? Limits.HeaderTimeout : Limits.IdleTimeout;
   Socket.expireAt(boot_clock::now() + FirstLimit);
-  std::size_t End = Inbox.find(HeadEnd);
+  std::size_t End = Received.find(HeadEnd);
   while (End == std::string::npos) {
-    if (Inbox.size() > Limits.HeaderBytes)
+    if (Received.size() > Limits.HeaderBytes)
       break;
     const std::string_view Read = co_await Socket.readSome();
     if (Read.empty() && Started && Socket.expired())
-      co_return slowError("headers");
+      co_return timeoutError("headers");
     if (Read.empty())
       co_return connection_ended{};
     if (!Started)
       Socket.expireAt(boot_clock::now() + Limits.HeaderTimeout);
     Started = true;
-    const std::size_t From = Inbox.size() < HeadEnd.size() ? 0 : Inbox.size() - HeadEnd.size();
-    Inbox.append(Read);
-    End = Inbox.find(HeadEnd, From);
+    const std::size_t From =
+        Received.size() < HeadEnd.size() ? 0 : Received.size() - HeadEnd.size();
+    Received.append(Read);
+    End = Received.find(HeadEnd, From);
   }
   Socket.expireNever();
   if (End == std::string::npos || End > Limits.HeaderBytes)
     co_return refusal(HeadersTooLarge, "invalid_request_error", "headers_too_large", "headers",
                       "must not be larger than " + std::to_string(Limits.HeaderBytes) + " bytes");
   const std::size_t HeadSize = End + HeadEnd.size();
-  auto Head = readRequestHead(std::string_view(Inbox).substr(0, HeadSize));
-  Inbox.erase(0, HeadSize);
+  auto Head = readRequestHead(std::string_view(Received).substr(0, HeadSize));
+  Received.erase(0, HeadSize);
   if (!succeeded(Head))
     co_return errorOf(Head);
   co_return std::move(valueOf(Head));
@@ -134,7 +136,7 @@
   if (Head.ContentLength > Limit)
     co_return bodyTooLarge(Limit);
   const bool HasBody = Head.Chunked || Head.ContentLength > 0;
-  if (HasBody && Head.ExpectsContinue && Inbox.empty() && !co_await writeContinue())
+  if (HasBody && Head.ExpectsContinue && Received.empty() && !co_await writeContinue())
     co_return connection_ended{};
   if (!HasBody)
     co_return std::string();
@@ -143,13 +145,13 @@
     co_return co_await readChunked(Limit);
   std::string Body;
   Body.reserve(Head.ContentLength);
-  const std::size_t Ready = std::min(Inbox.size(), Head.ContentLength);
-  Body.append(Inbox, 0, Ready);
-  Inbox.erase(0, Ready);
-  const bool Whole = co_await Socket.readInto(Body, Head.ContentLength - Ready);
+  const std::size_t Ready = std::min(Received.size(), Head.ContentLength);
+  Body.append(Received, 0, Ready);
+  Received.erase(0, Ready);
+  const bool Whole = co_await Socket.readExactly(Body, Head.ContentLength - Ready);
   Socket.expireNever();
   if (!Whole && Socket.expired())
-    co_return slowError("body");
+    co_return timeoutError("body");
   if (!Whole)
     co_return connection_ended{};
   co_return std::move(Body);
@@ -158,12 +160,12 @@
 asio::awaitable<std::variant<std::string, call_error, connection_ended>>
 caller_connection::readChunked(std::size_t Limit) {
   message_feed<true> Feed(Limits.HeaderBytes);
-  bool Valid = Feed.feed(ChunkedHead) && Feed.feed(Inbox);
-  Inbox.clear();
+  bool Valid = Feed.feed(ChunkedHead) && Feed.feed(Received);
+  Received.clear();
   while (Valid && !Feed.done() && Feed.body().size() <= Limit) {
     const std::string_view Read = co_await Socket.readSome();
     if (Read.empty() && Socket.expired())
-      co_return slowError("body");
+      co_return timeoutError("body");
     if (Read.empty())
       co_return connection_ended{};
     Valid = Feed.feed(Read);
@@ -173,15 +175,15 @@
     co_return invalidField("body", "is not validly chunked");
   if (Feed.body().size() > Limit)
     co_return bodyTooLarge(Limit);
-  Inbox = Feed.takeLeft();
+  Received = Feed.takeRemainder();
   co_return std::move(Feed.body());
 }
 
 asio::awaitable<bool> caller_connection::write(std::span<const asio::const_buffer> Buffers) {
   Socket.expireAt(boot_clock::now() + Limits.WriteStall);
-  const std::size_t Taken = co_await Socket.writeAll(Buffers);
+  const std::size_t SentBytes = co_await Socket.writeAll(Buffers);
   Socket.expireNever();
-  co_return Taken == asio::buffer_size(Buffers);
+  co_return SentBytes == asio::buffer_size(Buffers);
 }
 
 asio::awaitable<bool> caller_connection::writeHead(const answer_head &Head,
@@ -204,14 +206,14 @@
   const bool Chunked = Framing == answer_framing::Chunked;
   const std::array Buffers{Chunked ? Size.buffer() : asio::const_buffer(), bufferOf(Part),
                            Chunked ? bufferOf(LineEnd) : asio::const_buffer()};
-  const std::optional<std::size_t> Taken = Socket.writeNow(Buffers);
-  if (!Taken)
+  const std::optional<std::size_t> SentBytes = Socket.writeNow(Buffers);
+  if (!SentBytes)
     return part_state::Broken;
-  if (*Taken == asio::buffer_size(Buffers))
+  if (*SentBytes == asio::buffer_size(Buffers))
     return part_state::Written;
   for (const asio::const_buffer &Buffer : Buffers)
     Unsent.append(static_cast<const char *>(Buffer.data()), Buffer.size());
-  Unsent.erase(0, *Taken);
+  Unsent.erase(0, *SentBytes);
   return part_state::Waiting;
 }
 
--- a/src/relay/caller_connection_base.h
+++ b/src/relay/caller_connection_base.h
@@ -1,4 +1,4 @@
-/** @file caller_connection_base.h One caller's connection: reads requests, writes answers. */
+/** @file caller_connection_base.h One caller's connection: reads requests and writes answers. */
 #ifndef POLLENSTALL_RELAY_CALLER_CONNECTION_BASE_H
 #define POLLENSTALL_RELAY_CALLER_CONNECTION_BASE_H
 
@@ -18,10 +18,10 @@
 
 namespace pollenstall {
 
-/// How the answer's length is told to the caller.
+/// How the end of the answer's body is marked.
 enum class answer_framing : std::uint8_t {
   Length,  ///< Content-Length.
-  Chunked, ///< Until the last chunk.
+  Chunked, ///< Ends with the last chunk.
   None,    ///< No body can follow (HEAD, 204, 304).
 };
 
@@ -30,42 +30,44 @@
   unsigned Status{200};
   std::vector<header_line> Headers;
   answer_framing Framing{answer_framing::Length};
-  std::uint64_t Length{0}; ///< For Length, and for None where the backend server named one.
-  bool Close{false};       ///< The connection is closed behind the answer.
+  std::uint64_t Length{
+      0};            ///< For Length, and for None if the backend server sent a Content-Length.
+  bool Close{false}; ///< Close the connection after the answer.
 };
 
-/// The connection ended, or nothing came in time; there is nobody to tell.
+/// The connection ended or timed out while idle; no error answer can be sent.
 struct connection_ended {};
 
-/// Used by one coroutine at a time: the session's, or the relaying exchange's.
+/// Used by one coroutine at a time: the session's, or that of the exchange that relays the answer.
 class caller_connection {
 public:
   caller_connection(socket_sweeper &Sweeper, boost::asio::ip::tcp::socket Open,
                     const relay_limits &Bounds);
 
-  /// Reads and checks the next head. The error is to be answered, then the connection closed.
+  /// Reads and checks the next head. On an error, the caller sends the error answer and closes the
+  /// connection.
   boost::asio::awaitable<std::variant<request_head, call_error, connection_ended>> readHead();
-  /// Reads the body that the head announces, at most Limit bytes.
+  /// Reads the body that the head announces, up to Limit bytes.
   boost::asio::awaitable<std::variant<std::string, call_error, connection_ended>>
   readBody(const request_head &Head, std::size_t Limit);
 
-  /// Starts an answer, with its first part of the body where that is known.
+  /// Starts an answer. FirstPart is the first part of the body, if it is already known.
   boost::asio::awaitable<bool> writeHead(const answer_head &Head, std::string_view FirstPart = {});
-  /// How far a part got without waiting.
+  /// The result of a write that does not wait.
   enum class part_state : std::uint8_t {
     Written,
-    Waiting, ///< The caller is slow: flush() has to follow before anything else is written.
+    Waiting, ///< The caller is slow: flush() must run before anything else is written.
     Broken,
   };
-  /// Goes on with the body as far as the kernel takes it at once.
+  /// Writes the next part of the body as far as the kernel accepts it without waiting.
   part_state tryPart(std::string_view Part);
-  /// Writes what tryPart() left.
+  /// Writes the rest of the last tryPart().
   boost::asio::awaitable<bool> flush();
-  /// Goes on with the body, framed as the head said.
+  /// Writes the next part of the body with the framing of the head.
   boost::asio::awaitable<bool> writePart(std::string_view Part);
-  /// Ends a chunked answer; the others end by their length.
+  /// Writes the last chunk of a chunked answer; other answers end by their length.
   boost::asio::awaitable<bool> writeEnd();
-  /// A whole small answer.
+  /// Writes a complete small answer.
   boost::asio::awaitable<bool> writeWhole(answer_head Head, std::string_view Body);
 
   [[nodiscard]] timed_socket &socket() { return Socket; }
@@ -75,16 +77,17 @@
   readChunked(std::size_t Limit);
   boost::asio::awaitable<bool> write(std::span<const boost::asio::const_buffer> Buffers);
   boost::asio::awaitable<bool> writeContinue();
-  [[nodiscard]] call_error slowError(std::string_view What) const;
+  [[nodiscard]] call_error timeoutError(std::string_view Field) const;
 
   const relay_limits &Limits;
   timed_socket Socket;
-  std::string Inbox;  ///< Read but not taken: part of a head, or the caller's next request.
-  std::string Unsent; ///< Of a part that the kernel did not take at once.
+  std::string
+      Received; ///< Bytes read but not consumed: part of a head, or the caller's next request.
+  std::string Unsent; ///< The rest of a part that the kernel did not accept immediately.
   answer_framing Framing{answer_framing::Length};
 };
 
-/// @return The standard text of a status, for the status line.
+/// Returns the standard reason phrase of a status, for the status line.
 std::string statusText(unsigned Status);
 
 } // namespace pollenstall
--- a/src/relay/caller_session.cpp
+++ b/src/relay/caller_session.cpp
@@ -1,10 +1,10 @@
-/** @file caller_session.cpp From a request's head to its place in the queue. */
+/** @file caller_session.cpp Handles a request from its head until it is queued. */
 #include "relay/caller_session_base.h"
 
 #include "relay/attempt_head_func.h"
 #include "relay/call_error_func.h"
 #include "relay/call_plan_func.h"
-#include "relay/request_mark_func.h"
+#include "relay/request_fingerprint_func.h"
 #include "relay/rethrow_func.h"
 
 #include <boost/asio/co_spawn.hpp>
@@ -18,15 +18,15 @@
 namespace {
 
 constexpr unsigned Unavailable = 503;
-constexpr std::chrono::seconds SoonAgain{1};
+constexpr std::chrono::seconds RetryDelay{1};
 constexpr std::string_view NotReadyCode = "not_ready";
-/// Places of the ring kept for events of admitted work.
+/// Ring slots reserved for events of admitted work.
 constexpr std::size_t RingReserve = 1024;
 
-call_error notNow(std::string Code, std::string Message) {
+call_error unavailableError(std::string Code, std::string Message) {
   call_error Error = refusal(Unavailable, "unavailable_error", std::move(Code), "",
                              std::move(Message) + " It was not run.");
-  Error.RetryAfter = SoonAgain;
+  Error.RetryAfter = RetryDelay;
   return Error;
 }
 
@@ -53,15 +53,15 @@
 }
 
 asio::awaitable<void> caller_session::run() {
-  next_step Step = next_step::Go;
-  while (Step == next_step::Go)
-    Step = co_await serveOne();
+  next_step Step = next_step::Continue;
+  while (Step == next_step::Continue)
+    Step = co_await serveNextRequest();
   if (Step == next_step::CloseAfterDrain)
     co_await Caller->socket().closeAfterDrain();
   Caller->socket().close();
 }
 
-asio::awaitable<caller_session::next_step> caller_session::serveOne() {
+asio::awaitable<caller_session::next_step> caller_session::serveNextRequest() {
   Context.IdleCallers.insert(&Caller->socket());
   auto Read = co_await Caller->readHead();
   Context.IdleCallers.erase(&Caller->socket());
@@ -77,12 +77,12 @@
 
 asio::awaitable<caller_session::next_step> caller_session::serve(const request_head &Head,
                                                                  mono_time Arrived) {
-  // A body that is not read stands before the next request's head, so the connection ends then.
+  // An unread body precedes the next request's head, so the connection must close in that case.
   const bool Reusable = Head.KeepAlive && !hasBody(Head);
-  const next_step After = Reusable ? next_step::Go : next_step::CloseAfterDrain;
+  const next_step After = Reusable ? next_step::Continue : next_step::CloseAfterDrain;
   SendName = Context.Interface.isSet() ? Context.Interface.SendName(Head) : std::string();
   if (Context.Stopping)
-    co_return co_await refuse(notNow("shutting_down", "This entry is stopping."), "",
+    co_return co_await refuse(unavailableError("shutting_down", "This entry is stopping."), "",
                               next_step::CloseAfterDrain);
   auto Planned = co_await planWhenDeclared(Head, Arrived + Context.Limits.ReadyWait);
   if (!succeeded(Planned))
@@ -95,20 +95,21 @@
 
 result<call_plan, call_error> caller_session::plan(const request_head &Head) const {
   if (!Context.isReady())
-    return notNow(std::string(NotReadyCode), "This entry has no configuration in force.");
+    return unavailableError(std::string(NotReadyCode), "This entry has no configuration in force.");
   auto Planned = Context.Interface.isSet()
-                     ? planHeadedCall(Head, Context.Declaration, Context.Interface)
+                     ? planHeaderRoutedCall(Head, Context.Declaration, Context.Interface)
                      : planCall(Head, Context.Declaration);
-  // Its route or key may have been added, in a declaration that this entry knows of and does not
-  // have yet: "no such route" would be wrong, and the caller would not come back.
-  if (!succeeded(Planned) && errorOf(Planned).Undeclared && Context.DeclarationLags)
-    return notNow(std::string(NotReadyCode), "A newer configuration is on its way to this entry.");
+  // The route or key may have been added in a newer declaration that this entry has not received
+  // yet. "No such route" would be wrong, and the caller would not retry.
+  if (!succeeded(Planned) && errorOf(Planned).Undeclared && Context.DeclarationStale)
+    return unavailableError(std::string(NotReadyCode),
+                            "A newer configuration is on its way to this entry.");
   return Planned;
 }
 
 /**
- * After the loss of all control hosts, or after a change, the next declaration is a moment away. A
- * refusal would bring the caller back into the same moment, and its second refusal is its last.
+ * After the loss of all control hosts, or after a change, the next declaration arrives within
+ * moments. A refused caller would retry within the same moment, and its second refusal is final.
  */
 asio::awaitable<result<call_plan, call_error>>
 caller_session::planWhenDeclared(const request_head &Head, mono_time Until) {
@@ -128,7 +129,7 @@
 asio::awaitable<caller_session::next_step> caller_session::serveModels(const call_plan &Plan,
                                                                        const request_head &Head) {
   const bool Reusable = Head.KeepAlive && !hasBody(Head);
-  const next_step After = Reusable ? next_step::Go : next_step::CloseAfterDrain;
+  const next_step After = Reusable ? next_step::Continue : next_step::CloseAfterDrain;
   const auto Body = modelsBody(std::get<models_call>(Plan.Kind), Plan.Declaration->declaration());
   if (!succeeded(Body))
     co_return co_await refuse(errorOf(Body), Plan.Account.str(), After);
@@ -145,9 +146,10 @@
   const bool Fits =
       Announced > Plan.BodyLimit || Context.BodyBytes + Announced <= Context.Limits.BodyMemory;
   if (!Fits || !Context.Outbox.hasRoom(RingReserve))
-    co_return co_await refuse(notNow("overloaded", "This entry has no room for the request now."),
-                              Plan.Account.str(), next_step::CloseAfterDrain);
-  body_share Share(Context.BodyBytes, std::min(Announced, Plan.BodyLimit));
+    co_return co_await refuse(
+        unavailableError("overloaded", "This entry has no capacity for the request now."),
+        Plan.Account.str(), next_step::CloseAfterDrain);
+  body_reservation Share(Context.BodyBytes, std::min(Announced, Plan.BodyLimit));
   auto Read = co_await Caller->readBody(Head, Plan.BodyLimit);
   if (std::holds_alternative<connection_ended>(Read))
     co_return next_step::Close;
@@ -155,36 +157,37 @@
     co_return co_await refuse(std::move(*Error), Plan.Account.str(), next_step::CloseAfterDrain);
   std::string Text = std::move(std::get<std::string>(Read));
   Share.resize(Text.size());
-  const next_step After = Head.KeepAlive ? next_step::Go : next_step::CloseAfterDrain;
-  auto Admitted = admit(Plan, Head, held_body{std::move(Text), std::move(Share)}, Arrived);
+  const next_step After = Head.KeepAlive ? next_step::Continue : next_step::CloseAfterDrain;
+  auto Admitted = admit(Plan, Head, request_body{std::move(Text), std::move(Share)}, Arrived);
   if (!succeeded(Admitted))
     co_return co_await refuse(errorOf(Admitted), Plan.Account.str(), After);
-  co_return co_await carryOut(valueOf(std::move(Admitted)), Head.KeepAlive);
+  co_return co_await executeCall(valueOf(std::move(Admitted)), Head.KeepAlive);
 }
 
 result<std::shared_ptr<relayed_call>, call_error> caller_session::admit(const call_plan &Plan,
                                                                         const request_head &Head,
-                                                                        held_body &&Body,
+                                                                        request_body &&Body,
                                                                         mono_time Arrived) {
   auto Planned = planBody(Plan, Head, Body.Text, Context.Tokens, Arrived);
   if (!succeeded(Planned))
     return errorOf(Planned);
   auto Call = makeCall(valueOf(std::move(Planned)), Plan, Head,
-                       std::make_shared<const held_body>(std::move(Body)));
-  if (auto Refused = refusalOfSuspect(*Call))
+                       std::make_shared<const request_body>(std::move(Body)));
+  if (auto Refused = suspectError(*Call))
     return std::move(*Refused);
   return Call;
 }
 
-std::optional<call_error> caller_session::refusalOfSuspect(const relayed_call &Call) const {
+std::optional<call_error> caller_session::suspectError(const relayed_call &Call) const {
   const mono_time Now = boot_clock::now();
-  const auto Mark = markIfSuspected(*Context.Suspects, Call);
-  const auto Until = Mark ? Context.Suspects->blockedUntil(*Mark, Now) : std::nullopt;
+  const auto Fingerprint = fingerprintIfSuspected(*Context.Suspects, Call);
+  const auto Until = Fingerprint ? Context.Suspects->blockedUntil(*Fingerprint, Now) : std::nullopt;
   if (!Until)
     return std::nullopt;
-  call_error Error = notNow("request_crashes_servers",
-                            "Servers crashed each time that this request ran (" + toText(*Mark) +
-                                "). It is not passed on until the time to come back is over.");
+  call_error Error =
+      unavailableError("request_crashes_servers",
+                       "Servers crashed each time this request ran (" + toText(*Fingerprint) +
+                           "). It is not forwarded before the retry time.");
   Error.RetryAfter = std::chrono::ceil<std::chrono::seconds>(*Until - Now);
   Error.Repeatable = false;
   return Error;
@@ -192,7 +195,7 @@
 
 std::shared_ptr<relayed_call> caller_session::makeCall(planned_call Planned, const call_plan &Plan,
                                                        const request_head &Head,
-                                                       std::shared_ptr<const held_body> Body) {
+                                                       std::shared_ptr<const request_body> Body) {
   Context.LastRequest = Context.LastRequest.next();
   Planned.Facts.Id = Context.LastRequest;
   auto Call = std::make_shared<relayed_call>(Context.Io, std::move(Planned), Caller);
@@ -205,24 +208,24 @@
   Call->Request.Headers = forwardedRequestHeaders(Head.Fields);
   Call->Request.TraceParent = traceParentFrom(Head.header("traceparent"), Context.Random);
   Call->Request.Body = std::move(Body);
-  if (const auto *Headed = std::get_if<headed_call>(&Plan.Kind)) {
-    Call->Headed = true;
+  if (const auto *HeaderRouted = std::get_if<header_routed_call>(&Plan.Kind)) {
+    Call->HeaderRouted = true;
     Call->SendName = SendName;
-    Call->LastEvent = Headed->Head.LastEvent;
+    Call->LastEvent = HeaderRouted->Head.LastEvent;
     Call->Request.Headers = endToEndHeaders(Head.Fields, Context.Interface.IsSystemHeader);
   }
   return Call;
 }
 
 asio::awaitable<caller_session::next_step>
-caller_session::carryOut(std::shared_ptr<relayed_call> Call, bool KeepAlive) {
+caller_session::executeCall(std::shared_ptr<relayed_call> Call, bool KeepAlive) {
   Context.Calls.emplace(Call->Facts.Id, Call);
   Context.Metrics.OpenCalls.Set(static_cast<double>(Context.Calls.size()));
   Context.Outbox.push(request_arrived{Call->Facts});
   Watching = true;
   asio::co_spawn(
       Context.Io, [Self = shared_from_this(), Call] { return Self->watchCaller(Call); }, rethrow);
-  while (!Call->concluded())
+  while (!Call->isFinished())
     co_await Call->Changed.wait();
   co_await endWatch();
   co_return co_await conclude(*Call, KeepAlive);
@@ -230,11 +233,12 @@
 
 asio::awaitable<void> caller_session::watchCaller(std::shared_ptr<relayed_call> Call) {
   timed_socket &Socket = Caller->socket();
-  while (!Call->concluded() && co_await Socket.waitReadable()) {
+  while (!Call->isFinished() && co_await Socket.waitReadable()) {
     if (Socket.peerClosed())
       Context.noteCallerGone(*Call);
     if (Call->CallerGone || Socket.hasInput())
-      break; // With the next request here already, only a failing write will tell.
+      break; // With the next request already received, only a failing write can reveal a
+             // disconnect.
   }
   Watching = false;
   WatchEnded.notify();
--- a/src/relay/caller_session_end.cpp
+++ b/src/relay/caller_session_end.cpp
@@ -1,4 +1,4 @@
-/** @file caller_session_end.cpp Tells the caller the end, and writes it down. */
+/** @file caller_session_end.cpp Sends the result to the caller and records it. */
 #include "relay/call_error_func.h"
 #include "relay/caller_session_base.h"
 
@@ -9,24 +9,24 @@
 namespace {
 
 constexpr std::string_view OutcomeHeader = "X-Pollenstall-Outcome";
-/// Chat/completions libraries read it before they look at the status.
+/// Chat/completions libraries check this header before the status.
 constexpr std::string_view ShouldRetryHeader = "X-Should-Retry";
 
-std::chrono::milliseconds since(mono_time Start, mono_time End) {
+std::chrono::milliseconds elapsed(mono_time Start, mono_time End) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(End - Start);
 }
 
-/// Callers name their sends, known callers or not: what goes to the log is bounded.
+/// Bounds the name for the log, because any caller may choose it, authenticated or not.
 std::string loggedName(const std::string &SendName) {
   constexpr std::size_t MostBytes = 128;
   return SendName.substr(0, MostBytes);
 }
 
 /**
- * The decision thread may settle on "not run" while the relay thread is handing the first byte to
- * the kernel. What went out here is known here, so the last word is this thread's.
+ * The decision thread may decide "not run" while the relay thread passes the first byte to the
+ * kernel. Only the relay thread knows which bytes were sent, so it corrects the outcome.
  */
-finish_request withSentBytes(const relayed_call &Call) {
+finish_request correctedFinish(const relayed_call &Call) {
   finish_request Finish = *Call.Finish;
   const bool NoAttempt = Finish.Reason == failure_reason::AlreadyRunning ||
                          Finish.Reason == failure_reason::AlreadyComplete;
@@ -47,7 +47,7 @@
                                                  const std::string &RequestId, bool Close) {
   answer_head Head;
   Head.Status = Error.Status;
-  // Callers of declared routes take 503 for the promise that nothing was run, and 504 for none.
+  // For callers of declared routes, 503 guarantees that nothing was run and 504 guarantees nothing.
   constexpr unsigned Unavailable = 503;
   constexpr unsigned FirstServerError = 500;
   if (Context.Interface.isSet() && Error.Outcome == final_outcome::NotRun &&
@@ -70,7 +70,8 @@
 
 asio::awaitable<void> caller_session::writeErrorEvent(const call_error &Error) {
   const std::string Event = "event: error\ndata: " + errorBody(Error) + "\n\n";
-  // The last chunk is left out: whoever misses the event still finds the answer cut.
+  // The last chunk is omitted, so that a caller that ignores the event still sees a truncated
+  // answer.
   co_await Caller->writePart(Event);
 }
 
@@ -86,40 +87,41 @@
     Record.Field = Error.Field;
     Context.AtCallEnd(Record);
   }
-  const bool Written = co_await writeError(Error, "", After != next_step::Go);
+  const bool Written = co_await writeError(Error, "", After != next_step::Continue);
   co_return Written ? After : next_step::Close;
 }
 
 asio::awaitable<caller_session::next_step> caller_session::conclude(relayed_call &Call,
                                                                     bool KeepAlive) {
   KeepAlive = KeepAlive && !Context.Draining;
-  const finish_request Finish = withSentBytes(Call);
+  const finish_request Finish = correctedFinish(Call);
   record(Call, Finish);
   Call.Request.Body.reset();
   if (Call.CallerGone)
     co_return next_step::Close;
   switch (Call.Stage) {
   case answer_stage::Ended:
-    co_return KeepAlive ? next_step::Go : next_step::Close;
+    co_return KeepAlive ? next_step::Continue : next_step::Close;
   case answer_stage::None: {
     const bool Written =
         co_await writeError(errorFor(Finish, Call.Facts.Idempotent), Call.RequestId, !KeepAlive);
-    co_return Written &&KeepAlive ? next_step::Go : next_step::Close;
+    co_return Written &&KeepAlive ? next_step::Continue : next_step::Close;
   }
   case answer_stage::Stream:
-    // The body must stay the engine's own; without the last chunk it does not look whole.
-    if (Call.Headed)
+    // The body must contain only the engine's bytes; without the last chunk it is visibly
+    // incomplete.
+    if (Call.HeaderRouted)
       co_return next_step::CloseAfterDrain;
     co_await writeErrorEvent(errorFor(Finish, Call.Facts.Idempotent));
     co_return next_step::CloseAfterDrain;
   default:
-    // Part of an answer of known length is there already: only a reset says that it is cut.
+    // Part of an answer of known length has been sent: only a reset shows that it is truncated.
     Caller->socket().abort();
     co_return next_step::Close;
   }
 }
 
-length_class caller_session::classOf(tokens Prompt) const {
+length_class caller_session::lengthClassOf(tokens Prompt) const {
   if (!Context.Declaration)
     return length_class::Short;
   const policy_declaration &Policy = Context.Declaration->declaration().Policy;
@@ -134,10 +136,10 @@
   Context.Metrics.countRequest(Finish.Outcome, Reason);
   if (Call.FirstByte)
     Context.Metrics.observeFirstToken(
-        classOf(Call.Facts.Prompt),
+        lengthClassOf(Call.Facts.Prompt),
         std::chrono::duration<double>(*Call.FirstByte - Call.Facts.Arrived).count());
   if (const auto Gap = Call.Gaps.longest())
-    Context.Metrics.observeGap(classOf(Call.Facts.Prompt),
+    Context.Metrics.observeGap(lengthClassOf(Call.Facts.Prompt),
                                std::chrono::duration<double>(*Gap).count());
   if (!Context.AtCallEnd)
     return;
@@ -153,11 +155,11 @@
   Record.Outcome = Finish.Outcome;
   Record.Reason = Reason;
   Record.Prompt = Call.Facts.Prompt;
-  Record.Took = since(Call.Facts.Arrived, Now);
+  Record.Took = elapsed(Call.Facts.Arrived, Now);
   if (Call.LastSent)
-    Record.SentAfter = since(Call.Facts.Arrived, *Call.LastSent);
+    Record.SentAfter = elapsed(Call.Facts.Arrived, *Call.LastSent);
   if (Call.FirstByte)
-    Record.FirstByteAfter = since(Call.Facts.Arrived, *Call.FirstByte);
+    Record.FirstByteAfter = elapsed(Call.Facts.Arrived, *Call.FirstByte);
   if (const auto Gap = Call.Gaps.longest())
     Record.LongestGap = std::chrono::duration_cast<std::chrono::milliseconds>(*Gap);
   Context.AtCallEnd(Record);
--- a/src/relay/event_gaps_base.h
+++ b/src/relay/event_gaps_base.h
@@ -1,4 +1,4 @@
-/** @file event_gaps_base.h The pauses inside of a stream. */
+/** @file event_gaps_base.h Measures the gaps between the events of a stream. */
 #ifndef POLLENSTALL_RELAY_EVENT_GAPS_BASE_H
 #define POLLENSTALL_RELAY_EVENT_GAPS_BASE_H
 
@@ -9,17 +9,17 @@
 
 namespace pollenstall {
 
-/// The longest time between two events of one answer, over all the attempts that it is made of.
+/// Tracks the longest time between two events of one answer, across all of its attempts.
 class event_gaps {
 public:
-  /// Events are passed on; those that are passed on together count as one.
+  /// Records that events were relayed; events relayed together count as one.
   void note(mono_time Now) {
     if (Last)
       Longest = std::max(Longest.value_or(mono_duration::zero()), Now - *Last);
     Last = Now;
   }
 
-  /// @return Nothing where events were passed on only once.
+  /// Returns nothing if events were relayed fewer than twice.
   [[nodiscard]] std::optional<mono_duration> longest() const { return Longest; }
 
 private:
--- a/src/relay/event_outbox_base.h
+++ b/src/relay/event_outbox_base.h
@@ -1,5 +1,5 @@
-/** @file event_outbox_base.h Hands events to another thread's ring and loses none when it is full.
- */
+/** @file event_outbox_base.h Passes events to another thread's ring without losing any when it is
+ * full. */
 #ifndef POLLENSTALL_RELAY_EVENT_OUTBOX_BASE_H
 #define POLLENSTALL_RELAY_EVENT_OUTBOX_BASE_H
 
@@ -11,38 +11,38 @@
 namespace pollenstall {
 
 /**
- * The producer's end of a ring. A lost "attempt failed" would leave a request without an end, so
- * that what does not fit waits here in order; new work is refused by looking at hasRoom() first,
- * which bounds what can wait by the work already admitted.
+ * The producer's end of a ring. A lost "attempt failed" event would leave a request without an end,
+ * so events that do not fit are queued here in order. New work is refused if hasRoom() is false, so
+ * the work already admitted bounds the queue.
  */
-template <typename Item> class event_outbox {
+template <typename Event> class event_outbox {
 public:
-  explicit event_outbox(bounded_ring<Item> &Target) : Ring(Target) {}
+  explicit event_outbox(bounded_ring<Event> &Target) : Ring(Target) {}
 
-  void push(Item Value) {
-    // Only this side pushes, so that room found here is still there.
-    if (Waiting.empty() && Ring.room() > 0)
-      Ring.push(std::move(Value));
+  void push(Event NewEvent) {
+    // Only this side pushes, so the room found here cannot disappear.
+    if (Queue.empty() && Ring.room() > 0)
+      Ring.push(std::move(NewEvent));
     else
-      Waiting.push_back(std::move(Value));
+      Queue.push_back(std::move(NewEvent));
   }
 
-  /// Hands over what waits, as far as there is room. @return Whether nothing waits any more.
+  /// Moves queued events to the ring while it has room. @return Whether the queue is empty.
   bool flush() {
-    while (!Waiting.empty() && Ring.push(std::move(Waiting.front())))
-      Waiting.pop_front();
-    return Waiting.empty();
+    while (!Queue.empty() && Ring.push(std::move(Queue.front())))
+      Queue.pop_front();
+    return Queue.empty();
   }
 
-  /// @return Whether new work may be pushed. @param Reserve Places kept for admitted work.
+  /// Returns whether new work may be pushed. @param Reserve Ring slots reserved for admitted work.
   [[nodiscard]] bool hasRoom(std::size_t Reserve) const {
-    return Waiting.empty() && Ring.room() > Reserve;
+    return Queue.empty() && Ring.room() > Reserve;
   }
-  [[nodiscard]] std::size_t waiting() const { return Waiting.size(); }
+  [[nodiscard]] std::size_t queued() const { return Queue.size(); }
 
 private:
-  bounded_ring<Item> &Ring;
-  std::deque<Item> Waiting;
+  bounded_ring<Event> &Ring;
+  std::deque<Event> Queue;
 };
 
 } // namespace pollenstall
--- a/src/relay/event_scanner.cpp
+++ b/src/relay/event_scanner.cpp
@@ -1,4 +1,4 @@
-/** @file event_scanner.cpp Server-sent events: lines, ids, the end mark. */
+/** @file event_scanner.cpp Ids and the end marker of server-sent event streams. */
 #include "relay/event_scanner_base.h"
 
 namespace pollenstall {
@@ -16,10 +16,10 @@
 
 } // namespace
 
-result<bool, event_stream_error> event_scanner::take(std::string_view Event) {
+result<bool, event_stream_error> event_scanner::addEvent(std::string_view Event) {
   const event_fields Fields = readEvent(Event);
   if (!Fields.HasData)
-    return false; // A comment, as engines send to keep a connection open.
+    return false; // A comment; engines send them to keep a connection open.
   const auto Id = eventIdFrom(Fields.Id);
   if (!Id)
     return event_stream_error::IdMissing;
@@ -40,14 +40,14 @@
   while (Found.WholeBytes < Bytes.size()) {
     if (Ended)
       return event_stream_error::AfterEnd;
-    const std::string_view Left = Bytes.substr(Found.WholeBytes);
-    const auto End = Ends.next(Left);
+    const std::string_view Remaining = Bytes.substr(Found.WholeBytes);
+    const auto End = Ends.next(Remaining);
     if (!End)
       break;
-    const auto Taken = take(Left.substr(0, *End));
-    if (!succeeded(Taken))
-      return errorOf(Taken);
-    Found.Events += valueOf(Taken) ? 1 : 0;
+    const auto HasToken = addEvent(Remaining.substr(0, *End));
+    if (!succeeded(HasToken))
+      return errorOf(HasToken);
+    Found.Events += valueOf(HasToken) ? 1 : 0;
     Found.WholeBytes += *End;
   }
   return Found;
--- a/src/relay/event_scanner_base.h
+++ b/src/relay/event_scanner_base.h
@@ -1,4 +1,5 @@
-/** @file event_scanner_base.h Finds whole events in a server-sent event stream, read by read. */
+/** @file event_scanner_base.h Finds complete events in a server-sent event stream that arrives in
+ * pieces. */
 #ifndef POLLENSTALL_RELAY_EVENT_SCANNER_BASE_H
 #define POLLENSTALL_RELAY_EVENT_SCANNER_BASE_H
 
@@ -12,44 +13,45 @@
 
 namespace pollenstall {
 
-/// Why a stream cannot be relayed further.
+/// Why a stream cannot be relayed any further.
 enum class event_stream_error : std::uint8_t {
-  IdMissing, ///< An event without a usable id.
-  IdGap,     ///< An id that does not follow the one before it.
+  IdMissing, ///< An event without a valid id.
+  IdGap,     ///< An id that does not follow the previous one.
   AfterEnd,  ///< Bytes after "[DONE]".
 };
 
-/// What a scan found at the start of the bytes it was given.
+/// What a scan found at the start of its input.
 struct event_scan {
-  std::size_t WholeBytes{0}; ///< These end at the end of an event and may be relayed.
-  std::uint64_t Events{0};   ///< Events with a token in WholeBytes; "[DONE]" is not counted.
+  std::size_t WholeBytes{0}; ///< Ends at an event boundary; these bytes may be relayed.
+  std::uint64_t Events{
+      0}; ///< Number of events with a token in WholeBytes; "[DONE]" is not counted.
 };
 
 /**
- * Checks that ids count without gaps and notices "[DONE]".
- * Only whole events are handed on: half an event relayed before a break could not be completed by a
- * resume, and the caller would read two halves as one event.
+ * Checks that ids are consecutive and detects "[DONE]". Only complete events are relayed: a resume
+ * could not complete half an event relayed before a break, and the caller would read two halves as
+ * one event.
  */
 class event_scanner {
 public:
-  /// @param LastId The event after which the stream goes on; 0 at its start.
+  /// @param LastId The event after which the stream resumes; 0 at its start.
   explicit event_scanner(std::uint64_t LastId = 0) : Last(LastId) {}
 
   /**
-   * Scans bytes that start at the start of an event. Bytes behind WholeBytes are to be given again
-   * with what follows them; they are not searched twice for the end of an event.
+   * Scans bytes that begin at the start of an event. Pass the bytes after WholeBytes again together
+   * with the bytes that follow; they are not searched twice for the end of an event.
    */
   result<event_scan, event_stream_error> scan(std::string_view Bytes);
 
-  /// @return Id of the last whole event.
+  /// Returns the id of the last complete event.
   [[nodiscard]] std::uint64_t lastId() const { return Last; }
-  /// @return Whether "[DONE]" was seen, so that the answer is whole.
+  /// Returns whether "[DONE]" was received, which means that the answer is complete.
   [[nodiscard]] bool ended() const { return Ended; }
-  /// @return The data of the last event that carried "usage", for the engine's token counts.
+  /// Returns the data of the last event with "usage", which has the engine's token counts.
   [[nodiscard]] const std::string &usageData() const { return Usage; }
 
 private:
-  result<bool, event_stream_error> take(std::string_view Event);
+  result<bool, event_stream_error> addEvent(std::string_view Event);
 
   std::uint64_t Last;
   event_end_finder Ends;
--- a/src/relay/event_text.cpp
+++ b/src/relay/event_text.cpp
@@ -14,18 +14,18 @@
   return Line;
 }
 
-void readLine(std::string_view Line, event_fields &Into) {
+void readLine(std::string_view Line, event_fields &Parsed) {
   if (!Line.empty() && Line.back() == '\r')
     Line.remove_suffix(1);
   if (Line.starts_with("id:")) {
-    Into.Id = valueAfter(Line, 2);
-  } else if (Line.starts_with("data:") && !Into.HasData) {
-    Into.Data = valueAfter(Line, 4);
-    Into.HasData = true;
+    Parsed.Id = valueAfter(Line, 2);
+  } else if (Line.starts_with("data:") && !Parsed.HasData) {
+    Parsed.Data = valueAfter(Line, 4);
+    Parsed.HasData = true;
   }
 }
 
-std::optional<std::size_t> endOfEvent(std::string_view Bytes, std::size_t From) {
+std::optional<std::size_t> findEventEnd(std::string_view Bytes, std::size_t From) {
   for (std::size_t At = Bytes.find('\n', From); At != std::string_view::npos;
        At = Bytes.find('\n', At + 1)) {
     if (At + 1 < Bytes.size() && Bytes[At + 1] == '\n')
@@ -38,11 +38,11 @@
 
 } // namespace
 
-std::optional<std::size_t> event_end_finder::next(std::string_view Left) {
-  // The last three bytes searched may hold the start of the blank line.
+std::optional<std::size_t> event_end_finder::next(std::string_view Remaining) {
+  // The last three bytes searched may contain the start of the blank line.
   constexpr std::size_t Overlap = 3;
-  const auto End = endOfEvent(Left, Searched > Overlap ? Searched - Overlap : 0);
-  Searched = End ? 0 : Left.size();
+  const auto End = findEventEnd(Remaining, Searched > Overlap ? Searched - Overlap : 0);
+  Searched = End ? 0 : Remaining.size();
   return End;
 }
 
--- a/src/relay/header_filter.cpp
+++ b/src/relay/header_filter.cpp
@@ -1,4 +1,4 @@
-/** @file header_filter.cpp Hop-by-hop headers and the system's own never pass. */
+/** @file header_filter.cpp Removes hop-by-hop headers and the system's own headers. */
 #include "relay/header_filter_func.h"
 
 #include <boost/beast/core/string.hpp>
@@ -25,12 +25,12 @@
                                                     "content-length",
                                                     "http2-settings"};
 
-/// Set anew by the entry, or meant for the entry alone.
+/// Replaced by the entry, or meant for the entry only.
 constexpr std::array<std::string_view, 7> EntryOnly{
     "authorization",       "host", "expect", "traceparent", "x-request-id", "x-prompt-tokens",
     "x-request-timeout-ms"};
 
-/// Lower case, and "-" for "_": CGI-like servers read both as one name.
+/// Converts to lower case and "_" to "-": CGI-like servers treat both spellings as one name.
 std::string folded(std::string_view Name) {
   std::string Text(Name);
   for (char &Character : Text) {
@@ -71,17 +71,18 @@
 
 } // namespace
 
-bool isOwnHeader(std::string_view Name) { return folded(Name).starts_with("x-pollenstall-"); }
+bool isReservedHeader(std::string_view Name) { return folded(Name).starts_with("x-pollenstall-"); }
 
 std::vector<header_line> forwardedRequestHeaders(const http::fields &Fields) {
   return filtered(Fields, [](const std::string &Name) {
-    return isOwnHeader(Name) || contains(EntryOnly, Name);
+    return isReservedHeader(Name) || contains(EntryOnly, Name);
   });
 }
 
 std::vector<header_line> forwardedAnswerHeaders(const http::fields &Fields) {
-  return filtered(
-      Fields, [](const std::string &Name) { return isOwnHeader(Name) || Name == "x-request-id"; });
+  return filtered(Fields, [](const std::string &Name) {
+    return isReservedHeader(Name) || Name == "x-request-id";
+  });
 }
 
 std::vector<header_line>
--- a/src/relay/header_filter_func.h
+++ b/src/relay/header_filter_func.h
@@ -1,4 +1,4 @@
-/** @file header_filter_func.h Which headers pass between callers and backend servers. */
+/** @file header_filter_func.h Selects the headers forwarded between callers and backend servers. */
 #ifndef POLLENSTALL_RELAY_HEADER_FILTER_FUNC_H
 #define POLLENSTALL_RELAY_HEADER_FILTER_FUNC_H
 
@@ -18,22 +18,24 @@
 };
 
 /**
- * @return The caller's end-to-end headers. Hop-by-hop headers, those that Connection names, the
- * caller's key, and names that only the system may set are left out: a caller that could set
+ * Returns the caller's end-to-end headers. Hop-by-hop headers, headers named by Connection, the
+ * caller's key and names that only the system may set are removed: a caller that could set
  * X-Pollenstall-Attempt could have another caller's attempt cancelled.
  */
 std::vector<header_line> forwardedRequestHeaders(const boost::beast::http::fields &Fields);
 
-/// @return The end-to-end headers for which IsDropped does not hold, nothing else left out.
+/// Returns the end-to-end headers for which IsDropped is false.
 std::vector<header_line>
 endToEndHeaders(const boost::beast::http::fields &Fields,
                 const std::function<bool(std::string_view Name)> &IsDropped);
 
-/// @return A backend server's end-to-end headers, without framing and without the system's own.
+/// Returns a backend server's end-to-end headers without framing headers and the system's own
+/// headers.
 std::vector<header_line> forwardedAnswerHeaders(const boost::beast::http::fields &Fields);
 
-/// @return Whether the name is one of the system's own, in any spelling that a server may fold.
-bool isOwnHeader(std::string_view Name);
+/// Returns whether the name is reserved for the system, in any spelling that a server may normalize
+/// to it.
+bool isReservedHeader(std::string_view Name);
 
 } // namespace pollenstall
 
--- a/src/relay/headed_plan.cpp
+++ b/src/relay/header_routed_plan.cpp
@@ -1,4 +1,5 @@
-/** @file headed_plan.cpp Calls of declared routes: who calls, where to, until when. */
+/** @file header_routed_plan.cpp Plans calls of declared routes: client account, target and
+ * deadline. */
 #include "operators/operators.h"
 #include "relay/call_error_func.h"
 #include "relay/call_plan_func.h"
@@ -25,13 +26,14 @@
 
 } // namespace
 
-result<call_plan, call_error> planHeadedCall(const request_head &Head, const declaration_view &View,
-                                             const call_interface &Interface) {
-  auto Read = Interface.ReadHead(Head);
-  if (!succeeded(Read))
-    return errorOf(Read);
-  headed_call Call;
-  Call.Head = valueOf(std::move(Read));
+result<call_plan, call_error> planHeaderRoutedCall(const request_head &Head,
+                                                   const declaration_view &View,
+                                                   const call_interface &Interface) {
+  auto Parsed = Interface.ReadHead(Head);
+  if (!succeeded(Parsed))
+    return errorOf(Parsed);
+  header_routed_call Call;
+  Call.Head = valueOf(std::move(Parsed));
   const std::string_view Path = std::string_view(Head.Target).substr(0, Head.Target.find('?'));
   Call.Route = View->findCallRoute(Head.header("Host"), Path);
   if (!Call.Route)
@@ -53,8 +55,8 @@
   return Plan;
 }
 
-planned_call planHeaded(const call_plan &Plan, mono_time Now) {
-  const headed_call &Call = std::get<headed_call>(Plan.Kind);
+planned_call planFromHeaders(const call_plan &Plan, mono_time Now) {
+  const header_routed_call &Call = std::get<header_routed_call>(Plan.Kind);
   const call_route &Route = *Call.Route;
   const account_declaration *Account = Plan.Declaration->findAccountByName(Plan.Account);
   planned_call Planned;
--- a/src/relay/memory_holds.cpp
+++ b/src/relay/memory_holds.cpp
@@ -1,9 +1,9 @@
-/** @file memory_holds.cpp Takes, renews and gives back memory at engines. */
+/** @file memory_holds.cpp Acquires, renews and releases memory holds at engines. */
 #include "relay/memory_holds_base.h"
 
 #include "relay/attempt_head_func.h"
 #include "relay/rethrow_func.h"
-#include "relay/short_call_func.h"
+#include "relay/unary_call_func.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/redirect_error.hpp>
@@ -17,28 +17,28 @@
 namespace {
 
 constexpr unsigned Ok = 200;
-/// What an entry that dies leaves behind is free after this.
-constexpr std::chrono::milliseconds HoldLasts{3'500};
-/// Three may be lost in a row.
+/// The holds of a crashed entry expire after this time.
+constexpr std::chrono::milliseconds HoldTtl{3'500};
+/// Short enough that three renewals in a row may be lost.
 constexpr std::chrono::milliseconds RenewInterval{900};
-constexpr int ReleaseTries = 3;
+constexpr int MaxReleaseAttempts = 3;
 constexpr std::chrono::milliseconds ReleasePause{200};
 
 } // namespace
 
-asio::awaitable<bool> memory_holds::ask(const memory_hold &Hold) const {
+asio::awaitable<bool> memory_holds::requestHold(const memory_hold &Hold) const {
   const backend_call Call =
-      Context.Interface.TakeHold({holdName(Attempt, Hold.Backend), Hold.Amount, HoldLasts});
-  const auto Answer = co_await callShortly(Context.Links, Context.Limits, Hold.Backend,
-                                           backendCallText(Call, Hold.Backend));
+      Context.Interface.AcquireHold({holdName(Attempt, Hold.Backend), Hold.Amount, HoldTtl});
+  const auto Answer = co_await unaryCall(Context.Pool, Context.Limits, Hold.Backend,
+                                         backendCallText(Call, Hold.Backend));
   co_return Answer && Answer->Status == Ok;
 }
 
-asio::awaitable<bool> memory_holds::take() {
+asio::awaitable<bool> memory_holds::acquire() {
   if (Holds.empty())
     co_return true;
-  Asked = true;
-  const bool Held = co_await askAll(on_refusal::Stop);
+  MayHold = true;
+  const bool Held = co_await requestAll(on_refusal::Stop);
   if (!Held || Released) {
     release();
     co_return false;
@@ -48,17 +48,17 @@
   co_return true;
 }
 
-asio::awaitable<bool> memory_holds::askAll(on_refusal Then) {
+asio::awaitable<bool> memory_holds::requestAll(on_refusal OnRefusal) {
   bool Held = true;
-  Asking = true;
+  RequestInFlight = true;
   for (const memory_hold &Hold : Holds)
-    if (!Released && (Then == on_refusal::GoOn || (Held && IsNeeded())))
-      Held = co_await ask(Hold) && Held;
+    if (!Released && (OnRefusal == on_refusal::Continue || (Held && IsNeeded())))
+      Held = co_await requestHold(Hold) && Held;
     else
       Held = false;
-  Asking = false;
+  RequestInFlight = false;
   if (Released)
-    startEnd();
+    startRelease();
   co_return Held;
 }
 
@@ -69,31 +69,32 @@
     Timer.expires_after(RenewInterval);
     co_await Timer.async_wait(asio::redirect_error(asio::use_awaitable, Ignored));
     if (!Released)
-      co_await askAll(on_refusal::GoOn);
+      co_await requestAll(on_refusal::Continue);
   }
 }
 
 void memory_holds::release() {
-  if (!Asked || std::exchange(Released, true))
+  if (!MayHold || std::exchange(Released, true))
     return;
-  if (!Asking)
-    startEnd();
+  if (!RequestInFlight)
+    startRelease();
 }
 
-void memory_holds::startEnd() {
+void memory_holds::startRelease() {
   asio::co_spawn(
-      Context.Io, [Self = shared_from_this()] { return Self->end(); }, rethrow);
+      Context.Io, [Self = shared_from_this()] { return Self->sendReleases(); }, rethrow);
 }
 
-asio::awaitable<void> memory_holds::end() {
+asio::awaitable<void> memory_holds::sendReleases() {
   boost::system::error_code Ignored;
   asio::steady_timer Timer(Context.Io);
   for (const memory_hold &Hold : Holds) {
-    const backend_call Call = Context.Interface.EndHold(holdName(Attempt, Hold.Backend));
+    const backend_call Call = Context.Interface.ReleaseHold(holdName(Attempt, Hold.Backend));
     const std::string Text = backendCallText(Call, Hold.Backend);
-    for (int Try = 0; Try < ReleaseTries && !Context.Ended; ++Try) {
-      if (co_await callShortly(Context.Links, Context.Limits, Hold.Backend, Text))
-        break; // Whatever it says: it holds nothing under this name any more.
+    for (int ReleaseAttempt = 0; ReleaseAttempt < MaxReleaseAttempts && !Context.Ended;
+         ++ReleaseAttempt) {
+      if (co_await unaryCall(Context.Pool, Context.Limits, Hold.Backend, Text))
+        break; // Any answer will do: the engine holds nothing under this name any more.
       Timer.expires_after(ReleasePause);
       co_await Timer.async_wait(asio::redirect_error(asio::use_awaitable, Ignored));
     }
--- a/src/relay/memory_holds_base.h
+++ b/src/relay/memory_holds_base.h
@@ -1,4 +1,4 @@
-/** @file memory_holds_base.h Memory that is set aside at several engines for one attempt. */
+/** @file memory_holds_base.h Holds memory at several engines for one attempt. */
 #ifndef POLLENSTALL_RELAY_MEMORY_HOLDS_BASE_H
 #define POLLENSTALL_RELAY_MEMORY_HOLDS_BASE_H
 
@@ -13,40 +13,41 @@
 namespace pollenstall {
 
 /**
- * All or nothing, in the order given: two attempts that take theirs in one order of engines cannot
- * wait for each other. Each hold is short and asked for again while the attempt runs: of an entry
- * that dies nothing is left behind for longer than one hold, and an order that an engine carries
- * out late does no more harm.
+ * Acquires all holds or none, in the given order: two attempts that use one order of engines cannot
+ * deadlock. Each hold has a short lifetime and is renewed while the attempt runs. Thus the holds of
+ * a crashed entry last no longer than one lifetime, and a request that an engine executes late does
+ * no more harm than that.
  */
 class memory_holds : public std::enable_shared_from_this<memory_holds> {
 public:
-  /// @param Needed Whether the attempt is still to be sent; asked before each engine.
-  memory_holds(relay_context &Shared, const attempt_id &For, std::vector<memory_hold> Wanted,
-               std::function<bool()> Needed)
-      : Context(Shared), Attempt(For), Holds(std::move(Wanted)), IsNeeded(std::move(Needed)) {}
-
-  /// @return Whether all of them are held; otherwise none is kept.
-  boost::asio::awaitable<bool> take();
-  /// Gives them back and renews them no more; may be called again. Where an engine is being asked
-  /// just now, its answer is waited for: a release that arrives first leaves memory held that
-  /// nobody uses.
+  /// @param NeededCheck Whether the attempt is still to be sent; checked before each engine.
+  memory_holds(relay_context &Shared, const attempt_id &AttemptId,
+               std::vector<memory_hold> RequestedHolds, std::function<bool()> NeededCheck)
+      : Context(Shared), Attempt(AttemptId), Holds(std::move(RequestedHolds)),
+        IsNeeded(std::move(NeededCheck)) {}
+
+  /// Returns whether all engines hold the memory; otherwise all holds are released.
+  boost::asio::awaitable<bool> acquire();
+  /// Releases the holds and stops renewing them; may be called repeatedly. If a request to an
+  /// engine is in flight, the release waits for its answer: a release that arrives before the
+  /// request would leave memory held without a user.
   void release();
 
 private:
-  enum class on_refusal { Stop, GoOn };
-  /// @return Whether all engines that were asked hold it.
-  boost::asio::awaitable<bool> askAll(on_refusal Then);
-  boost::asio::awaitable<bool> ask(const memory_hold &Hold) const;
+  enum class on_refusal { Stop, Continue };
+  /// Returns whether all engines that were asked confirmed the hold.
+  boost::asio::awaitable<bool> requestAll(on_refusal OnRefusal);
+  boost::asio::awaitable<bool> requestHold(const memory_hold &Hold) const;
   boost::asio::awaitable<void> renew();
-  void startEnd();
-  boost::asio::awaitable<void> end();
+  void startRelease();
+  boost::asio::awaitable<void> sendReleases();
 
   relay_context &Context;
   const attempt_id Attempt;
   const std::vector<memory_hold> Holds;
   const std::function<bool()> IsNeeded;
-  bool Asked{false};  ///< An engine may hold some.
-  bool Asking{false}; ///< An engine's answer is waited for.
+  bool MayHold{false};         ///< An engine may hold memory.
+  bool RequestInFlight{false}; ///< A request to an engine is in flight.
   bool Released{false};
 };
 
--- a/src/relay/message_feed_base.h
+++ b/src/relay/message_feed_base.h
@@ -1,4 +1,4 @@
-/** @file message_feed_base.h Feeds a Beast parser with bytes as they are read. */
+/** @file message_feed_base.h Feeds received bytes to a Beast parser. */
 #ifndef POLLENSTALL_RELAY_MESSAGE_FEED_BASE_H
 #define POLLENSTALL_RELAY_MESSAGE_FEED_BASE_H
 
@@ -15,38 +15,38 @@
 namespace pollenstall {
 
 /**
- * Keeps the bytes that the parser has not taken yet (part of a head or of a chunk's frame) and
- * gives them again with the next ones.
- * @tparam IsRequest Which side's messages.
+ * Keeps the bytes that the parser has not consumed (part of a head or of a chunk header) and passes
+ * them again with the next ones.
+ * @tparam IsRequest True for requests, false for responses.
  */
 template <bool IsRequest> class message_feed {
 public:
   using parser = boost::beast::http::parser<IsRequest, appending_body>;
 
-  /// @param PendingLimit Bytes of heads, chunk frames and trailers that are kept at most.
+  /// @param PendingLimit Maximum number of unconsumed bytes of heads, chunk headers and trailers.
   explicit message_feed(std::size_t PendingLimit) : Limit(PendingLimit) {
     Parser.header_limit(std::numeric_limits<std::uint32_t>::max());
     Parser.body_limit(boost::none);
     Parser.eager(true);
   }
 
-  /// Takes bytes; the body's part of them is appended to body(). @return False on bytes that are
-  /// not a message.
+  /// Parses bytes; body bytes are appended to body(). @return False if the bytes are not valid
+  /// HTTP.
   bool feed(std::string_view Bytes) {
     if (!Pending.empty()) {
       Pending.append(Bytes);
       Bytes = Pending;
     }
     const std::size_t Used = put(Bytes);
-    const std::string_view Left = Bytes.substr(Used);
+    const std::string_view Unconsumed = Bytes.substr(Used);
     if (Pending.empty())
-      Pending.assign(Left);
+      Pending.assign(Unconsumed);
     else
       Pending.erase(0, Used);
     return !Code && Pending.size() <= Limit;
   }
 
-  /// The connection ended. @return Whether the message is whole.
+  /// Handles the end of the connection. @return Whether the message is complete.
   bool finish() {
     boost::system::error_code End;
     if (!Parser.is_done())
@@ -58,23 +58,23 @@
   [[nodiscard]] bool done() const { return Parser.is_done(); }
   [[nodiscard]] std::string &body() { return Parser.get().body(); }
   [[nodiscard]] parser &message() { return Parser; }
-  /// @return Bytes behind the message.
-  [[nodiscard]] std::string takeLeft() { return std::move(Pending); }
-  [[nodiscard]] bool hasLeft() const { return !Pending.empty(); }
+  /// Returns the bytes after the message.
+  [[nodiscard]] std::string takeRemainder() { return std::move(Pending); }
+  [[nodiscard]] bool hasRemainder() const { return !Pending.empty(); }
 
 private:
-  /// @return How many bytes the parser took.
+  /// Returns the number of bytes that the parser consumed.
   std::size_t put(std::string_view Bytes) {
     std::size_t Used = 0;
     while (Used < Bytes.size() && !Parser.is_done()) {
-      const std::size_t Taken =
+      const std::size_t Consumed =
           Parser.put(boost::asio::buffer(Bytes.data() + Used, Bytes.size() - Used), Code);
-      Used += Taken;
+      Used += Consumed;
       if (Code == boost::beast::http::error::need_more) {
         Code = {};
         break;
       }
-      if (Code || Taken == 0)
+      if (Code || Consumed == 0)
         break;
     }
     return Used;
--- a/src/relay/open_event_scanner.cpp
+++ b/src/relay/open_event_scanner.cpp
@@ -1,4 +1,4 @@
-/** @file open_event_scanner.cpp Whole events and their ids. */
+/** @file open_event_scanner.cpp Checks the ids of complete events. */
 #include "relay/open_event_scanner_base.h"
 
 namespace pollenstall {
@@ -12,11 +12,11 @@
     return event_stream_error::IdMissing;
   if (*Id <= Last && Last > 0)
     return false;
-  // A first event other than the next one: the engine did not go on where it was asked to.
-  const bool Follows = *Id == Last + 1 || (Last == 0 && !Seen);
+  // If the first event is not the next one, the engine did not resume after the requested event.
+  const bool Follows = *Id == Last + 1 || (Last == 0 && !HasSeenId);
   if (!Follows)
     return event_stream_error::IdGap;
-  Seen = true;
+  HasSeenId = true;
   Last = *Id;
   return true;
 }
@@ -24,20 +24,20 @@
 result<open_event_scan, event_stream_error> open_event_scanner::scan(std::string_view Bytes,
                                                                      bool AtEnd) {
   open_event_scan Found;
-  while (const auto End = Ends.next(Bytes.substr(Found.Taken))) {
-    const std::string_view Event = Bytes.substr(Found.Taken, *End);
-    const auto New = isNew(Event);
-    if (!succeeded(New))
-      return errorOf(New);
-    Found.Taken += *End;
-    if (!valueOf(New))
+  while (const auto End = Ends.next(Bytes.substr(Found.Consumed))) {
+    const std::string_view Event = Bytes.substr(Found.Consumed, *End);
+    const auto IsNew = isNew(Event);
+    if (!succeeded(IsNew))
+      return errorOf(IsNew);
+    Found.Consumed += *End;
+    if (!valueOf(IsNew))
       continue;
     Found.Ready += Event;
     ++Found.Events;
   }
   if (AtEnd) {
-    Found.Ready += Bytes.substr(Found.Taken);
-    Found.Taken = Bytes.size();
+    Found.Ready += Bytes.substr(Found.Consumed);
+    Found.Consumed = Bytes.size();
   }
   return Found;
 }
--- a/src/relay/open_event_scanner_base.h
+++ b/src/relay/open_event_scanner_base.h
@@ -1,5 +1,5 @@
-/** @file open_event_scanner_base.h Finds whole events in a stream whose end is that of its message.
- */
+/** @file open_event_scanner_base.h Finds complete events in a stream that ends with its HTTP
+ * message. */
 #ifndef POLLENSTALL_RELAY_OPEN_EVENT_SCANNER_BASE_H
 #define POLLENSTALL_RELAY_OPEN_EVENT_SCANNER_BASE_H
 
@@ -13,24 +13,25 @@
 
 namespace pollenstall {
 
-/// What a scan found at the start of the bytes it was given.
+/// What a scan found at the start of its input.
 struct open_event_scan {
-  std::string Ready;       ///< Whole events that the caller does not have yet.
-  std::size_t Taken{0};    ///< Bytes that need not be given again.
-  std::uint64_t Events{0}; ///< With an id, in Ready.
+  std::string Ready;       ///< Complete events that the caller does not have yet.
+  std::size_t Consumed{0}; ///< Bytes consumed; they must not be passed again.
+  std::uint64_t Events{0}; ///< Number of events in Ready that have an id.
 };
 
 /**
- * Ids rise by one; there is no mark at the end. Events without an id are passed on as they are.
+ * Ids increase by one; the stream has no end marker. Events without an id are relayed unchanged.
  */
 class open_event_scanner {
 public:
-  /// @param LastId The event that the caller has; 0 at the start.
+  /// @param LastId The last event that the caller has; 0 at the start.
   explicit open_event_scanner(std::uint64_t LastId) : Last(LastId) {}
 
-  /// @param AtEnd The message has ended: what is left belongs to it, event or not.
+  /// @param AtEnd The message has ended: the remaining bytes belong to it even if they are no
+  /// complete event.
   result<open_event_scan, event_stream_error> scan(std::string_view Bytes, bool AtEnd);
-  /// @return Id of the last whole event.
+  /// Returns the id of the last complete event.
   [[nodiscard]] std::uint64_t lastId() const { return Last; }
 
 private:
@@ -38,7 +39,7 @@
 
   event_end_finder Ends;
   std::uint64_t Last;
-  bool Seen{false}; ///< An event with an id came from this engine.
+  bool HasSeenId{false}; ///< This engine has sent an event with an id.
 };
 
 } // namespace pollenstall
--- a/src/relay/prompt_facts_type.h
+++ b/src/relay/prompt_facts_type.h
@@ -1,4 +1,4 @@
-/** @file prompt_facts_type.h What is read from the body of a model call. */
+/** @file prompt_facts_type.h The facts read from the body of a model call. */
 #ifndef POLLENSTALL_RELAY_PROMPT_FACTS_TYPE_H
 #define POLLENSTALL_RELAY_PROMPT_FACTS_TYPE_H
 
@@ -12,29 +12,32 @@
 
 namespace pollenstall {
 
-/// Which of the two interfaces a body is for.
+/// Which of the two APIs a body is for.
 enum class prompt_form : std::uint8_t {
-  Chat,       ///< "messages".
-  Completion, ///< "prompt".
+  Chat,       ///< Has "messages".
+  Completion, ///< Has "prompt".
 };
 
-/// Facts that routing needs; the prompt itself stays in the body.
+/// The facts that routing needs; the prompt itself stays in the body.
 struct prompt_facts {
   std::string Model;
   bool Stream{false};
-  std::optional<std::int64_t> AnswerLimit; ///< max_completion_tokens, else max_tokens.
-  byte_count PromptBytes;                  ///< Text of all messages, unescaped.
-  std::vector<std::uint64_t> PrefixHashes; ///< Of leading chunks, each continued from the last.
+  std::optional<std::int64_t> AnswerLimit; ///< max_completion_tokens if present, else max_tokens.
+  byte_count PromptBytes;                  ///< Unescaped text of all messages.
+  std::vector<std::uint64_t>
+      PrefixHashes; ///< Hashes of the leading chunks; each hash continues the previous one.
 };
 
-/// Prompt bytes in one chunk; about 256 tokens, some blocks of an engine's prefix cache.
+/// Prompt bytes in one chunk: about 256 tokens, which is several blocks of an engine's prefix
+/// cache.
 constexpr std::size_t PrefixChunkBytes = 1024;
-/// Chunks hashed at most: affinity over 64 KB tells long prompts apart.
+/// Maximum number of hashed chunks: 64 KB of prefix is enough to tell long prompts apart for cache
+/// affinity.
 constexpr std::size_t MaxPrefixChunks = 64;
 
 /// Why a body is refused.
 struct prompt_error {
-  std::string Field;   ///< As "messages[2].content"; "body" where it is not JSON.
+  std::string Field;   ///< For example "messages[2].content"; "body" if it is not JSON.
   std::string Message; ///< What is allowed.
 };
 
--- a/src/relay/prompt_reader.cpp
+++ b/src/relay/prompt_reader.cpp
@@ -1,4 +1,4 @@
-/** @file prompt_reader.cpp A Boost.JSON handler that keeps facts and drops the text. */
+/** @file prompt_reader.cpp A Boost.JSON handler that keeps the facts and discards the text. */
 #include "relay/prompt_reader_func.h"
 
 #include <boost/json/basic_parser_impl.hpp>
@@ -13,7 +13,8 @@
 namespace json = boost::json;
 
 constexpr std::size_t MaxModelName = 256;
-constexpr std::int64_t BytesPerTokenId = 4; ///< A prompt of token ids counts as so many bytes each.
+constexpr std::int64_t BytesPerTokenId =
+    4; ///< A prompt of token ids counts as this many bytes per id.
 
 /// What a value of the body means.
 enum class value_role : std::uint8_t {
@@ -27,26 +28,26 @@
   Role,
   Content,
   Part,
-  Prompt,     ///< Text, token ids, or a list of either.
-  PromptItem, ///< An element of such a list.
-  Counted,    ///< Its texts are read by the model: tool calls, tools.
+  Prompt,        ///< A string, token ids, or a list of either.
+  PromptElement, ///< An element of such a list.
+  Counted,       ///< The model reads its strings: tool calls, tools.
   Other,
 };
 
-/// A key of the top level; given twice, an engine might read the other one.
-struct top_key {
+/// A top-level key that must be unique: an engine might read the other occurrence.
+struct top_level_key {
   std::string_view Name;
   value_role Role;
 };
 
-constexpr std::array TopKeys{
-    top_key{"model", value_role::Model},
-    top_key{"stream", value_role::Stream},
-    top_key{"max_tokens", value_role::MaxTokens},
-    top_key{"max_completion_tokens", value_role::MaxCompletionTokens},
-    top_key{"messages", value_role::Messages},
-    top_key{"prompt", value_role::Prompt},
-    top_key{"tools", value_role::Counted},
+constexpr std::array TopLevelKeys{
+    top_level_key{"model", value_role::Model},
+    top_level_key{"stream", value_role::Stream},
+    top_level_key{"max_tokens", value_role::MaxTokens},
+    top_level_key{"max_completion_tokens", value_role::MaxCompletionTokens},
+    top_level_key{"messages", value_role::Messages},
+    top_level_key{"prompt", value_role::Prompt},
+    top_level_key{"tools", value_role::Counted},
 };
 
 std::string_view allowedFor(value_role Role) {
@@ -54,37 +55,37 @@
   case value_role::Document:
     return "must be a JSON object";
   case value_role::Model:
-    return "must be a text of 1 to 256 bytes";
+    return "must be a string of 1 to 256 bytes";
   case value_role::Stream:
     return "must be true or false";
   case value_role::MaxTokens:
   case value_role::MaxCompletionTokens:
     return "must be a whole number from 1";
   case value_role::Messages:
-    return "must be a list of messages that is not empty";
+    return "must be a non-empty list of messages";
   case value_role::Message:
     return "must be an object with \"role\"";
   case value_role::Role:
-    return "must be a text";
+    return "must be a string";
   case value_role::Content:
-    return "must be a text, null or a list of parts";
+    return "must be a string, null or a list of parts";
   case value_role::Part:
     return "must be an object";
   case value_role::Prompt:
-  case value_role::PromptItem:
-    return "must be a text, a list of texts or a list of token ids";
+  case value_role::PromptElement:
+    return "must be a string, a list of strings or a list of token ids";
   default:
     return "is not allowed";
   }
 }
 
-/// A container that is being read.
+/// A container that is being parsed.
 struct frame {
   value_role Role{value_role::Other};
   bool Array{false};
-  std::size_t Index{0}; ///< Of the element being read.
-  std::string Key;      ///< Of the member being read.
-  bool HasRole{false};  ///< A message's "role" was read.
+  std::size_t Index{0}; ///< Index of the current element.
+  std::string Key;      ///< Key of the current member.
+  bool HasRole{false};  ///< The message's "role" has been parsed.
 };
 
 class prompt_handler {
@@ -94,7 +95,7 @@
   static constexpr std::size_t max_key_size = 1U << 16U;
   static constexpr std::size_t max_string_size = std::numeric_limits<std::size_t>::max();
 
-  explicit prompt_handler(prompt_form Wanted) : Form(Wanted) {}
+  explicit prompt_handler(prompt_form RequestedForm) : Form(RequestedForm) {}
 
   bool on_document_begin(json::error_code &) { return true; }
   bool on_document_end(json::error_code &) { return true; }
@@ -118,7 +119,7 @@
   bool on_array_begin(json::error_code &Code) {
     const value_role Role = currentRole();
     const bool Allowed = Role == value_role::Messages || Role == value_role::Content ||
-                         Role == value_role::Prompt || Role == value_role::PromptItem ||
+                         Role == value_role::Prompt || Role == value_role::PromptElement ||
                          Role == value_role::Counted || Role == value_role::Other;
     return Allowed ? enter(Role, true) : refuse(Role, Code);
   }
@@ -140,15 +141,15 @@
     Key.append(Part.data(), Part.size());
     Frames.back().Key = std::move(Key);
     Key.clear();
-    return Frames.size() > 1 || noteTopKey(Code);
+    return Frames.size() > 1 || checkTopLevelKey(Code);
   }
 
   bool on_string_part(json::string_view Part, std::size_t, json::error_code &Code) {
-    return takeText({Part.data(), Part.size()}, Code);
+    return addText({Part.data(), Part.size()}, Code);
   }
 
   bool on_string(json::string_view Part, std::size_t, json::error_code &Code) {
-    if (!takeText({Part.data(), Part.size()}, Code))
+    if (!addText({Part.data(), Part.size()}, Code))
       return false;
     if (currentRole() == value_role::Model && Facts.Model.empty())
       return refuse(value_role::Model, Code);
@@ -164,24 +165,24 @@
     switch (Role) {
     case value_role::MaxTokens:
     case value_role::MaxCompletionTokens:
-      return takeLimit(Role, Value, Code);
-    case value_role::PromptItem:
+      return setTokenLimit(Role, Value, Code);
+    case value_role::PromptElement:
       Facts.PromptBytes += byte_count(BytesPerTokenId);
       hashText({reinterpret_cast<const char *>(&Value), sizeof(Value)});
       return leaveValue();
     default:
-      return takeOther(Code);
+      return acceptOther(Code);
     }
   }
 
   bool on_uint64(std::uint64_t, json::string_view, json::error_code &Code) {
-    return takeOther(Code);
+    return acceptOther(Code);
   }
-  bool on_double(double, json::string_view, json::error_code &Code) { return takeOther(Code); }
+  bool on_double(double, json::string_view, json::error_code &Code) { return acceptOther(Code); }
 
   bool on_bool(bool Value, json::error_code &Code) {
     if (currentRole() != value_role::Stream)
-      return takeOther(Code);
+      return acceptOther(Code);
     Facts.Stream = Value;
     return leaveValue();
   }
@@ -190,16 +191,16 @@
     const value_role Role = currentRole();
     const bool Allowed = Role == value_role::Content || Role == value_role::Stream ||
                          Role == value_role::MaxTokens || Role == value_role::MaxCompletionTokens;
-    return Allowed ? leaveValue() : takeOther(Code);
+    return Allowed ? leaveValue() : acceptOther(Code);
   }
 
   bool on_comment_part(json::string_view, json::error_code &) { return true; }
   bool on_comment(json::string_view, json::error_code &) { return true; }
 
-  /// What was wrong, where the handler itself refused.
+  /// The error, if the handler itself refused the body.
   std::optional<prompt_error> Error;
 
-  /// @return The facts, or which required key is absent.
+  /// Returns the facts, or an error that names a missing required key.
   result<prompt_facts, prompt_error> finish() {
     if (!seen(value_role::Model))
       return prompt_error{"model", std::string(allowedFor(value_role::Model))};
@@ -226,8 +227,8 @@
     case value_role::Content:
       return value_role::Part;
     case value_role::Prompt:
-    case value_role::PromptItem:
-      return value_role::PromptItem;
+    case value_role::PromptElement:
+      return value_role::PromptElement;
     case value_role::Counted:
       return value_role::Counted;
     default:
@@ -238,13 +239,13 @@
   static value_role memberRole(const frame &Object) {
     switch (Object.Role) {
     case value_role::Document:
-      return topRole(Object.Key);
+      return topLevelRole(Object.Key);
     case value_role::Message:
       if (Object.Key == "role")
         return value_role::Role;
       return Object.Key == "content" ? value_role::Content : value_role::Counted;
     case value_role::Part:
-      // Only text: a picture's bytes in base64 are not read as tokens.
+      // Only text counts: an image's base64 bytes are not read as tokens.
       return Object.Key == "text" ? value_role::Counted : value_role::Other;
     case value_role::Counted:
       return value_role::Counted;
@@ -253,24 +254,24 @@
     }
   }
 
-  static value_role topRole(std::string_view Name) {
-    for (const top_key &Known : TopKeys)
-      if (Known.Name == Name)
-        return Known.Role;
+  static value_role topLevelRole(std::string_view Name) {
+    for (const top_level_key &Candidate : TopLevelKeys)
+      if (Candidate.Name == Name)
+        return Candidate.Role;
     return value_role::Other;
   }
 
   [[nodiscard]] bool seen(value_role Role) const {
-    return (SeenTop & (1U << static_cast<unsigned>(Role))) != 0;
+    return (SeenTopLevelKeys & (1U << static_cast<unsigned>(Role))) != 0;
   }
 
-  bool noteTopKey(json::error_code &Code) {
-    const value_role Role = topRole(Frames.back().Key);
+  bool checkTopLevelKey(json::error_code &Code) {
+    const value_role Role = topLevelRole(Frames.back().Key);
     if (Role == value_role::Other)
       return true;
     if (seen(Role))
-      return refuseAs("must stand once", Code);
-    SeenTop |= 1U << static_cast<unsigned>(Role);
+      return refuseAs("must appear exactly once", Code);
+    SeenTopLevelKeys |= 1U << static_cast<unsigned>(Role);
     return true;
   }
 
@@ -285,20 +286,20 @@
     return true;
   }
 
-  bool takeOther(json::error_code &Code) {
+  bool acceptOther(json::error_code &Code) {
     const value_role Role = currentRole();
     const bool Allowed = Role == value_role::Other || Role == value_role::Counted;
     return Allowed ? leaveValue() : refuse(Role, Code);
   }
 
-  bool takeLimit(value_role Role, std::int64_t Value, json::error_code &Code) {
+  bool setTokenLimit(value_role Role, std::int64_t Value, json::error_code &Code) {
     if (Value < 1)
       return refuse(Role, Code);
     (Role == value_role::MaxTokens ? MaxTokens : MaxCompletionTokens) = Value;
     return leaveValue();
   }
 
-  bool takeText(std::string_view Text, json::error_code &Code) {
+  bool addText(std::string_view Text, json::error_code &Code) {
     switch (const value_role Role = currentRole()) {
     case value_role::Model:
       Facts.Model += Text;
@@ -306,7 +307,7 @@
     case value_role::Role:
     case value_role::Content:
     case value_role::Prompt:
-    case value_role::PromptItem:
+    case value_role::PromptElement:
     case value_role::Counted:
       Facts.PromptBytes += byte_count(static_cast<std::int64_t>(Text.size()));
       hashText(Text);
@@ -331,7 +332,7 @@
     }
   }
 
-  [[nodiscard]] std::string place() const {
+  [[nodiscard]] std::string currentPath() const {
     std::string Text;
     for (const frame &Part : Frames) {
       if (Part.Array)
@@ -345,7 +346,7 @@
   bool refuse(value_role Role, json::error_code &Code) { return refuseAs(allowedFor(Role), Code); }
 
   bool refuseAs(std::string_view Message, json::error_code &Code) {
-    Error = prompt_error{place(), std::string(Message)};
+    Error = prompt_error{currentPath(), std::string(Message)};
     Code = json::make_error_code(json::error::syntax);
     return false;
   }
@@ -354,7 +355,7 @@
   prompt_facts Facts;
   std::vector<frame> Frames;
   std::string Key;
-  unsigned SeenTop{0};
+  unsigned SeenTopLevelKeys{0};
   std::optional<std::int64_t> MaxTokens;
   std::optional<std::int64_t> MaxCompletionTokens;
   std::uint64_t ChunkHash{StableHashSeed};
@@ -370,8 +371,8 @@
   if (Parser.handler().Error)
     return *Parser.handler().Error;
   if (Code || Read < Body.size() || !Parser.done())
-    return prompt_error{"body",
-                        "must be JSON in UTF-8; it is not from byte " + std::to_string(Read)};
+    return prompt_error{"body", "must be UTF-8 encoded JSON; it is invalid from byte " +
+                                    std::to_string(Read)};
   return Parser.handler().finish();
 }
 
--- a/src/relay/prompt_reader_func.h
+++ b/src/relay/prompt_reader_func.h
@@ -9,9 +9,9 @@
 namespace pollenstall {
 
 /**
- * Checks the whole body as JSON in UTF-8 without building a tree of it: a prompt of a million
- * tokens costs no second copy.
- * @return The facts, or the first thing that is wrong.
+ * Validates the whole body as UTF-8 JSON without building a tree, so that a prompt of a million
+ * tokens is not copied.
+ * @return The facts, or the first error.
  */
 result<prompt_facts, prompt_error> readPrompt(std::string_view Body, prompt_form Form);
 
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -1,4 +1,4 @@
-/** @file relay.cpp Accepts callers and carries out the decision thread's orders. */
+/** @file relay.cpp Accepts callers' connections and executes the decision thread's orders. */
 #include "relay/relay_base.h"
 
 #include "address/address.h"
@@ -25,7 +25,8 @@
 
 constexpr std::chrono::milliseconds HousekeepingInterval{20};
 constexpr std::chrono::milliseconds AcceptPause{50};
-/// A caller that has taken nothing when its request ends keeps the session this long at most.
+/// Maximum time that a caller that stopped reading can keep the session after its request has
+/// ended.
 constexpr std::chrono::seconds LastWriteLimit{2};
 
 } // namespace
@@ -44,11 +45,11 @@
       return relay_error{errorOf(Listening)};
     asio::co_spawn(Context.Io, accept(), rethrow);
     Context.Sweeper.start();
-    keepHouse();
+    runHousekeeping();
     return toText(Acceptor.local_endpoint());
   }
 
-  void on(start_attempt &&Order) {
+  void execute(start_attempt &&Order) {
     const auto Call = Context.Calls.find(Order.Attempt.Request);
     if (Call == Context.Calls.end()) {
       Context.Outbox.push(attempt_failed{Order.Attempt, attempt_failure::NotWanted});
@@ -60,9 +61,10 @@
     exchangeFor(Call->second, std::move(Order))->start();
   }
 
-  void on(resume_attempt &&Order) {
+  void execute(resume_attempt &&Order) {
     const auto Call = Context.Calls.find(Order.Attempt.Request);
-    // Only events can be gone on with; what else a caller has part of must not get them.
+    // Only an event stream can be resumed; a caller that has part of another answer must not get
+    // events.
     if (Call == Context.Calls.end() || Call->second->Stage != answer_stage::Stream) {
       Context.Outbox.push(attempt_failed{Order.Attempt, attempt_failure::BadAnswer});
       return;
@@ -73,7 +75,7 @@
     exchangeFor(Call->second, std::move(Again))->resume();
   }
 
-  void on(cancel_order &&Order) {
+  void execute(cancel_order &&Order) {
     const attempt_id Attempt = Order.Cancel.Attempt;
     if (const auto Found = Exchanges.find(Attempt); Found != Exchanges.end())
       Found->second->abandon();
@@ -83,7 +85,7 @@
       asio::co_spawn(Context.Io, cancel(Order.Cancel), rethrow);
   }
 
-  void on(finish_request &&Order) {
+  void execute(finish_request &&Order) {
     const auto Found = Context.Calls.find(Order.Request);
     if (Found == Context.Calls.end())
       return;
@@ -96,16 +98,16 @@
     Call->Changed.notify();
   }
 
-  void on(suspects_known &&Order) { Context.Suspects = std::move(Order.List); }
+  void execute(suspects_update &&Order) { Context.Suspects = std::move(Order.List); }
 
-  void on(list_attempts &&Order) {
+  void execute(list_attempts &&Order) {
     asio::co_spawn(Context.Io, list(std::move(Order.Backend)), rethrow);
   }
 
-  void on(declaration_in_force &&Order) {
+  void execute(declaration_in_force &&Order) {
     Context.Declaration = std::move(Order.View);
     Context.DeclaredUntil = Order.Until;
-    Context.DeclarationLags = Order.Lags;
+    Context.DeclarationStale = Order.Stale;
     if (!Context.Declaration || !Context.Declaration->declaration().Callers)
       return;
     const caller_limits &Callers = *Context.Declaration->declaration().Callers;
@@ -114,7 +116,7 @@
     Context.Limits.IdleTimeout = Callers.IdleTimeout;
   }
 
-  /// Ends every coroutine, so that none is left whose sockets outlive what they belong to.
+  /// Ends every coroutine, so that none outlives the objects that its sockets refer to.
   void stop() {
     Stopped = true;
     Context.Ended = true;
@@ -142,9 +144,9 @@
     State["open_requests"] = Context.Calls.size();
     State["open_exchanges"] = Exchanges.size();
     State["cancels_under_way"] = Cancels.size();
-    State["idle_backend_connections"] = Context.Links.idle();
+    State["idle_backend_connections"] = Context.Pool.idle();
     State["body_bytes"] = Context.BodyBytes;
-    State["events_waiting"] = Context.Outbox.waiting();
+    State["events_waiting"] = Context.Outbox.queued();
     State["takes_requests"] = Context.Declaration != nullptr && !Context.Stopping;
     return boost::json::serialize(State);
   }
@@ -159,30 +161,31 @@
                                                 start_attempt Order) {
     const attempt_id Attempt = Order.Attempt;
     auto Exchange = std::make_shared<backend_exchange>(
-        Context, Call, std::move(Order), [this](const backend_exchange &Ended) { forget(Ended); });
+        Context, Call, std::move(Order),
+        [this](const backend_exchange &Ended) { removeExchange(Ended); });
     Exchanges.insert_or_assign(Attempt, Exchange);
     Context.Metrics.OpenStreams.Set(static_cast<double>(Exchanges.size()));
     return Exchange;
   }
 
-  void forget(const backend_exchange &Ended) {
+  void removeExchange(const backend_exchange &Ended) {
     const auto Found = Exchanges.find(Ended.attempt());
-    // A resume may stand there already while the broken exchange was closing.
+    // A resume may already have replaced the broken exchange while it was closing.
     if (Found != Exchanges.end() && Found->second.get() == &Ended)
       Exchanges.erase(Found);
     Context.Metrics.OpenStreams.Set(static_cast<double>(Exchanges.size()));
   }
 
   asio::awaitable<void> cancel(cancel_attempt Order) {
-    const cancel_result Result = co_await askToCancel(Context.Links, Context.Limits, Order);
+    const cancel_result Result = co_await sendCancel(Context.Pool, Context.Limits, Order);
     Cancels.erase(Order.Attempt);
     if (Result != cancel_result::Unconfirmed)
       Context.Outbox.push(cancel_confirmed{Order.Attempt, Result == cancel_result::NeverSeen});
   }
 
   asio::awaitable<void> list(backend_key Backend) {
-    auto Attempts = co_await listAttempts(Context.Links, Context.Limits, Backend);
-    // A full ring drops the list: the next look brings a newer one.
+    auto Attempts = co_await listAttempts(Context.Pool, Context.Limits, Backend);
+    // A full ring drops the list; the next request brings a newer one.
     if (Attempts && Lists)
       Lists->push({std::move(Backend), std::move(*Attempts)});
   }
@@ -201,7 +204,8 @@
     }
   }
 
-  /// Out of connections: the rest waits in the kernel's queue instead of being cut off.
+  /// Waits while all connections are in use: callers wait in the kernel's accept queue instead of
+  /// being disconnected.
   asio::awaitable<void> pauseAccepting() {
     error_code Ignored;
     asio::steady_timer Timer(Context.Io);
@@ -211,22 +215,22 @@
     } while (!Stopped && Context.Connections >= Context.Limits.MaxConnections);
   }
 
-  void keepHouse() {
+  void runHousekeeping() {
     Housekeeping.expires_after(HousekeepingInterval);
     Housekeeping.async_wait([this](const error_code &Code) {
       if (Code || Stopped)
         return;
       Context.Outbox.flush();
-      Context.Links.closeIdle(boot_clock::now());
+      Context.Pool.closeIdle(boot_clock::now());
       Context.Metrics.BodyBytes.Set(static_cast<double>(Context.BodyBytes));
-      keepHouse();
+      runHousekeeping();
     });
   }
 
   asio::ip::tcp::acceptor Acceptor;
   asio::steady_timer Housekeeping;
   std::map<attempt_id, std::shared_ptr<backend_exchange>> Exchanges;
-  std::set<attempt_id> Cancels; ///< Being asked for now.
+  std::set<attempt_id> Cancels; ///< Cancel requests in flight.
   bool Stopped{false};
 };
 
@@ -240,14 +244,15 @@
 void relay::handle(relay_order &&Order) {
   if (State->stopped())
     return;
-  std::visit([this](auto &&Known) { State->on(std::forward<decltype(Known)>(Known)); },
-             std::move(Order));
+  std::visit(
+      [this](auto &&Concrete) { State->execute(std::forward<decltype(Concrete)>(Concrete)); },
+      std::move(Order));
 }
 
 void relay::beginDrain() {
   State->Context.Draining = true;
-  // A caller that kept its connection would send its next request here for as long as it lasts, and
-  // have it refused once this host takes none; without the connection it goes to another host.
+  // A caller that kept its connection would send its next request here and be refused once this
+  // host accepts none; without the connection it goes to another host.
   for (timed_socket *Socket : State->Context.IdleCallers)
     Socket->expireAt(boot_clock::now());
 }
@@ -264,8 +269,8 @@
   return *this;
 }
 
-relay_builder &relay_builder::crashNews(bounded_ring<crash_news> &Target) {
-  News = &Target;
+relay_builder &relay_builder::crashUpdates(bounded_ring<crash_update> &Target) {
+  CrashUpdates = &Target;
   return *this;
 }
 
@@ -299,10 +304,13 @@
   State->Context.Interface = Interface;
   State->Context.AtCallEnd = AtCallEnd;
   State->Lists = Lists;
-  if (News != nullptr) {
-    // A full ring drops it: the same request is seen at the next crash.
-    State->Context.Crashes.onCrash([To = News](crash_report Crash) { To->push(std::move(Crash)); });
-    State->Context.AtSuspectCleared = [To = News](suspect_cleared Cleared) { To->push(Cleared); };
+  if (CrashUpdates != nullptr) {
+    // A full ring drops the update; the next crash reports the same request again.
+    State->Context.Crashes.onCrash(
+        [Updates = CrashUpdates](crash_report Crash) { Updates->push(std::move(Crash)); });
+    State->Context.AtSuspectCleared = [Updates = CrashUpdates](suspect_cleared Cleared) {
+      Updates->push(Cleared);
+    };
   }
   return std::unique_ptr<relay>(new relay(std::move(State)));
 }
--- a/src/relay/relay_base.h
+++ b/src/relay/relay_base.h
@@ -1,6 +1,4 @@
-/** @file relay_base.h The data plane of an entry: callers on one side, backend servers on the
- * other.
- */
+/** @file relay_base.h The data plane of an entry, between callers and backend servers. */
 #ifndef POLLENSTALL_RELAY_RELAY_BASE_H
 #define POLLENSTALL_RELAY_RELAY_BASE_H
 
@@ -26,8 +24,8 @@
 };
 
 /**
- * Runs in the one thread that runs its io_context; every method is called there. Events go to the
- * decision thread through a ring, orders come back by handle().
+ * Runs in the one thread that runs its io_context; every method must be called there. Events go to
+ * the decision thread through a ring; its orders arrive through handle().
  */
 class relay {
 public:
@@ -35,19 +33,19 @@
   relay &operator=(const relay &) = delete;
   ~relay();
 
-  /// Binds the callers' address and starts to accept. @return Where it listens.
+  /// Binds the callers' address and starts to accept connections. Returns the bound address.
   result<std::string, relay_error> listen(std::string_view Address);
-  /// Carries out an order of the decision thread.
+  /// Executes an order of the decision thread.
   void handle(relay_order &&Order);
-  /// Ends each caller's connection with its present answer; new requests are still taken.
+  /// Closes each caller's connection after its current answer; new requests are still accepted.
   void beginDrain();
-  /// Refuses new requests from now on; those admitted go on.
+  /// Refuses new requests from now on; admitted requests continue.
   void beginStop();
-  /// Closes everything; once the io_context has run out of work this object may go.
+  /// Closes everything. This object may be destroyed once the io_context has run out of work.
   void stop();
-  /// @return Requests without a final answer.
+  /// Returns the number of requests without a final answer.
   [[nodiscard]] std::size_t openCalls() const;
-  /// @return JSON of the state, without keys and prompts.
+  /// Returns the state as JSON, without keys and prompts.
   [[nodiscard]] std::string dump() const;
 
 private:
@@ -58,23 +56,23 @@
   std::unique_ptr<state> State;
 };
 
-/// Collects the parts of a relay.
+/// Collects the dependencies of a relay and builds it.
 class relay_builder {
 public:
-  /// @param Context Run by one thread. @param Events To the decision thread.
+  /// @param Context Run by one thread. @param Events Ring to the decision thread.
   relay_builder(boost::asio::io_context &Context, bounded_ring<dispatch_event> &Events);
 
-  /// Where answers to list_attempts go; without it they are dropped.
+  /// Sets the ring for answers to list_attempts; without it they are dropped.
   relay_builder &attemptLists(bounded_ring<attempts_listed> &Target);
-  /// Where crashes of backend servers and good ends of suspected requests are told; without it
-  /// neither is looked for.
-  relay_builder &crashNews(bounded_ring<crash_news> &Target);
+  /// Sets the ring for backend server crashes and for suspected requests that completed; without it
+  /// neither is detected.
+  relay_builder &crashUpdates(bounded_ring<crash_update> &Target);
   relay_builder &process(process_key Self);
   relay_builder &limits(const relay_limits &Value);
   relay_builder &metrics(std::shared_ptr<prometheus::Registry> Value);
-  /// Speaks another protocol than chat/completions.
+  /// Sets the hooks of a protocol other than chat/completions.
   relay_builder &interface(call_interface Hooks);
-  /// Called at the end of each call, refused ones included.
+  /// Sets a hook that is called at the end of each call, refused calls included.
   relay_builder &onCallEnd(std::function<void(const call_record &)> Hook);
 
   std::unique_ptr<relay> build();
@@ -83,7 +81,7 @@
   boost::asio::io_context &Io;
   bounded_ring<dispatch_event> &Ring;
   bounded_ring<attempts_listed> *Lists{nullptr};
-  bounded_ring<crash_news> *News{nullptr};
+  bounded_ring<crash_update> *CrashUpdates{nullptr};
   process_key Self;
   relay_limits Limits;
   std::shared_ptr<prometheus::Registry> Registry;
--- a/src/relay/relay_context_type.h
+++ b/src/relay/relay_context_type.h
@@ -1,11 +1,11 @@
-/** @file relay_context_type.h What all sessions and exchanges of the relay thread share. */
+/** @file relay_context_type.h State shared by all sessions and exchanges of the relay thread. */
 #ifndef POLLENSTALL_RELAY_RELAY_CONTEXT_TYPE_H
 #define POLLENSTALL_RELAY_RELAY_CONTEXT_TYPE_H
 
-#include "relay/backend_links_base.h"
+#include "relay/backend_connection_pool_base.h"
 #include "relay/call_interface_type.h"
 #include "relay/call_record_type.h"
-#include "relay/crash_watch_base.h"
+#include "relay/crash_detector_base.h"
 #include "relay/event_outbox_base.h"
 #include "relay/relay_metrics_base.h"
 #include "relay/relay_type.h"
@@ -22,45 +22,45 @@
 
 namespace pollenstall {
 
-/// Owned by the relay; used in its thread only.
+/// Owned by the relay and used only in its thread.
 struct relay_context {
   relay_context(boost::asio::io_context &Context, process_key Process, const relay_limits &Bounds,
                 relay_metrics &Counters, bounded_ring<dispatch_event> &Events, std::uint64_t Seed)
       : Io(Context), Self(std::move(Process)), Limits(Bounds), Sweeper(Context),
-        Links(Sweeper, Limits), Crashes(Context, Links), Metrics(Counters), Outbox(Events),
+        Pool(Sweeper, Limits), Crashes(Context, Pool), Metrics(Counters), Outbox(Events),
         Random(Seed) {}
 
   boost::asio::io_context &Io;
   const process_key Self;
-  relay_limits Limits; ///< A declaration may set those of callers anew.
+  relay_limits Limits; ///< A declaration may replace the limits for callers.
   socket_sweeper Sweeper;
-  backend_links Links;
-  crash_watch Crashes;
+  backend_connection_pool Pool;
+  crash_detector Crashes;
   relay_metrics &Metrics;
   event_outbox<dispatch_event> Outbox;
   random_source Random;
-  call_interface Interface;     ///< Not set: the chat/completions interface.
-  declaration_view Declaration; ///< Null where new requests are refused.
-  mono_time DeclaredUntil{};    ///< New requests are refused past it.
-  bool DeclarationLags{false};  ///< A newer declaration is on its way.
+  call_interface Interface;     ///< Not set: the chat/completions interface is used.
+  declaration_view Declaration; ///< Null while new requests are refused.
+  mono_time DeclaredUntil{};    ///< New requests are refused after this time.
+  bool DeclarationStale{false}; ///< A newer declaration has not arrived yet.
   token_estimator Tokens;
-  std::map<request_number, std::shared_ptr<relayed_call>> Calls; ///< Without a final answer.
+  std::map<request_number, std::shared_ptr<relayed_call>> Calls; ///< Calls without a final answer.
   request_number LastRequest;
-  std::size_t BodyBytes{0}; ///< Held in request bodies, or promised to bodies being read.
-  std::set<timed_socket *> IdleCallers; ///< Wait for the next request's first byte.
-  std::size_t Connections{0};           ///< Callers'.
-  bool Stopping{false};                 ///< New requests are refused for good.
-  bool Ended{false};                    ///< Every coroutine is to end.
-  bool Draining{false};                 ///< Connections end with the answer that is under way.
+  std::size_t BodyBytes{0}; ///< Held in request bodies, or reserved for bodies being read.
+  std::set<timed_socket *> IdleCallers; ///< Waiting for the first byte of the next request.
+  std::size_t Connections{0};           ///< Callers' connections.
+  bool Stopping{false};                 ///< New requests are refused permanently.
+  bool Ended{false};                    ///< All coroutines must end.
+  bool Draining{false};                 ///< Connections close after their current answer.
   std::function<void(const call_record &)> AtCallEnd;
   std::shared_ptr<const suspect_list> Suspects{std::make_shared<const suspect_list>()};
-  std::function<void(suspect_cleared)> AtSuspectCleared; ///< Not set where nobody is told.
+  std::function<void(suspect_cleared)> AtSuspectCleared; ///< Not set if the result is not needed.
 
-  /// @return Whether a declaration is in force now.
+  /// Returns whether a declaration is in force now.
   [[nodiscard]] bool isReady() const {
     return Declaration != nullptr && boot_clock::now() < DeclaredUntil;
   }
-  /// Tells the decision thread once that the caller is gone.
+  /// Reports to the decision thread once that the caller has disconnected.
   void noteCallerGone(relayed_call &Call) {
     if (Call.CallerGone)
       return;
--- a/src/relay/relay_metrics.cpp
+++ b/src/relay/relay_metrics.cpp
@@ -38,7 +38,8 @@
 }
 
 relay_metrics::relay_metrics(prometheus::Registry &Registry)
-    : Connections(gauge(Registry, "pollenstall_caller_connections", "Open callers' connections")),
+    : Connections(
+          gauge(Registry, "pollenstall_caller_connections", "Open connections from callers")),
       OpenCalls(gauge(Registry, "pollenstall_open_requests", "Requests without a final answer")),
       OpenStreams(gauge(Registry, "pollenstall_open_streams", "Streams being relayed")),
       BodyBytes(gauge(Registry, "pollenstall_body_bytes", "Bytes of request bodies held")),
@@ -47,7 +48,7 @@
       AttemptEnds(familyOf(prometheus::BuildCounter, "pollenstall_attempt_ends_total",
                            "Ends of attempts by result", Registry)),
       FirstTokens(familyOf(prometheus::BuildHistogram, "pollenstall_first_token_seconds",
-                           "From arrival to the first byte of the answer, by length class",
+                           "Time from arrival to the first byte of the answer, by length class",
                            Registry)),
       Gaps(familyOf(prometheus::BuildHistogram, "pollenstall_longest_gap_seconds",
                     "Longest time between two events of an answer, by length class", Registry)),
@@ -57,25 +58,25 @@
       BadMessages(counter(Registry, "pollenstall_refused_messages_total",
                           "Callers' messages that were not valid HTTP")) {
   for (const length_class Class : {length_class::Short, length_class::Medium, length_class::Long}) {
-    const auto Place = static_cast<std::size_t>(Class);
+    const auto Index = static_cast<std::size_t>(Class);
     const prometheus::Labels Labels{{"class", lengthClassText(Class)}};
-    FirstTokenByClass[Place] = &FirstTokens.Add(Labels, latencyBuckets());
-    GapByClass[Place] = &Gaps.Add(Labels, latencyBuckets());
+    FirstTokenByClass[Index] = &FirstTokens.Add(Labels, latencyBuckets());
+    GapByClass[Index] = &Gaps.Add(Labels, latencyBuckets());
   }
 }
 
 void relay_metrics::countRequest(final_outcome Outcome, const std::string &Reason) {
-  prometheus::Counter *&Found = RequestByKey[{Outcome, Reason}];
-  if (Found == nullptr)
-    Found = &Requests.Add({{"outcome", std::string(outcomeText(Outcome))}, {"reason", Reason}});
-  Found->Increment();
+  prometheus::Counter *&Metric = RequestByKey[{Outcome, Reason}];
+  if (Metric == nullptr)
+    Metric = &Requests.Add({{"outcome", std::string(outcomeText(Outcome))}, {"reason", Reason}});
+  Metric->Increment();
 }
 
 void relay_metrics::countAttemptEnd(const std::string &Result) {
-  prometheus::Counter *&Found = AttemptByResult[Result];
-  if (Found == nullptr)
-    Found = &AttemptEnds.Add({{"result", Result}});
-  Found->Increment();
+  prometheus::Counter *&Metric = AttemptByResult[Result];
+  if (Metric == nullptr)
+    Metric = &AttemptEnds.Add({{"result", Result}});
+  Metric->Increment();
 }
 
 void relay_metrics::observeGap(length_class Class, double Seconds) {
--- a/src/relay/relay_metrics_base.h
+++ b/src/relay/relay_metrics_base.h
@@ -1,4 +1,4 @@
-/** @file relay_metrics_base.h What the data plane counts for Prometheus. */
+/** @file relay_metrics_base.h Prometheus metrics of the data plane. */
 #ifndef POLLENSTALL_RELAY_RELAY_METRICS_BASE_H
 #define POLLENSTALL_RELAY_RELAY_METRICS_BASE_H
 
@@ -18,21 +18,21 @@
 
 namespace pollenstall {
 
-/// Counters are looked up once; on the token path one costs an atomic addition.
+/// Counters are looked up once, so that a count on the token path costs one atomic addition.
 class relay_metrics {
 public:
   explicit relay_metrics(prometheus::Registry &Registry);
 
-  /// A request ended; refused ones that reached no queue included.
+  /// Counts an ended request, including requests refused before they reached a queue.
   void countRequest(final_outcome Outcome, const std::string &Reason);
   void countAttempt() { Attempts.Increment(); }
-  /// @param Result "complete", or the failure in lower snake case.
+  /// Counts an ended attempt. @param Result "complete", or the failure in lower snake case.
   void countAttemptEnd(const std::string &Result);
   void countEvents(std::uint64_t Count) { Events.Increment(static_cast<double>(Count)); }
   void countAnswerBytes(std::size_t Count) { AnswerBytes.Increment(static_cast<double>(Count)); }
   void countBadMessage() { BadMessages.Increment(); }
   void observeFirstToken(length_class Class, double Seconds);
-  /// The longest of an answer, once it has ended.
+  /// Records the longest gap of an answer after its end.
   void observeGap(length_class Class, double Seconds);
 
   prometheus::Gauge &Connections; ///< Callers' connections.
@@ -57,7 +57,7 @@
   std::map<std::string, prometheus::Counter *> AttemptByResult;
 };
 
-/// @return "short", "medium" or "long".
+/// Returns "short", "medium" or "long".
 std::string lengthClassText(length_class Class);
 
 } // namespace pollenstall
--- a/src/relay/relayed_call_base.h
+++ b/src/relay/relayed_call_base.h
@@ -1,4 +1,5 @@
-/** @file relayed_call_base.h One request between its caller and the backend servers. */
+/** @file relayed_call_base.h The state of one request between its caller and the backend servers.
+ */
 #ifndef POLLENSTALL_RELAY_RELAYED_CALL_BASE_H
 #define POLLENSTALL_RELAY_RELAYED_CALL_BASE_H
 
@@ -7,7 +8,7 @@
 #include "relay/caller_connection_base.h"
 #include "relay/event_gaps_base.h"
 #include "relay/header_filter_func.h"
-#include "relay/held_body_type.h"
+#include "relay/request_body_type.h"
 
 #include <cstdint>
 #include <memory>
@@ -17,67 +18,70 @@
 
 namespace pollenstall {
 
-/// How much of the answer the caller has.
+/// How much of the answer has been sent to the caller.
 enum class answer_stage : std::uint8_t {
   None,   ///< Nothing; an error answer is still possible.
-  Whole,  ///< The head and perhaps part of an answer of known length.
+  Whole,  ///< The head, and perhaps a part, of an answer of known length.
   Stream, ///< The head and some events.
-  Ended,  ///< All of it.
+  Ended,  ///< The complete answer.
 };
 
-/// What a request looks like to a backend server, the same for each attempt.
+/// The request as sent to backend servers, the same for each attempt.
 struct forwarded_request {
   std::string Method;
   std::string Target;
-  std::string Host; ///< The caller's own Host header; plain services may tell sites apart by it.
+  std::string Host; ///< The caller's own Host header; plain services may use it to select a site.
   std::vector<header_line> Headers;
   std::string TraceParent;
-  std::shared_ptr<const held_body> Body; ///< Null once no attempt can need it any more.
+  std::shared_ptr<const request_body> Body; ///< Null once no attempt can need it any more.
 };
 
-/// The one state of a request that session and exchange share; both run in the relay thread.
+/// The state of a request shared by its session and its exchanges, which all run in the relay
+/// thread.
 class relayed_call {
 public:
-  relayed_call(boost::asio::io_context &Io, planned_call Planned,
-               std::shared_ptr<caller_connection> From)
-      : Facts(std::move(Planned.Facts)), Kind(Planned.Kind), PromptBytes(Planned.PromptBytes),
-        Caller(std::move(From)), Changed(Io) {}
+  relayed_call(boost::asio::io_context &Io, planned_call Plan,
+               std::shared_ptr<caller_connection> Connection)
+      : Facts(std::move(Plan.Facts)), Kind(Plan.Kind), PromptBytes(Plan.PromptBytes),
+        Caller(std::move(Connection)), Changed(Io) {}
 
-  /// @return Whether an attempt of this ordinal may still pass answer bytes to the caller. An
-  /// answer put together from two attempts would look whole and be neither's.
+  /// Returns whether an attempt of this ordinal may still relay answer bytes to the caller. A mix
+  /// of two attempts' answers would look complete but be neither answer.
   [[nodiscard]] bool mayRelay(std::uint32_t Ordinal) const {
-    const bool GoesOn = goesOn() && Facts.Resumable && Ordinal > RelayedBy;
+    const bool GoesOn = canContinueStream() && Facts.Resumable && Ordinal > RelayedBy;
     return !Finish && !CallerGone && (RelayedBy == 0 || RelayedBy == Ordinal || GoesOn);
   }
-  /// @return Whether the caller has events that another attempt can go on behind.
-  [[nodiscard]] bool goesOn() const { return Headed && Stage == answer_stage::Stream; }
-  /// @return Whether the end has been decided and nobody writes to the caller any more.
-  [[nodiscard]] bool concluded() const { return Finish && !Relaying; }
-  /// @return Whether bytes of an attempt went out that has not been proved not to have run.
+  /// Returns whether the caller has events after which another attempt can continue the stream.
+  [[nodiscard]] bool canContinueStream() const {
+    return HeaderRouted && Stage == answer_stage::Stream;
+  }
+  /// Returns whether the result has been decided and no exchange writes to the caller any more.
+  [[nodiscard]] bool isFinished() const { return Finish && !Relaying; }
+  /// Returns whether bytes were sent for an attempt that is not proved not to have run.
   [[nodiscard]] bool mayHaveRun() const { return SentAttempts > 0; }
 
   request_facts Facts;
-  bool Headed{false};   ///< A call of a declared route, by way of relay_context::Interface.
-  std::string SendName; ///< Of a headed call: the caller's own name for this send.
+  bool HeaderRouted{false}; ///< A call of a declared route, handled by relay_context::Interface.
+  std::string SendName;     ///< The caller's own name for this send of a header-routed call.
   service_kind Kind;
   byte_count PromptBytes;
-  std::string RequestId; ///< As the caller is told it.
+  std::string RequestId; ///< The request id sent to the caller.
   forwarded_request Request;
   std::shared_ptr<caller_connection> Caller;
   async_signal Changed;
 
   answer_stage Stage{answer_stage::None};
-  std::uint32_t RelayedBy{0};    ///< Ordinal of the attempt whose bytes the caller has.
-  std::uint64_t LastEvent{0};    ///< Id of the last event that the caller has.
+  std::uint32_t RelayedBy{0};    ///< Ordinal of the attempt whose bytes were sent to the caller.
+  std::uint64_t LastEvent{0};    ///< Id of the last event sent to the caller.
   bool Relaying{false};          ///< An exchange is writing to the caller.
-  bool CallerGone{false};        ///< The caller hung up or takes nothing.
-  std::uint32_t SentAttempts{0}; ///< Attempts whose first byte went out and that may have run.
+  bool CallerGone{false};        ///< The caller disconnected or stopped reading.
+  std::uint32_t SentAttempts{0}; ///< Attempts whose first byte was sent and that may have run.
   std::optional<finish_request> Finish;
   std::optional<attempt_id> LastAttempt; ///< For the log.
   std::optional<backend_key> LastBackend;
-  std::optional<mono_time> LastSent; ///< When the first byte of the last attempt sent went out.
+  std::optional<mono_time> LastSent; ///< When the first byte of the last sent attempt was sent.
   event_gaps Gaps;
-  std::optional<mono_time> FirstByte; ///< When the caller got the first byte of the answer.
+  std::optional<mono_time> FirstByte; ///< When the first byte of the answer was sent to the caller.
 };
 
 } // namespace pollenstall
--- /dev/null
+++ b/src/relay/request_fingerprint_func.h
@@ -0,0 +1,26 @@
+/** @file request_fingerprint_func.h Fingerprints that identify identical requests. */
+#ifndef POLLENSTALL_RELAY_REQUEST_FINGERPRINT_FUNC_H
+#define POLLENSTALL_RELAY_REQUEST_FINGERPRINT_FUNC_H
+
+#include "relay/relayed_call_base.h"
+#include "suspect/suspect.h"
+
+#include <optional>
+
+namespace pollenstall {
+
+/// Returns the hash of everything except the body, and of the body's length; its cost does not
+/// depend on the body.
+std::uint64_t requestHeadHash(const relayed_call &Call);
+
+/// Returns the request's fingerprint; hashes the whole body.
+request_fingerprint requestFingerprint(const relayed_call &Call, const request_body &Body);
+
+/// Returns the fingerprint if the list contains it. Hashes the body only if the list has a request
+/// with the same head hash. Returns nothing if the body has been released.
+std::optional<request_fingerprint> fingerprintIfSuspected(const suspect_list &List,
+                                                          const relayed_call &Call);
+
+} // namespace pollenstall
+
+#endif // POLLENSTALL_RELAY_REQUEST_FINGERPRINT_FUNC_H
--- a/src/relay/request_head.cpp
+++ b/src/relay/request_head.cpp
@@ -1,4 +1,4 @@
-/** @file request_head.cpp One reading of each head. */
+/** @file request_head.cpp Strict parsing of request heads. */
 #include "relay/request_head_func.h"
 
 #include "relay/call_error_func.h"
@@ -20,7 +20,7 @@
 constexpr unsigned HttpVersion11 = 11;
 constexpr unsigned VersionNotSupported = 505;
 
-/// Checks on the bytes themselves, which a lenient parser would repair.
+/// Checks the raw bytes for errors that a lenient parser would accept.
 std::optional<call_error> checkLines(std::string_view Bytes) {
   for (std::size_t At = 0; At < Bytes.size(); ++At) {
     const char Byte = Bytes[At];
@@ -42,23 +42,24 @@
   const std::size_t Lengths = countOf(Fields, http::field::content_length);
   const std::size_t Codings = countOf(Fields, http::field::transfer_encoding);
   if (Lengths > 0 && Codings > 0)
-    return invalidField("Content-Length", "must not stand beside Transfer-Encoding");
+    return invalidField("Content-Length", "must not be combined with Transfer-Encoding");
   if (Lengths > 1)
-    return invalidField("Content-Length", "must stand once");
-  // The parser takes "3, 3" for 3, as a proxy may; another reader need not.
+    return invalidField("Content-Length", "must appear exactly once");
+  // The parser accepts "3, 3" as 3, as a proxy may; another parser may not.
   const auto Length = Fields[http::field::content_length];
   if (Length.find_first_not_of("0123456789") != boost::beast::string_view::npos)
     return invalidField("Content-Length", "must be a whole number");
   if (Codings > 1)
-    return invalidField("Transfer-Encoding", "must stand once");
+    return invalidField("Transfer-Encoding", "must appear exactly once");
   if (Codings == 1 && !boost::beast::iequals(Fields[http::field::transfer_encoding], "chunked"))
     return invalidField("Transfer-Encoding", "must be \"chunked\"");
   if (countOf(Fields, http::field::host) != 1)
-    return invalidField("Host", "must stand once");
+    return invalidField("Host", "must appear exactly once");
   return std::nullopt;
 }
 
-/// @return The field's name, taken from the bytes before the parser refuses them as a pair.
+/// Checks Content-Length and Transfer-Encoding on the raw bytes, so that the error names the
+/// header; the parser only refuses the combination.
 std::optional<call_error> checkBothLengths(std::string_view Bytes) {
   bool Length = false;
   bool Coding = false;
@@ -76,9 +77,9 @@
     Bytes.remove_prefix(std::min(End + 2, Bytes.size()));
   }
   if (Length && Coding)
-    return invalidField("Content-Length", "must not stand beside Transfer-Encoding");
+    return invalidField("Content-Length", "must not be combined with Transfer-Encoding");
   if (Lengths > 1)
-    return invalidField("Content-Length", "must stand once");
+    return invalidField("Content-Length", "must appear exactly once");
   return std::nullopt;
 }
 
@@ -96,12 +97,13 @@
 } // namespace
 
 result<request_head, call_error> readRequestHead(std::string_view Bytes) {
-  if (const auto Wrong = checkLines(Bytes))
-    return *Wrong;
-  if (const auto Wrong = checkBothLengths(Bytes))
-    return *Wrong;
+  if (const auto Error = checkLines(Bytes))
+    return *Error;
+  if (const auto Error = checkBothLengths(Bytes))
+    return *Error;
   http::request_parser<http::empty_body> Parser;
-  Parser.header_limit(std::numeric_limits<std::uint32_t>::max()); // The reader bounds the bytes.
+  Parser.header_limit(
+      std::numeric_limits<std::uint32_t>::max()); // The reader has already limited the size.
   Parser.body_limit(boost::none);
   boost::system::error_code Code;
   Parser.put(boost::asio::buffer(Bytes.data(), Bytes.size()), Code);
@@ -112,8 +114,8 @@
   auto &Message = Parser.get();
   if (Message.version() != HttpVersion11)
     return parseError(make_error_code(http::error::bad_version));
-  if (const auto Wrong = checkFraming(Message))
-    return *Wrong;
+  if (const auto Error = checkFraming(Message))
+    return *Error;
   request_head Head;
   Head.Method = std::string(Message.method_string());
   Head.Target = std::string(Message.target());
--- a/src/relay/request_head_func.h
+++ b/src/relay/request_head_func.h
@@ -1,4 +1,5 @@
-/** @file request_head_func.h Reads a request's head so that nobody behind can read it otherwise. */
+/** @file request_head_func.h Parses a request's head strictly, so that no server behind the entry
+ * can interpret it differently. */
 #ifndef POLLENSTALL_RELAY_REQUEST_HEAD_FUNC_H
 #define POLLENSTALL_RELAY_REQUEST_HEAD_FUNC_H
 
@@ -11,10 +12,10 @@
 namespace pollenstall {
 
 /**
- * Reads a head up to and with its blank line.
- * Refused, because two readers could take them for two different messages: Content-Length beside
- * Transfer-Encoding, either of them twice, another coding than "chunked", folded lines, bare line
- * ends, NUL, space before a colon, no or two Host headers, another version than HTTP/1.1.
+ * Parses a head including its blank line.
+ * Refuses what two parsers could interpret as two different messages: Content-Length together with
+ * Transfer-Encoding, either of them twice, a coding other than "chunked", folded lines, bare line
+ * ends, NUL, space before a colon, no or two Host headers, and a version other than HTTP/1.1.
  * @return The head, or the error that names the header.
  */
 result<request_head, call_error> readRequestHead(std::string_view Bytes);
--- a/src/relay/request_head_type.h
+++ b/src/relay/request_head_type.h
@@ -1,4 +1,4 @@
-/** @file request_head_type.h The head of a caller's request, after it has been checked. */
+/** @file request_head_type.h The head of a caller's request, after validation. */
 #ifndef POLLENSTALL_RELAY_REQUEST_HEAD_TYPE_H
 #define POLLENSTALL_RELAY_REQUEST_HEAD_TYPE_H
 
@@ -10,17 +10,17 @@
 
 namespace pollenstall {
 
-/// Method, target and headers; which body follows.
+/// Method, target and headers, and how the body is framed.
 struct request_head {
   std::string Method;
   std::string Target; ///< In origin form: starts with "/".
   boost::beast::http::fields Fields;
-  std::size_t ContentLength{0}; ///< Of a body that is not chunked.
+  std::size_t ContentLength{0}; ///< Length of a body that is not chunked.
   bool Chunked{false};
   bool KeepAlive{true};
   bool ExpectsContinue{false};
 
-  /// @return The header's value, or an empty text where it is absent.
+  /// Returns the header's value, or an empty string if it is absent.
   [[nodiscard]] std::string_view header(std::string_view Name) const {
     const auto Value = Fields[boost::beast::string_view(Name.data(), Name.size())];
     return {Value.data(), Value.size()};
--- a/src/relay/rethrow_func.h
+++ b/src/relay/rethrow_func.h
@@ -1,4 +1,4 @@
-/** @file rethrow_func.h The end of a coroutine that nobody awaits. */
+/** @file rethrow_func.h Completion handler for coroutines that nobody awaits. */
 #ifndef POLLENSTALL_RELAY_RETHROW_FUNC_H
 #define POLLENSTALL_RELAY_RETHROW_FUNC_H
 
@@ -6,7 +6,7 @@
 
 namespace pollenstall {
 
-/// Handed to co_spawn: what a coroutine throws ends the process instead of being lost.
+/// Passed to co_spawn: an exception that leaves a coroutine ends the process instead of being lost.
 inline void rethrow(const std::exception_ptr &Thrown) {
   if (Thrown)
     std::rethrow_exception(Thrown);
--- a/src/relay/timed_socket.cpp
+++ b/src/relay/timed_socket.cpp
@@ -16,29 +16,29 @@
 constexpr std::chrono::seconds DrainLimit{1};
 constexpr std::size_t ReadBufferBytes = 64U << 10U;
 
-/// What a look at the input without taking it shows.
+/// The state of the input, found without consuming any byte.
 enum class input_state : std::uint8_t { Nothing, Bytes, Closed };
 
 input_state peek(int Handle) {
   char Byte = 0;
-  const ssize_t Got = recv(Handle, &Byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  if (Got > 0)
+  const ssize_t Received = recv(Handle, &Byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  if (Received > 0)
     return input_state::Bytes;
-  const bool Empty = Got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
+  const bool Empty = Received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
   return Empty ? input_state::Nothing : input_state::Closed;
 }
 
-/// @return The buffers without their first Count bytes.
+/// Returns the buffers without their first Count bytes.
 std::vector<asio::const_buffer> withoutFirst(std::span<const asio::const_buffer> Buffers,
                                              std::size_t Count) {
-  std::vector<asio::const_buffer> Left;
+  std::vector<asio::const_buffer> Remaining;
   for (const asio::const_buffer &Buffer : Buffers) {
     const std::size_t Skip = std::min(Count, Buffer.size());
     Count -= Skip;
     if (Skip < Buffer.size())
-      Left.push_back(Buffer + Skip);
+      Remaining.push_back(Buffer + Skip);
   }
-  return Left;
+  return Remaining;
 }
 
 } // namespace
@@ -72,33 +72,33 @@
   if (Expired)
     return {{}, true};
   error_code Code;
-  const std::span<char> Into = Sweeper.readBuffer();
-  const std::size_t Got = Socket.read_some(asio::buffer(Into.data(), Into.size()), Code);
+  const std::span<char> Target = Sweeper.readBuffer();
+  const std::size_t Received = Socket.read_some(asio::buffer(Target.data(), Target.size()), Code);
   if (Code == asio::error::would_block)
     return {};
   ClosedCleanly = Code == asio::error::eof;
   if (Code)
     return {{}, true};
-  return {std::string_view(Into.data(), Got), false};
+  return {std::string_view(Target.data(), Received), false};
 }
 
 std::optional<std::size_t> timed_socket::writeNow(std::span<const asio::const_buffer> Buffers) {
   if (Expired)
     return std::nullopt;
   error_code Code;
-  const std::size_t Taken = Socket.write_some(Buffers, Code);
+  const std::size_t Written = Socket.write_some(Buffers, Code);
   if (Code && Code != asio::error::would_block)
     return std::nullopt;
-  return Taken;
+  return Written;
 }
 
-asio::awaitable<bool> timed_socket::readInto(std::string &Into, std::size_t Count) {
-  std::size_t At = Into.size();
-  const std::size_t Wanted = At + Count;
-  Into.resize(Wanted);
-  while (At < Wanted) {
+asio::awaitable<bool> timed_socket::readExactly(std::string &Target, std::size_t Count) {
+  std::size_t At = Target.size();
+  const std::size_t TargetSize = At + Count;
+  Target.resize(TargetSize);
+  while (At < TargetSize) {
     error_code Code;
-    At += Socket.read_some(asio::buffer(Into.data() + At, Wanted - At), Code);
+    At += Socket.read_some(asio::buffer(Target.data() + At, TargetSize - At), Code);
     if (Code == asio::error::would_block) {
       if (!co_await waitReadable())
         co_return false;
@@ -110,15 +110,15 @@
 }
 
 asio::awaitable<std::size_t> timed_socket::writeAll(std::span<const asio::const_buffer> Buffers) {
-  const std::optional<std::size_t> AtOnce = writeNow(Buffers);
-  const std::size_t Taken = AtOnce.value_or(0);
-  if (!AtOnce || Taken == asio::buffer_size(Buffers))
-    co_return Taken;
-  const std::vector<asio::const_buffer> Left = withoutFirst(Buffers, Taken);
+  const std::optional<std::size_t> Immediate = writeNow(Buffers);
+  const std::size_t Written = Immediate.value_or(0);
+  if (!Immediate || Written == asio::buffer_size(Buffers))
+    co_return Written;
+  const std::vector<asio::const_buffer> Remaining = withoutFirst(Buffers, Written);
   error_code Code;
-  const std::size_t Rest =
-      co_await asio::async_write(Socket, Left, asio::redirect_error(asio::use_awaitable, Code));
-  co_return Taken + Rest;
+  const std::size_t Later = co_await asio::async_write(
+      Socket, Remaining, asio::redirect_error(asio::use_awaitable, Code));
+  co_return Written + Later;
 }
 
 bool timed_socket::peerClosed() {
--- a/src/relay/timed_socket_base.h
+++ b/src/relay/timed_socket_base.h
@@ -1,4 +1,4 @@
-/** @file timed_socket_base.h TCP sockets with one deadline each, looked at together. */
+/** @file timed_socket_base.h TCP sockets with one deadline each; one timer checks all deadlines. */
 #ifndef POLLENSTALL_RELAY_TIMED_SOCKET_BASE_H
 #define POLLENSTALL_RELAY_TIMED_SOCKET_BASE_H
 
@@ -37,61 +37,63 @@
   timed_socket(const timed_socket &) = delete;
   timed_socket &operator=(const timed_socket &) = delete;
 
-  /// Sets when reads and writes end unfinished.
+  /// Sets when pending reads and writes are cancelled.
   void expireAt(mono_time When) {
     Deadline = When;
     Expired = false;
   }
   void expireNever() { Deadline = mono_time::max(); }
-  /// @return Whether the last deadline passed; the socket is still open.
+  /// Returns whether the last deadline has passed; the socket is still open.
   [[nodiscard]] bool expired() const { return Expired; }
-  /// @return Whether the last read found that the peer has closed, without a reset.
+  /// Returns whether the last read found that the peer has closed without a reset.
   [[nodiscard]] bool closedCleanly() const { return ClosedCleanly; }
 
   /**
-   * Waits for bytes and reads what is there.
-   * @return A view of the thread's read buffer, valid until the next read of any socket; empty
-   * where the connection ended or the deadline passed.
+   * Waits for bytes and reads the available ones.
+   * @return A view of the thread's read buffer, valid until the next read of any socket; empty if
+   * the connection ended or the deadline passed.
    */
   boost::asio::awaitable<std::string_view> readSome();
-  /// Reads exactly so many bytes to the end of Into. @return False where the connection ended.
-  boost::asio::awaitable<bool> readInto(std::string &Into, std::size_t Count);
+  /// Appends exactly Count bytes to Target. @return False if the connection ended.
+  boost::asio::awaitable<bool> readExactly(std::string &Target, std::size_t Count);
 
-  /// What a read that does not wait found.
+  /// The result of a read that does not wait.
   struct read_result {
-    std::string_view Bytes; ///< As readSome().
-    bool Ended{false};      ///< The connection ended, or broke, or the deadline passed.
+    std::string_view Bytes; ///< A view as returned by readSome().
+    bool Ended{false};      ///< The connection ended or broke, or the deadline passed.
   };
-  /// Reads what is there without waiting.
+  /// Reads the available bytes without waiting.
   read_result readNow();
-  /// Waits for bytes without a coroutine of its own, for the path of each token.
+  /// Waits for bytes without a coroutine frame of its own, for use once per token.
   auto waitRead(boost::system::error_code &Code) {
     return Socket.async_wait(boost::asio::ip::tcp::socket::wait_read,
                              boost::asio::redirect_error(boost::asio::use_awaitable, Code));
   }
-  /// Writes what the kernel takes at once. @return How much; nothing where the connection broke.
+  /// Writes the bytes that the kernel accepts without waiting. @return Their number; nothing if the
+  /// connection broke.
   std::optional<std::size_t> writeNow(std::span<const boost::asio::const_buffer> Buffers);
 
   /**
-   * Writes all of the buffers; tries at once, waits only where the peer is slow.
-   * @return How many bytes the kernel took; fewer than asked means that the connection broke.
+   * Writes all buffers; waits only if the kernel does not accept everything at once.
+   * @return The number of bytes that the kernel accepted; fewer than requested means that the
+   * connection broke.
    */
   boost::asio::awaitable<std::size_t> writeAll(std::span<const boost::asio::const_buffer> Buffers);
 
-  /// Waits until there is something to read. @return False where the wait was ended.
+  /// Waits until there is input. @return False if the wait was cancelled.
   boost::asio::awaitable<bool> waitReadable();
-  /// @return Whether the peer has closed or broken the connection, as far as is known now.
+  /// Returns whether the peer is known to have closed or broken the connection.
   [[nodiscard]] bool peerClosed();
-  /// @return Whether bytes wait to be read.
+  /// Returns whether unread bytes are available.
   [[nodiscard]] bool hasInput();
 
   void close();
   /**
-   * Ends the sending side, then reads until the peer closes or a second has passed. Closing with
-   * bytes unread would send a reset that can overtake the error answer.
+   * Shuts down the sending side, then reads until the peer closes or a second has passed. Closing
+   * with unread bytes would send a reset that can overtake the error answer.
    */
   boost::asio::awaitable<void> closeAfterDrain();
-  /// Closes so that the peer sees a reset: a cut must never look like an end.
+  /// Closes with a reset, so that a truncated answer never looks complete.
   void abort();
   [[nodiscard]] bool isOpen() const { return Socket.is_open(); }
   [[nodiscard]] boost::asio::ip::tcp::socket &raw() { return Socket; }
@@ -107,14 +109,14 @@
   bool ClosedCleanly{false};
 };
 
-/// Ends operations whose deadline has passed; also owns the thread's read buffer.
+/// Cancels operations whose deadline has passed; also owns the thread's read buffer.
 class socket_sweeper {
 public:
   explicit socket_sweeper(boost::asio::io_context &Context);
 
-  /// Starts the sweeps.
+  /// Starts the periodic checks.
   void start();
-  /// Ends the sweeps and closes every socket.
+  /// Stops the checks and closes every socket.
   void stop();
   [[nodiscard]] std::span<char> readBuffer() { return Buffer; }
   [[nodiscard]] boost::asio::io_context &io() { return Io; }
