--- a/src/relay/usage.cpp
+++ b/src/relay/usage.cpp
@@ -13,8 +13,8 @@
 
 constexpr std::string_view UsageKey = "\"usage\"";
 
-/// @return The object that starts at Text's first brace, up to its closing brace.
-std::string_view objectAt(std::string_view Text) {
+/// Returns the object that starts at the first brace of Text, up to its closing brace.
+std::string_view firstObject(std::string_view Text) {
   const std::size_t Open = Text.find('{');
   if (Open == std::string_view::npos)
     return {};
@@ -28,7 +28,7 @@
   return {};
 }
 
-std::optional<tokens> countIn(const json::object &Object, std::string_view Key) {
+std::optional<tokens> tokenCount(const json::object &Object, std::string_view Key) {
   const json::value *Value = Object.if_contains(Key);
   const std::int64_t *Count = Value ? Value->if_int64() : nullptr;
   if (!Count || *Count < 0)
@@ -38,21 +38,21 @@
 
 } // namespace
 
-engine_usage usageIn(std::string_view Tail) {
+engine_usage parseUsage(std::string_view Tail) {
   const std::size_t At = Tail.rfind(UsageKey);
   if (At == std::string_view::npos)
     return {};
   json::error_code Code;
-  const json::value Parsed = json::parse(objectAt(Tail.substr(At)), Code);
+  const json::value Parsed = json::parse(firstObject(Tail.substr(At)), Code);
   const json::object *Usage = Code ? nullptr : Parsed.if_object();
   if (!Usage)
     return {};
   engine_usage Found;
-  Found.PromptTokens = countIn(*Usage, "prompt_tokens");
-  Found.AnswerTokens = countIn(*Usage, "completion_tokens");
+  Found.PromptTokens = tokenCount(*Usage, "prompt_tokens");
+  Found.AnswerTokens = tokenCount(*Usage, "completion_tokens");
   const json::value *Details = Usage->if_contains("prompt_tokens_details");
   if (Details && Details->is_object())
-    Found.CachedTokens = countIn(Details->get_object(), "cached_tokens");
+    Found.CachedTokens = tokenCount(Details->get_object(), "cached_tokens");
   return Found;
 }
 
--- a/src/relay/usage_func.h
+++ b/src/relay/usage_func.h
@@ -1,4 +1,4 @@
-/** @file usage_func.h The token counts that an engine gives with its answer. */
+/** @file usage_func.h Extracts the token counts that an engine reports in its answer. */
 #ifndef POLLENSTALL_RELAY_USAGE_FUNC_H
 #define POLLENSTALL_RELAY_USAGE_FUNC_H
 
@@ -9,7 +9,7 @@
 
 namespace pollenstall {
 
-/// Counts as the engine made them; each may be absent.
+/// Token counts reported by the engine; each may be absent.
 struct engine_usage {
   std::optional<tokens> PromptTokens;
   std::optional<tokens> AnswerTokens;
@@ -17,11 +17,11 @@
 };
 
 /**
- * Finds the last "usage" object in an answer's end. Quotes inside texts are escaped in JSON, so
- * that an answer's text cannot be mistaken for it.
+ * Finds the last "usage" object in the end of an answer. Quotes inside JSON strings are escaped, so
+ * the answer's text cannot be mistaken for it.
  * @param Tail The last bytes of a body, or the data of an event.
  */
-engine_usage usageIn(std::string_view Tail);
+engine_usage parseUsage(std::string_view Tail);
 
 } // namespace pollenstall
 
--- a/tests/relay/call_error_test.cpp
+++ b/tests/relay/call_error_test.cpp
@@ -1,4 +1,4 @@
-/** @file call_error_test.cpp What a caller is told of each end. */
+/** @file call_error_test.cpp The errors returned to callers for each outcome. */
 #include "relay/relay.h"
 
 #include <boost/json.hpp>
@@ -22,8 +22,8 @@
     EXPECT_TRUE(Codes.insert(reasonText(Reason)).second) << reasonText(Reason);
 }
 
-/// Client libraries retry 429 and 503 by themselves; that must not repeat work that may have run.
-TEST(CallError, InvitesARetryOnlyWhereNothingWasRun) {
+/// Client libraries retry 429 and 503 automatically; that must not repeat work that may have run.
+TEST(CallError, InvitesARetryOnlyIfNothingWasRun) {
   for (const failure_reason Reason : reasons()) {
     const call_error Error =
         errorFor({request_number(1), final_outcome::Unknown, Reason, {}}, true);
@@ -32,8 +32,8 @@
   }
 }
 
-/// Libraries retry 409 and 5xx too, also those of a call that may have run and must not run twice.
-TEST(CallError, ForbidsLibrariesToRepeatNonIdempotentWorkThatMayHaveRun) {
+/// Libraries also retry 409 and 5xx, even for a call that may have run and must not run twice.
+TEST(CallError, ForbidsRetriesOfNonIdempotentWorkThatMayHaveRun) {
   for (const failure_reason Reason : reasons()) {
     const finish_request MayHaveRun{request_number(1), final_outcome::Unknown, Reason, {}};
     EXPECT_FALSE(errorFor(MayHaveRun, false).Repeatable) << reasonText(Reason);
@@ -48,7 +48,7 @@
   EXPECT_TRUE(errorFor(Refused, false).Repeatable);
 }
 
-TEST(CallError, SaysTheOutcomeInTheBody) {
+TEST(CallError, HasTheOutcomeInTheBody) {
   const call_error Error =
       errorFor({request_number(1), final_outcome::NotRun, failure_reason::QueueFull, {}}, true);
   const boost::json::value Body = boost::json::parse(errorBody(Error));
--- a/tests/relay/crash_watch_test.cpp
+++ b/tests/relay/crash_detector_test.cpp
@@ -1,6 +1,6 @@
-/** @file crash_watch_test.cpp Servers that end under a request, and requests that are suspected of
- * it. */
-#include "headed_relay_base.h"
+/** @file crash_detector_test.cpp Servers that crash while running a request, and requests suspected
+ * of causing the crash. */
+#include "relay_harness_base.h"
 
 #include <boost/asio/read_until.hpp>
 #include <gtest/gtest.h>
@@ -11,17 +11,17 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-/// Ends with the first request that it reads: its port is closed and the connection is reset.
-class ending_server {
+/// Ends after reading its first request: closes its port and resets the connection.
+class crashing_server {
 public:
-  ending_server() : Acceptor(Io, tcp::endpoint(asio::ip::address_v4::loopback(), 0)) {
+  crashing_server() : Acceptor(Io, tcp::endpoint(asio::ip::address_v4::loopback(), 0)) {
     Key = {backend_address("127.0.0.1:" + std::to_string(Acceptor.local_endpoint().port())),
            incarnation(7)};
     Thread = std::thread([this] { serve(); });
   }
-  ~ending_server() { Thread.join(); }
-  ending_server(const ending_server &) = delete;
-  ending_server &operator=(const ending_server &) = delete;
+  ~crashing_server() { Thread.join(); }
+  crashing_server(const crashing_server &) = delete;
+  crashing_server &operator=(const crashing_server &) = delete;
 
   [[nodiscard]] const backend_key &key() const { return Key; }
 
@@ -41,44 +41,44 @@
   std::thread Thread;
 };
 
-struct request_on_a_server_that_ends : testing::Test {
-  /// @return The mark under which the end of a server is reported.
+struct request_on_a_crashing_server : testing::Test {
+  /// Returns the fingerprint reported with the crash.
   request_fingerprint crashOnce() {
-    const ending_server Server;
+    const crashing_server Server;
     Relay.call("the prompt");
     Relay.start(Server.key());
-    const crash_report Crash = std::get<crash_report>(Relay.nextNews());
+    const crash_report Crash = std::get<crash_report>(Relay.nextCrashUpdate());
     EXPECT_EQ(Crash.Backend, Server.key());
     EXPECT_EQ(Crash.Fingerprints.size(), 1U);
     Relay.finish(final_outcome::Unknown, failure_reason::BackendFailed);
     (void)Relay.answer();
     return Crash.Fingerprints.at(0);
   }
-  void suspect(const request_fingerprint &Mark, std::chrono::milliseconds BlockedFor) {
-    Relay.order(suspects_known{std::make_shared<const suspect_list>(
-        std::vector<published_suspect>{{Mark, BlockedFor}}, boot_clock::now())});
+  void suspect(const request_fingerprint &CrashFingerprint, std::chrono::milliseconds BlockedFor) {
+    Relay.order(suspects_update{std::make_shared<const suspect_list>(
+        std::vector<published_suspect>{{CrashFingerprint, BlockedFor}}, boot_clock::now())});
   }
 
-  headed_relay Relay;
+  relay_harness Relay;
 };
 
-TEST_F(request_on_a_server_that_ends, IsReportedUnderTheSameMarkEachTime) {
+TEST_F(request_on_a_crashing_server, IsReportedWithTheSameFingerprintEachTime) {
   EXPECT_EQ(crashOnce(), crashOnce());
 }
 
-// Guards against a connection that breaks on its way being taken for a server's end.
-TEST_F(request_on_a_server_that_ends, IsNotReportedWhereTheServerStillListens) {
+// Guards against treating a connection that broke in the network as a server crash.
+TEST_F(request_on_a_crashing_server, IsNotReportedIfTheServerStillListens) {
   const scripted_server Resets([](auto &Socket, const seen_request &) { resetConnection(Socket); });
   Relay.call("the prompt");
   Relay.start(Resets);
   Relay.next<attempt_failed>();
   Relay.settle();
-  EXPECT_FALSE(Relay.hasNews());
+  EXPECT_FALSE(Relay.hasCrashUpdate());
 }
 
-// Guards against a blocked request that is sent on, and against an answer that makes a client send
-// it again at once.
-TEST_F(request_on_a_server_that_ends, IsRefusedAsNotRunOnceItIsBlocked) {
+// Guards against forwarding a blocked request, and against an answer that makes a client retry it
+// immediately.
+TEST_F(request_on_a_crashing_server, IsRefusedAsNotRunOnceItIsBlocked) {
   suspect(crashOnce(), std::chrono::seconds(60));
   Relay.send("the prompt");
   const std::string Answer = Relay.answer();
@@ -91,30 +91,30 @@
   Relay.finish(final_outcome::NotRun, failure_reason::QueueFull);
 }
 
-// Guards against a request that waited for a place when it was blocked.
-TEST_F(request_on_a_server_that_ends, IsNotSentWhereItIsBlockedBeforeItsAttempt) {
-  const request_fingerprint Mark = crashOnce();
+// Guards against sending a request that was blocked while it waited in the queue.
+TEST_F(request_on_a_crashing_server, IsNotSentIfItIsBlockedBeforeItsAttempt) {
+  const request_fingerprint CrashFingerprint = crashOnce();
   const scripted_server Server([](auto &Socket, const seen_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s1\r\nContent-Length: 2\r\n\r\nok");
   });
   Relay.call("the prompt");
-  suspect(Mark, std::chrono::seconds(60));
+  suspect(CrashFingerprint, std::chrono::seconds(60));
   Relay.start(Server);
   EXPECT_EQ(Relay.next<attempt_failed>().Failure, attempt_failure::NotWanted);
   EXPECT_TRUE(Server.requests().empty());
 }
 
 // Guards against an innocent request that stays suspected.
-TEST_F(request_on_a_server_that_ends, IsToldToHaveEndedWellWhereItIsWatched) {
-  const request_fingerprint Mark = crashOnce();
-  suspect(Mark, std::chrono::milliseconds(0));
+TEST_F(request_on_a_crashing_server, IsReportedAsClearedIfItWasSuspected) {
+  const request_fingerprint CrashFingerprint = crashOnce();
+  suspect(CrashFingerprint, std::chrono::milliseconds(0));
   const scripted_server Server([](auto &Socket, const seen_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)) + "0\r\n\r\n");
   });
   Relay.call("the prompt");
   Relay.start(Server);
   Relay.next<attempt_completed>();
-  EXPECT_EQ(std::get<suspect_cleared>(Relay.nextNews()).Fingerprint, Mark);
+  EXPECT_EQ(std::get<suspect_cleared>(Relay.nextCrashUpdate()).Fingerprint, CrashFingerprint);
   Relay.finish(final_outcome::Complete, failure_reason::None);
 }
 
--- a/tests/relay/event_scanner_test.cpp
+++ b/tests/relay/event_scanner_test.cpp
@@ -1,4 +1,4 @@
-/** @file event_scanner_test.cpp Server-sent events, cut at any byte. */
+/** @file event_scanner_test.cpp Server-sent events, split at any byte. */
 #include "relay/relay.h"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
   return "id: " + std::to_string(Id) + "\ndata: " + Data + "\n\n";
 }
 
-/// Feeds a stream in pieces, as reads of a socket would bring it.
+/// Feeds a stream in pieces, as socket reads would deliver it.
 class piecewise_scan {
 public:
   explicit piecewise_scan(std::uint64_t LastId = 0) : Scanner(LastId) {}
@@ -35,7 +35,7 @@
   std::optional<event_stream_error> Error;
 };
 
-TEST(EventScanner, HandsOnWholeEventsOnly) {
+TEST(EventScanner, RelaysOnlyCompleteEvents) {
   piecewise_scan Scan;
   Scan.feed(event(1, "a") + "id: 2\ndata: b");
   EXPECT_EQ(Scan.Relayed, event(1, "a"));
@@ -44,7 +44,7 @@
   EXPECT_EQ(Scan.Scanner.lastId(), 2U);
 }
 
-TEST(EventScanner, SeesTheEnd) {
+TEST(EventScanner, DetectsTheEndMarker) {
   piecewise_scan Scan;
   Scan.feed(event(1, "a") + event(2, "[DONE]"));
   EXPECT_TRUE(Scan.Scanner.ended());
@@ -69,31 +69,31 @@
   EXPECT_EQ(Scan.Error, event_stream_error::IdMissing);
 }
 
-TEST(EventScanner, RefusesBytesBehindTheEnd) {
+TEST(EventScanner, RefusesBytesAfterTheEndMarker) {
   piecewise_scan Scan;
   Scan.feed(event(1, "[DONE]") + event(2, "more"));
   EXPECT_EQ(Scan.Error, event_stream_error::AfterEnd);
 }
 
-TEST(EventScanner, PassesCommentsAndBothLineEnds) {
+TEST(EventScanner, AcceptsCommentsAndBothLineEnds) {
   piecewise_scan Scan;
   Scan.feed(": keep-alive\n\nid: 1\r\ndata: a\r\n\r\n" + event(2, "b"));
   EXPECT_FALSE(Scan.Error);
   EXPECT_EQ(Scan.Events, 2U);
 }
 
-TEST(EventScanner, KeepsTheEventWithTheCounts) {
+TEST(EventScanner, KeepsTheEventWithTheTokenCounts) {
   piecewise_scan Scan;
   Scan.feed(event(1, R"({"choices":[],"usage":{"prompt_tokens":12,"completion_tokens":3,)"
                      R"("prompt_tokens_details":{"cached_tokens":8}}})"));
-  const engine_usage Usage = usageIn(Scan.Scanner.usageData());
+  const engine_usage Usage = parseUsage(Scan.Scanner.usageData());
   EXPECT_EQ(Usage.PromptTokens, tokens(12));
   EXPECT_EQ(Usage.AnswerTokens, tokens(3));
   EXPECT_EQ(Usage.CachedTokens, tokens(8));
 }
 
-TEST(EventScanner, TakesNoCountsFromTheAnswersText) {
-  EXPECT_FALSE(usageIn(R"({"content":"\"usage\":{\"prompt_tokens\":1}"})").PromptTokens);
+TEST(EventScanner, IgnoresTokenCountsInTheAnswersText) {
+  EXPECT_FALSE(parseUsage(R"({"content":"\"usage\":{\"prompt_tokens\":1}"})").PromptTokens);
 }
 
 RC_GTEST_PROP(EventScanner, RelaysTheSameBytesHoweverTheyArrive, ()) {
@@ -114,7 +114,7 @@
   RC_ASSERT(Scan.Scanner.ended());
 }
 
-RC_GTEST_PROP(EventScanner, NeverHandsOnHalfAnEvent, ()) {
+RC_GTEST_PROP(EventScanner, NeverRelaysHalfAnEvent, ()) {
   const std::string Stream = event(1, "abc") + event(2, "defg") + event(3, "h");
   const auto Cut = *rc::gen::inRange<std::size_t>(0, Stream.size());
   piecewise_scan Scan;
--- a/tests/relay/header_filter_test.cpp
+++ b/tests/relay/header_filter_test.cpp
@@ -1,4 +1,4 @@
-/** @file header_filter_test.cpp Headers that pass, and those that never do. */
+/** @file header_filter_test.cpp Which headers are forwarded and which never are. */
 #include "relay/relay.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
   return Names;
 }
 
-TEST(HeaderFilter, PassesEndToEndHeaders) {
+TEST(HeaderFilter, ForwardsEndToEndHeaders) {
   fields Fields;
   Fields.insert("Content-Type", "application/json");
   Fields.insert("Idempotency-Key", "k");
@@ -26,7 +26,7 @@
   EXPECT_EQ(namesPassed(Fields).size(), 3U);
 }
 
-TEST(HeaderFilter, DropsHopByHopHeadersAndThoseThatConnectionNames) {
+TEST(HeaderFilter, DropsHopByHopHeadersAndHeadersNamedByConnection) {
   fields Fields;
   Fields.insert("Connection", "keep-alive, X-Hop");
   Fields.insert("X-Hop", "1");
@@ -42,7 +42,7 @@
   EXPECT_TRUE(namesPassed(Fields).empty());
 }
 
-TEST(HeaderFilter, DropsOurOwnHeadersFromAnswers) {
+TEST(HeaderFilter, DropsReservedHeadersFromAnswers) {
   fields Fields;
   Fields.insert("X-Pollenstall-Attempt", "a/1/1/1");
   Fields.insert("Content-Length", "4");
@@ -53,7 +53,7 @@
 }
 
 /// A caller that names an attempt could have another caller's work cancelled or resumed.
-RC_GTEST_PROP(HeaderFilter, NoSpellingOfOurHeadersPasses, ()) {
+RC_GTEST_PROP(HeaderFilter, DropsReservedHeadersInAnySpelling, ()) {
   std::string Name = "x-pollenstall-" + std::string(*rc::gen::element("attempt", "account", "q"));
   for (char &Character : Name) {
     if (*rc::gen::arbitrary<bool>())
--- a/tests/relay/headed_call_test.cpp
+++ b/tests/relay/header_routed_call_test.cpp
@@ -1,6 +1,6 @@
-/** @file headed_call_test.cpp Calls of declared routes: streams that go on elsewhere, answers that
- * end in odd ways, and callers that leave. */
-#include "headed_relay_base.h"
+/** @file header_routed_call_test.cpp Calls of declared routes: resumed streams, truncated and
+ * misdirected answers, and callers that disconnect. */
+#include "relay_harness_base.h"
 
 #include <gtest/gtest.h>
 
@@ -16,44 +16,44 @@
   return Count;
 }
 
-bool looksWhole(const std::string &Answer) { return Answer.ends_with("0\r\n\r\n"); }
+bool looksComplete(const std::string &Answer) { return Answer.ends_with("0\r\n\r\n"); }
 
 const std::string WholeStream = streamHead() + chunkOf(eventText(1) + eventText(2)) + "0\r\n\r\n";
 
 // An engine breaks off in the middle of its third event. Another one gets the same request with the
-// same body and the number of the last whole event, and goes on behind it. The caller reads one
-// stream: no event twice, none missing, no half of one.
-TEST(AStreamThatBreaksOff, GoesOnElsewhereBehindItsLastWholeEvent) {
+// same body and the number of the last complete event, and continues after it. The caller reads one
+// stream without duplicate, missing or partial events.
+TEST(BrokenStream, ResumesElsewhereAfterItsLastCompleteEvent) {
   const scripted_server Breaks([](auto &Socket, const seen_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1) + eventText(2) + "id: 3\ndata: ha"));
     resetConnection(Socket);
   });
-  const scripted_server GoesOn([](auto &Socket, const seen_request &) {
+  const scripted_server Continuation([](auto &Socket, const seen_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(3) + eventText(4)) + "0\r\n\r\n");
   });
-  headed_relay Relay;
+  relay_harness Relay;
   Relay.call("the prompt");
   Relay.start(Breaks, 1);
   EXPECT_EQ(Relay.next<attempt_failed>().Failure, attempt_failure::BrokenMidway);
-  Relay.start(GoesOn, 2);
+  Relay.start(Continuation, 2);
   Relay.next<attempt_completed>();
   Relay.finish(final_outcome::Complete, failure_reason::None);
   const std::string Answer = Relay.answer();
   for (int Id = 1; Id <= 4; ++Id)
     EXPECT_EQ(countOf(Answer, eventText(Id)), 1U) << Id;
   EXPECT_EQ(countOf(Answer, "ha\n"), 0U);
-  EXPECT_EQ(countOf(Answer, "HTTP/1.1"), 1U) << "the head stays the first engine's";
-  EXPECT_TRUE(looksWhole(Answer));
-  const auto Second = GoesOn.requests();
+  EXPECT_EQ(countOf(Answer, "HTTP/1.1"), 1U) << "the caller must see only the first engine's head";
+  EXPECT_TRUE(looksComplete(Answer));
+  const auto Second = Continuation.requests();
   ASSERT_EQ(Second.size(), 1U);
   EXPECT_EQ(Second[0].Body, "the prompt");
   EXPECT_NE(Second[0].Head.find("X-After: 2"), std::string::npos) << Second[0].Head;
 }
 
-// The entry that a caller read from has died; the caller asks for the rest elsewhere. The decision
-// must know that the caller waits for its next event and not for its first.
-TEST(AStreamThatBreaksOff, IsKnownToGoOnWhereItsCallerAsksForTheRest) {
-  headed_relay Relay;
+// The entry that relayed a stream has failed, and the caller asks another entry for the rest. The
+// decision thread must know that the caller waits for its next event rather than its first.
+TEST(BrokenStream, IsMarkedAsContinuedIfItsCallerAsksForTheRest) {
+  relay_harness Relay;
   Relay.call("p", "X-Last: 7\r\n");
   EXPECT_TRUE(Relay.Facts.Continues);
   Relay.finish(final_outcome::NotRun, failure_reason::QueueFull);
@@ -62,30 +62,30 @@
   EXPECT_FALSE(Relay.Facts.Continues);
 }
 
-// An engine falls silent in the middle of a stream and its connection stays open: a machine without
-// power resets nothing. The caller would leave after two seconds; three gaps after the last event
-// the rest is asked for elsewhere.
-TEST(AStreamThatFallsSilent, IsGivenUpWhereAnotherAttemptMayFollow) {
+// An engine stalls in the middle of a stream and its connection stays open, because a machine
+// without power sends no reset. The caller would leave after two seconds; the rest is requested
+// from another engine three gaps after the last event.
+TEST(StalledStream, IsAbandonedIfAnotherAttemptMayFollow) {
   const scripted_server Silent([](auto &Socket, const seen_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)));
     waitForClose(Socket);
   });
-  headed_relay Relay;
+  relay_harness Relay;
   Relay.call("p");
   Relay.start(Silent, 1);
   EXPECT_EQ(Relay.next<attempt_failed>().Failure, attempt_failure::BrokenMidway);
   Relay.finish(final_outcome::Unknown, failure_reason::BackendFailed);
-  EXPECT_FALSE(looksWhole(Relay.answer()));
+  EXPECT_FALSE(looksComplete(Relay.answer()));
 }
 
-// The same where no other attempt may follow: an engine's silence is no reason to end its answer.
-TEST(AStreamThatFallsSilent, IsWaitedForWhereNoOtherAttemptMayFollow) {
+// If no other attempt may follow, a stalled engine must not end its answer.
+TEST(StalledStream, IsWaitedForIfNoOtherAttemptMayFollow) {
   const scripted_server Slow([](auto &Socket, const seen_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)));
     std::this_thread::sleep_for(std::chrono::milliseconds(900));
     sendText(Socket, chunkOf(eventText(2)) + "0\r\n\r\n");
   });
-  headed_relay Relay;
+  relay_harness Relay;
   Relay.call("p");
   Relay.start(Slow, 1, false);
   Relay.next<attempt_completed>();
@@ -93,9 +93,9 @@
   EXPECT_EQ(countOf(Relay.answer(), eventText(2)), 1U);
 }
 
-// A caller complains of a pause, though its answer was whole and began in time. The record of the
-// call has the longest time between two events, also where the next one came from another engine.
-TEST(AStreamWithAPause, IsRecordedWithTheLongestTimeBetweenTwoEvents) {
+// A caller complains about a pause, although its answer was complete and began in time. The call
+// record must contain the longest gap, even if the next event came from another engine.
+TEST(StreamWithAPause, IsRecordedWithItsLongestGap) {
   constexpr std::chrono::milliseconds Pause{60};
   const scripted_server Breaks([&](auto &Socket, const seen_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)));
@@ -108,7 +108,7 @@
     std::this_thread::sleep_for(Pause);
     sendText(Socket, streamHead() + chunkOf(eventText(3)) + "0\r\n\r\n");
   });
-  headed_relay Relay;
+  relay_harness Relay;
   Relay.call("p");
   Relay.start(Breaks, 1);
   Relay.next<attempt_failed>();
@@ -122,15 +122,16 @@
   EXPECT_GE(*Relay.records()[0].LongestGap, Pause);
 }
 
-// A request reaches its server late. The record tells time in the entry from time on the way.
-TEST(ARequestThatWaitsForAnAttempt, IsRecordedWithTheTimeUntilItWasSent) {
-  constexpr std::chrono::milliseconds Waits{30};
+// A request reaches its server late. The record separates the time in the entry from the time in
+// the network.
+TEST(QueuedRequest, IsRecordedWithTheTimeUntilItWasSent) {
+  constexpr std::chrono::milliseconds QueueTime{30};
   const scripted_server Server([](auto &Socket, const seen_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)) + "0\r\n\r\n");
   });
-  headed_relay Relay;
+  relay_harness Relay;
   Relay.call("p");
-  std::this_thread::sleep_for(Waits);
+  std::this_thread::sleep_for(QueueTime);
   Relay.start(Server, 1);
   Relay.next<attempt_completed>();
   Relay.finish(final_outcome::Complete, failure_reason::None);
@@ -138,16 +139,16 @@
   Relay.settle();
   ASSERT_EQ(Relay.records().size(), 1U);
   ASSERT_TRUE(Relay.records()[0].SentAfter);
-  EXPECT_GE(*Relay.records()[0].SentAfter, Waits);
+  EXPECT_GE(*Relay.records()[0].SentAfter, QueueTime);
 }
 
-TEST(AStreamWithAPause, HasNoTimeBetweenEventsWhereThereIsOne) {
-  const scripted_server One([](auto &Socket, const seen_request &) {
+TEST(StreamWithAPause, HasNoGapIfThereIsOneEvent) {
+  const scripted_server SingleEvent([](auto &Socket, const seen_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)) + "0\r\n\r\n");
   });
-  headed_relay Relay;
+  relay_harness Relay;
   Relay.call("p");
-  Relay.start(One, 1);
+  Relay.start(SingleEvent, 1);
   Relay.next<attempt_completed>();
   Relay.finish(final_outcome::Complete, failure_reason::None);
   EXPECT_FALSE(Relay.answer().empty());
@@ -156,11 +157,11 @@
   EXPECT_FALSE(Relay.records()[0].LongestGap);
 }
 
-// A caller complains that it was refused. The entry had no declaration, and never took the request
-// in: its record still has the caller's own name for it, or nobody could tell which refusal was
-// meant.
-TEST(ACallThatIsRefusedAtOnce, IsRecordedUnderItsCallersName) {
-  headed_relay Relay;
+// A caller complains that it was refused. The entry had no declaration and never admitted the
+// request: the record must still contain the caller's own name for it, so that the refusal can be
+// found.
+TEST(RefusedCall, IsRecordedWithTheNameChosenByItsCaller) {
+  relay_harness Relay;
   Relay.setDeclared(false);
   Relay.send("p");
   EXPECT_NE(Relay.answer().find("HTTP/1.1 503"), std::string::npos);
@@ -170,46 +171,46 @@
   EXPECT_EQ(Relay.records()[0].Reason, "not_ready");
 }
 
-TEST(ACallOfAnUnknownRoute, IsToldSoWhereTheDeclarationIsTheNewest) {
-  headed_relay Relay;
+TEST(CallOfAnUnknownRoute, GetsA404IfTheDeclarationIsCurrent) {
+  relay_harness Relay;
   Relay.send("p", {}, "/new/b");
   EXPECT_NE(Relay.answer().find("HTTP/1.1 404"), std::string::npos);
 }
 
-// A route was added and acknowledged; this entry's text of it waits for its turn on the link. "No
-// such route" is wrong and final: the caller would not come back. Seen as 22 answers of 404 for
-// declared routes beside one large change.
-TEST(ACallOfAnUnknownRoute, IsNotToldSoWhileANewerDeclarationIsOnItsWay) {
-  headed_relay Relay;
-  Relay.setLagging();
+// A route was added and acknowledged, but its declaration is still queued for this entry. "No such
+// route" would be wrong and final: the caller would not retry. Seen as 22 answers of 404 for
+// declared routes during one large change.
+TEST(CallOfAnUnknownRoute, GetsA503WhileTheDeclarationIsStale) {
+  relay_harness Relay;
+  Relay.setDeclarationStale();
   Relay.send("p", {}, "/new/b");
   const std::string Answer = Relay.answer();
   EXPECT_NE(Answer.find("HTTP/1.1 503"), std::string::npos) << Answer;
   EXPECT_NE(Answer.find("Retry-After: "), std::string::npos) << Answer;
 }
 
-TEST(ACallOfAnUnknownRoute, WaitsForTheDeclarationThatKnowsIt) {
+TEST(CallOfAnUnknownRoute, WaitsForTheDeclarationThatAddsIt) {
   relay_limits Limits;
   Limits.ReadyWait = std::chrono::seconds(20);
-  headed_relay Relay(repeat_rule::Resume, Limits);
-  Relay.setLagging();
+  relay_harness Relay(repeat_rule::Resume, Limits);
+  Relay.setDeclarationStale();
   Relay.send("p", {}, "/new/b");
   Relay.settle();
   Relay.declareRoute("/new/");
   EXPECT_EQ(Relay.next<request_arrived>().Facts.Service, service_name("route"));
 }
 
-// What it does know is served as before.
-TEST(ACallOfAKnownRoute, IsServedWhileANewerDeclarationIsOnItsWay) {
-  headed_relay Relay;
-  Relay.setLagging();
+// A known route is served as usual.
+TEST(CallOfAKnownRoute, IsServedWhileTheDeclarationIsStale) {
+  relay_harness Relay;
+  Relay.setDeclarationStale();
   Relay.call("p");
   EXPECT_EQ(Relay.Facts.Service, service_name("route"));
 }
 
-// The second engine starts one event too early, as one that was asked to go on behind 2 and has
-// counted differently. The caller has event 2 already.
-TEST(AStreamThatBreaksOff, LeavesOutWhatTheCallerHas) {
+// The second engine was asked to resume after event 2 but counts differently and starts one event
+// too early. The caller already has event 2.
+TEST(BrokenStream, DropsEventsThatTheCallerAlreadyHas) {
   const scripted_server Breaks([](auto &Socket, const seen_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1) + eventText(2)));
     resetConnection(Socket);
@@ -217,7 +218,7 @@
   const scripted_server Early([](auto &Socket, const seen_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(2) + eventText(3)) + "0\r\n\r\n");
   });
-  headed_relay Relay;
+  relay_harness Relay;
   Relay.call("p");
   Relay.start(Breaks, 1);
   Relay.next<attempt_failed>();
@@ -229,8 +230,9 @@
   EXPECT_EQ(countOf(Answer, eventText(3)), 1U);
 }
 
-// The second engine leaves an event out. Passed on, the stream would lack a part and end as whole.
-TEST(AStreamThatBreaksOff, EndsCutWhereTheNextEngineLeavesAnEventOut) {
+// The second engine skips an event. If it were relayed, the stream would lack a part and still look
+// complete.
+TEST(BrokenStream, EndsTruncatedIfTheNextEngineSkipsAnEvent) {
   const scripted_server Breaks([](auto &Socket, const seen_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)));
     resetConnection(Socket);
@@ -238,7 +240,7 @@
   const scripted_server Skips([](auto &Socket, const seen_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(3)) + "0\r\n\r\n");
   });
-  headed_relay Relay;
+  relay_harness Relay;
   Relay.call("p");
   Relay.start(Breaks, 1);
   Relay.next<attempt_failed>();
@@ -247,51 +249,51 @@
   Relay.finish(final_outcome::Unknown, failure_reason::BackendFailed);
   const std::string Answer = Relay.answer();
   EXPECT_EQ(countOf(Answer, eventText(3)), 0U);
-  EXPECT_FALSE(looksWhole(Answer));
+  EXPECT_FALSE(looksComplete(Answer));
 }
 
-// An answer without a length ends with its connection. Closed, it is whole; reset, it is not, and
-// the caller must not take the part for the whole.
-TEST(AnAnswerWithoutALength, IsWholeWhereTheServerCloses) {
+// An answer without a length ends with its connection. It is complete if the server closes and
+// truncated if it resets, and the caller must not mistake a part for the complete answer.
+TEST(AnswerWithoutALength, IsCompleteIfTheServerCloses) {
   const scripted_server Closes([](auto &Socket, const seen_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s1\r\nConnection: close\r\n\r\nall of it");
   });
-  headed_relay Relay(repeat_rule::Never);
+  relay_harness Relay(repeat_rule::Never);
   Relay.call("p");
   Relay.start(Closes, 1, false);
   Relay.next<attempt_completed>();
   Relay.finish(final_outcome::Complete, failure_reason::None);
   const std::string Answer = Relay.answer();
   EXPECT_EQ(countOf(Answer, "all of it"), 1U);
-  EXPECT_TRUE(looksWhole(Answer));
+  EXPECT_TRUE(looksComplete(Answer));
 }
 
-TEST(AnAnswerWithoutALength, IsCutWhereTheServerResets) {
+TEST(AnswerWithoutALength, IsTruncatedIfTheServerResets) {
   const scripted_server Resets([](auto &Socket, const seen_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s1\r\nConnection: close\r\n\r\nhalf");
-    std::this_thread::sleep_for(std::chrono::milliseconds(20)); // The bytes go out before.
+    std::this_thread::sleep_for(std::chrono::milliseconds(20)); // Lets the bytes be sent first.
     resetConnection(Socket);
   });
-  headed_relay Relay(repeat_rule::Never);
+  relay_harness Relay(repeat_rule::Never);
   Relay.call("p");
   Relay.start(Resets, 1, false);
   Relay.next<attempt_failed>();
   Relay.finish(final_outcome::Unknown, failure_reason::BackendFailed);
-  EXPECT_FALSE(looksWhole(Relay.answer()));
+  EXPECT_FALSE(looksComplete(Relay.answer()));
 }
 
-// A server breaks off in the middle of an answer with a length. Nothing of it is with the caller
-// yet, so that another server's answer can be the caller's: it reads one whole answer.
-TEST(AnAnswerWithALength, IsAskedForElsewhereWhereItBreaksOff) {
+// A server breaks off in the middle of an answer with a length. The caller has received nothing
+// yet, so another server's answer can be used: the caller reads one complete answer.
+TEST(AnswerWithALength, IsRetriedElsewhereIfItBreaksOff) {
   const std::string Head = "HTTP/1.1 200 OK\r\nX-Send: s1\r\nContent-Length: 10\r\n\r\n";
   const scripted_server Breaks([&Head](auto &Socket, const seen_request &) {
     sendText(Socket, Head + "half:");
-    std::this_thread::sleep_for(std::chrono::milliseconds(20)); // The bytes go out before.
+    std::this_thread::sleep_for(std::chrono::milliseconds(20)); // Lets the bytes be sent first.
     resetConnection(Socket);
   });
   const scripted_server Answers(
       [&Head](auto &Socket, const seen_request &) { sendText(Socket, Head + "all of it."); });
-  headed_relay Relay(repeat_rule::Always);
+  relay_harness Relay(repeat_rule::Always);
   Relay.call("p");
   Relay.start(Breaks, 1);
   EXPECT_EQ(Relay.next<attempt_failed>().Failure, attempt_failure::BrokenSent);
@@ -304,13 +306,13 @@
   EXPECT_TRUE(Answer.ends_with("all of it."));
 }
 
-// A kept connection brings an answer that belongs to another send. Passed on, a caller would read
+// A pooled connection delivers an answer to another send. If it were relayed, a caller would read
 // somebody else's answer.
-TEST(AnAnswer, OfAnotherSendIsNotPassedOn) {
+TEST(Answer, ToAnotherSendIsNotRelayed) {
   const scripted_server Crossed([](auto &Socket, const seen_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s0\r\nContent-Length: 6\r\n\r\nsecret");
   });
-  headed_relay Relay(repeat_rule::Never);
+  relay_harness Relay(repeat_rule::Never);
   Relay.call("p");
   Relay.start(Crossed, 1, false);
   EXPECT_EQ(Relay.next<attempt_failed>().Failure, attempt_failure::BadAnswer);
@@ -320,14 +322,14 @@
   EXPECT_EQ(countOf(Answer, "HTTP/1.1 502"), 1U) << Answer;
 }
 
-// A server that says that it did not start has not run the request: the caller may be told so, by
-// the one status that promises it.
-TEST(AnAnswer, ThatSaysNotRunBecomesAPromise) {
+// A server states that it did not start the request. The caller may be told so by the one status
+// that guarantees it.
+TEST(Answer, ThatSaysNotRunBecomesA503) {
   const scripted_server Full([](auto &Socket, const seen_request &) {
     sendText(Socket,
              "HTTP/1.1 503 Full\r\nX-Send: s1\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
   });
-  headed_relay Relay(repeat_rule::Never);
+  relay_harness Relay(repeat_rule::Never);
   Relay.call("p");
   Relay.start(Full, 1, false);
   EXPECT_EQ(Relay.next<attempt_failed>().Failure, attempt_failure::Declined);
@@ -337,14 +339,14 @@
   EXPECT_EQ(countOf(Answer, "Retry-After: 1"), 1U) << Answer;
 }
 
-// The server's own error is its answer where nothing better can follow; status and body stay its
-// own.
-TEST(AnAnswer, WithAnErrorIsPassedOnWhereNoOtherAttemptMayFollow) {
+// If no other attempt may follow, the server's error answer is relayed with its status and body
+// unchanged.
+TEST(Answer, WithAnErrorIsRelayedIfNoOtherAttemptMayFollow) {
   const scripted_server Fails([](auto &Socket, const seen_request &) {
     sendText(Socket,
              "HTTP/1.1 500 Oops\r\nX-Send: s1\r\nX-Sign: 7\r\nContent-Length: 4\r\n\r\noops");
   });
-  headed_relay Relay(repeat_rule::Always);
+  relay_harness Relay(repeat_rule::Always);
   Relay.call("p");
   Relay.start(Fails, 1, true);
   EXPECT_EQ(Relay.next<attempt_failed>().Failure, attempt_failure::ErrorAnswer);
@@ -357,15 +359,15 @@
   EXPECT_TRUE(Answer.ends_with("oops"));
 }
 
-// All control hosts were lost for a moment. The entry has no declaration in force when a request
-// comes, and has one again before its patience ends: the request is served, not refused.
-TEST(AnEntryWithoutADeclaration, LetsARequestWaitForTheNextOne) {
+// All control hosts were lost for a moment. A request arrives while the entry has no declaration in
+// force, and the next declaration arrives before ReadyWait ends: the request is served.
+TEST(EntryWithoutADeclaration, LetsARequestWaitForTheNextOne) {
   const scripted_server Server([](auto &Socket, const seen_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s1\r\nContent-Length: 2\r\n\r\nok");
   });
   relay_limits Limits;
   Limits.ReadyWait = std::chrono::seconds(10);
-  headed_relay Relay(repeat_rule::Never, Limits);
+  relay_harness Relay(repeat_rule::Never, Limits);
   Relay.setDeclared(false);
   const auto Called = std::async(std::launch::async, [&Relay] { Relay.call("p"); });
   EXPECT_EQ(Called.wait_for(std::chrono::milliseconds(50)), std::future_status::timeout);
@@ -377,23 +379,23 @@
   EXPECT_TRUE(Relay.answer().ends_with("ok"));
 }
 
-// A host that stops is told to. A caller's idle connection to it would carry the next request to a
-// host that takes none any more; closed, the caller goes elsewhere.
-TEST(AHostThatStops, ClosesIdleConnectionsAtOnce) {
-  headed_relay Relay;
+// A stopping host is notified in advance. A caller's idle connection would carry the next request
+// to a host that no longer accepts any; if it is closed, the caller goes to another host.
+TEST(StoppingHost, ClosesIdleConnectionsAtOnce) {
+  relay_harness Relay;
   Relay.connect();
   auto Answer = std::async(std::launch::async, [&Relay] { return Relay.answer(); });
-  // Asked again until the connection has been accepted.
+  // Repeats drain() until the connection has been accepted.
   while (Answer.wait_for(std::chrono::milliseconds(5)) != std::future_status::ready)
     Relay.drain();
   EXPECT_EQ(Answer.get(), "");
 }
 
-TEST(AHostThatStops, StillServesAndEndsTheConnectionBehindTheAnswer) {
+TEST(StoppingHost, ServesRequestsAndClosesTheConnectionAfterTheAnswer) {
   const scripted_server Server([](auto &Socket, const seen_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s1\r\nContent-Length: 2\r\n\r\nok");
   });
-  headed_relay Relay(repeat_rule::Never);
+  relay_harness Relay(repeat_rule::Never);
   Relay.drain();
   Relay.call("p");
   Relay.start(Server, 1, false);
@@ -402,9 +404,9 @@
   EXPECT_EQ(countOf(Relay.answer(), "Connection: close"), 1U);
 }
 
-// The caller hangs up while its stream runs. The decision thread is told, and once it has given the
-// attempt up, the server sees its connection end.
-TEST(ACallerThatLeaves, EndsTheWorkOfItsStream) {
+// The caller disconnects while its stream runs. The decision thread is notified, and after it
+// cancels the attempt, the server sees its connection end.
+TEST(DisconnectedCaller, EndsTheWorkOfItsStream) {
   std::promise<bool> Ended;
   const scripted_server Endless([&Ended](auto &Socket, const seen_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)));
@@ -413,7 +415,7 @@
     Socket.read_some(boost::asio::buffer(&Byte, 1), Code);
     Ended.set_value(static_cast<bool>(Code));
   });
-  headed_relay Relay;
+  relay_harness Relay;
   Relay.call("p");
   Relay.start(Endless, 1);
   Relay.next<attempt_answering>();
--- a/tests/relay/late_send_test.cpp
+++ b/tests/relay/late_send_test.cpp
@@ -1,6 +1,6 @@
-/** @file late_send_test.cpp Callers that leave, or whose time runs out, before the first byte of
- * their request is sent. */
-#include "headed_relay_base.h"
+/** @file late_send_test.cpp Callers that disconnect, or whose deadline passes, before the first
+ * byte of their request is sent. */
+#include "relay_harness_base.h"
 
 #include <gtest/gtest.h>
 
@@ -13,20 +13,20 @@
 const std::string Held = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 constexpr tokens Amount{5'000};
 
-/// The attempt waits for an engine that is asked for memory; the decision thread, which would
-/// cancel it, is behind.
-struct request_that_waits_for_memory : testing::Test {
-  void callWithHold(headed_relay &Relay, const std::string &MoreHeaders = {}) {
+/// The attempt waits for an engine's answer about memory, and the decision thread, which would
+/// cancel the attempt, is delayed.
+struct request_waiting_for_memory : testing::Test {
+  void callWithHold(relay_harness &Relay, const std::string &MoreHeaders = {}) {
     Relay.call("p", MoreHeaders);
-    Relay.start(Writer, 1, true, {{Keeper.key(), Amount}});
-    Asked.get_future().wait();
+    Relay.start(Writer, 1, true, {{Holder.key(), Amount}});
+    HoldRequested.get_future().wait();
   }
 
-  std::promise<void> Asked;
+  std::promise<void> HoldRequested;
   std::promise<void> MayAnswer;
-  const scripted_server Keeper{[this](auto &Socket, const seen_request &Request) {
+  const scripted_server Holder{[this](auto &Socket, const seen_request &Request) {
     if (Request.Head.find("/hold/") != std::string::npos) {
-      Asked.set_value();
+      HoldRequested.set_value();
       MayAnswer.get_future().wait();
     }
     sendText(Socket, Held);
@@ -36,9 +36,9 @@
   }};
 };
 
-// Guards against a request that is sent to an engine after its caller has left.
-TEST_F(request_that_waits_for_memory, IsNotSentOnceItsCallerHasLeft) {
-  headed_relay Relay;
+// Guards against sending a request to an engine after its caller has disconnected.
+TEST_F(request_waiting_for_memory, IsNotSentAfterItsCallerHasDisconnected) {
+  relay_harness Relay;
   callWithHold(Relay);
   Relay.hangUp();
   Relay.next<caller_left>();
@@ -47,9 +47,9 @@
   EXPECT_TRUE(Writer.requests().empty());
 }
 
-// Guards against a request that is sent to an engine after its deadline.
-TEST_F(request_that_waits_for_memory, IsNotSentOnceItsDeadlineHasPassed) {
-  headed_relay Relay;
+// Guards against sending a request to an engine after its deadline.
+TEST_F(request_waiting_for_memory, IsNotSentAfterItsDeadline) {
+  relay_harness Relay;
   callWithHold(Relay, "X-Time: 40\r\n");
   std::this_thread::sleep_until(Relay.Facts.Deadline);
   MayAnswer.set_value();
@@ -57,13 +57,13 @@
   EXPECT_TRUE(Writer.requests().empty());
 }
 
-// Guards against memory that is set aside for a caller who has left.
-TEST_F(request_that_waits_for_memory, AsksNoFurtherEngineOnceItsCallerHasLeft) {
+// Guards against holding memory for a caller that has disconnected.
+TEST_F(request_waiting_for_memory, AsksNoFurtherEngineAfterItsCallerHasDisconnected) {
   const scripted_server Second([](auto &Socket, const seen_request &) { sendText(Socket, Held); });
-  headed_relay Relay;
+  relay_harness Relay;
   Relay.call("p");
-  Relay.start(Writer, 1, true, {{Keeper.key(), Amount}, {Second.key(), Amount}});
-  Asked.get_future().wait();
+  Relay.start(Writer, 1, true, {{Holder.key(), Amount}, {Second.key(), Amount}});
+  HoldRequested.get_future().wait();
   Relay.hangUp();
   Relay.next<caller_left>();
   MayAnswer.set_value();
@@ -72,23 +72,23 @@
     EXPECT_EQ(Request.Head.find("/hold/"), std::string::npos) << Request.Head;
 }
 
-/// Two requests on one kept connection to a server; the second one waits for no connection.
-struct request_on_a_kept_connection : testing::Test {
+/// Two requests on one pooled connection to a server; the second one needs no new connection.
+struct request_on_a_pooled_connection : testing::Test {
   const std::string Ok = "HTTP/1.1 200 OK\r\nX-Send: s1\r\nContent-Length: 2\r\n\r\nok";
-  std::promise<bool> MoreCame;
+  std::promise<bool> ReceivedMore;
   const scripted_server Server{[this](auto &Socket, const seen_request &) {
     sendText(Socket, Ok);
     char Byte = 0;
     boost::system::error_code Code;
-    const std::size_t Got = Socket.read_some(boost::asio::buffer(&Byte, 1), Code);
-    MoreCame.set_value(Got > 0);
+    const std::size_t Received = Socket.read_some(boost::asio::buffer(&Byte, 1), Code);
+    ReceivedMore.set_value(Received > 0);
   }};
 };
 
-// Guards against a request that is sent though the close of its caller's connection has arrived and
-// only waits to be looked at.
-TEST_F(request_on_a_kept_connection, IsNotSentOnceItsCallersCloseHasArrived) {
-  headed_relay Relay;
+// Guards against sending a request although the close of its caller's connection has already
+// arrived and only needs to be processed.
+TEST_F(request_on_a_pooled_connection, IsNotSentAfterTheCloseOfItsCaller) {
+  relay_harness Relay;
   Relay.call("p");
   Relay.start(Server, 1);
   Relay.next<attempt_completed>();
@@ -98,7 +98,7 @@
   Relay.hangUpAndStart(Server);
   EXPECT_EQ(Relay.next<attempt_failed>().Failure, attempt_failure::NotWanted);
   Relay.stop();
-  EXPECT_FALSE(MoreCame.get_future().get());
+  EXPECT_FALSE(ReceivedMore.get_future().get());
 }
 
 } // namespace
--- a/tests/relay/open_event_scanner_test.cpp
+++ b/tests/relay/open_event_scanner_test.cpp
@@ -1,4 +1,5 @@
-/** @file open_event_scanner_test.cpp Events of a stream without an end mark, cut at any byte. */
+/** @file open_event_scanner_test.cpp Events of a stream without an end marker, split at any byte.
+ */
 #include "relay/open_event_scanner_base.h"
 
 #include <gtest/gtest.h>
@@ -6,31 +7,31 @@
 namespace pollenstall {
 namespace {
 
-/// @return What is passed on of a stream that comes in pieces of so many bytes.
-std::string passedOn(const std::string &Stream, std::size_t Piece) {
+/// Returns what is relayed of a stream that arrives in pieces of the given size.
+std::string relayInPieces(const std::string &Stream, std::size_t Piece) {
   open_event_scanner Scanner(0);
-  std::string Held;
-  std::string Passed;
+  std::string Unconsumed;
+  std::string Relayed;
   for (std::size_t At = 0; At < Stream.size(); At += Piece) {
-    Held += Stream.substr(At, Piece);
-    const auto Scan = Scanner.scan(Held, At + Piece >= Stream.size());
+    Unconsumed += Stream.substr(At, Piece);
+    const auto Scan = Scanner.scan(Unconsumed, At + Piece >= Stream.size());
     EXPECT_TRUE(succeeded(Scan));
-    Passed += valueOf(Scan).Ready;
-    Held.erase(0, valueOf(Scan).Taken);
+    Relayed += valueOf(Scan).Ready;
+    Unconsumed.erase(0, valueOf(Scan).Consumed);
   }
-  return Passed;
+  return Relayed;
 }
 
-// The blank line that ends an event may be cut anywhere, also between its two line ends.
-TEST(AnOpenStream, IsTheSameHoweverItIsCut) {
+// The blank line that ends an event may be split anywhere, even between its two line ends.
+TEST(OpenStream, IsRelayedUnchangedHoweverItIsSplit) {
   const std::string Stream =
       "id: 1\ndata: a\n\n: alive\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: " + std::string(300, 'c') +
       "\n\n";
   for (std::size_t Piece = 1; Piece <= Stream.size(); ++Piece)
-    EXPECT_EQ(passedOn(Stream, Piece), Stream) << Piece;
+    EXPECT_EQ(relayInPieces(Stream, Piece), Stream) << Piece;
 }
 
-TEST(AnOpenStream, KeepsAnEventThatIsNotWhole) {
+TEST(OpenStream, HoldsBackAnIncompleteEvent) {
   open_event_scanner Scanner(0);
   const auto Scan = Scanner.scan("id: 1\ndata: a\n\nid: 2\nda", false);
   ASSERT_TRUE(succeeded(Scan));
--- a/tests/relay/prompt_reader_test.cpp
+++ b/tests/relay/prompt_reader_test.cpp
@@ -1,4 +1,5 @@
-/** @file prompt_reader_test.cpp Bodies of model calls: what is read from them, what is refused. */
+/** @file prompt_reader_test.cpp Which facts are read from the bodies of model calls, and which
+ * bodies are refused. */
 #include "relay/relay.h"
 
 #include <gtest/gtest.h>
@@ -23,7 +24,7 @@
   return boost::json::serialize(Body);
 }
 
-TEST(PromptReader, ReadsWhatRoutingNeeds) {
+TEST(PromptReader, ReadsTheFactsForRouting) {
   const auto Read = chat(R"({"model":"m-1","stream":true,"max_tokens":7,"temperature":0.5,
     "messages":[{"role":"system","content":"abc"},{"role":"user","content":[
       {"type":"text","text":"de"},{"type":"image_url","image_url":{"url":"data:xyz"}}]}]})");
@@ -31,7 +32,7 @@
   EXPECT_EQ(valueOf(Read).Model, "m-1");
   EXPECT_TRUE(valueOf(Read).Stream);
   EXPECT_EQ(valueOf(Read).AnswerLimit, 7);
-  // Roles and texts; neither the part's type nor the picture.
+  // Counts roles and texts, but neither the part's type nor the image.
   EXPECT_EQ(valueOf(Read).PromptBytes, byte_count(6 + 3 + 4 + 2));
 }
 
@@ -42,14 +43,14 @@
   EXPECT_EQ(valueOf(Read).AnswerLimit, 4);
 }
 
-TEST(PromptReader, TakesEveryFormOfACompletionPrompt) {
+TEST(PromptReader, AcceptsEveryFormOfACompletionPrompt) {
   for (const char *Prompt : {R"("text")", R"(["a","b"])", "[1,2,3]", "[[1,2],[3]]"}) {
     const std::string Body = std::string(R"({"model":"m","prompt":)") + Prompt + "}";
     EXPECT_TRUE(succeeded(readPrompt(Body, prompt_form::Completion))) << Prompt;
   }
 }
 
-TEST(PromptReader, NamesTheFieldThatIsWrong) {
+TEST(PromptReader, NamesTheInvalidField) {
   const std::vector<std::pair<std::string, std::string>> Cases{
       {"", "body"},
       {"[]", "body"},
@@ -78,10 +79,10 @@
     EXPECT_EQ(fieldOf(chat(Body)), Field) << Body;
 }
 
-TEST(PromptReader, RefusesWhatIsNotUtf8) {
+TEST(PromptReader, RefusesInvalidUtf8) {
   EXPECT_EQ(fieldOf(chat("{\"model\":\"m\",\"messages\":[{\"role\":\"u\",\"content\":\"\xff\"}]}")),
             "body");
-  // An overlong slash.
+  // An overlong encoding of a slash.
   EXPECT_EQ(fieldOf(chat("{\"model\":\"\xc0\xaf\"}")), "body");
 }
 
@@ -90,7 +91,7 @@
   EXPECT_EQ(fieldOf(chat(Deep)), "body");
 }
 
-TEST(PromptReader, GivesPromptsWithOnePrefixTheSameLeadingHashes) {
+TEST(PromptReader, GivesPromptsWithACommonPrefixTheSameLeadingHashes) {
   const std::string Shared(3 * PrefixChunkBytes, 's');
   const auto A = chat(chatOf(Shared + std::string(2 * PrefixChunkBytes, 'a')));
   const auto B = chat(chatOf(Shared + std::string(2 * PrefixChunkBytes, 'b')));
--- a/tests/relay/headed_relay.cpp
+++ b/tests/relay/relay_harness.cpp
@@ -1,5 +1,5 @@
-/** @file headed_relay.cpp Sockets and threads around a relay under test. */
-#include "headed_relay_base.h"
+/** @file relay_harness.cpp Sockets and threads around a relay under test. */
+#include "relay_harness_base.h"
 
 #include "support/eventually_func.h"
 
@@ -21,7 +21,7 @@
 constexpr std::chrono::seconds Limit{10};
 constexpr std::size_t RingCapacity = 4096;
 
-/// A protocol of the tests' own: names of headers that no other one has.
+/// A protocol for tests, with header names that no other protocol uses.
 call_interface testInterface() {
   call_interface Calls;
   Calls.ReadHead = [](const request_head &Head) -> result<head_facts, call_error> {
@@ -35,9 +35,9 @@
   Calls.IsSystemHeader = [](std::string_view Name) {
     return Name == "host" || Name == "authorization" || Name == "x-after";
   };
-  Calls.WriteAttempt = [](const attempt_facts &Given, std::vector<header_line> &Into) {
-    Into.push_back({"X-After", std::to_string(Given.LastEvent)});
-    Into.push_back({"X-Left", std::to_string(Given.TimeLeft.count())});
+  Calls.WriteAttempt = [](const attempt_facts &Details, std::vector<header_line> &Headers) {
+    Headers.push_back({"X-After", std::to_string(Details.LastEvent)});
+    Headers.push_back({"X-Left", std::to_string(Details.TimeLeft.count())});
   };
   Calls.ReadAnswer = [](const boost::beast::http::response_header<> &Head,
                         const std::string &SendName) {
@@ -46,10 +46,12 @@
     Facts.OtherSend = Head["X-Send"] != SendName;
     return Facts;
   };
-  Calls.TakeHold = [](const hold_facts &Hold) {
+  Calls.AcquireHold = [](const hold_request &Hold) {
     return backend_call{"POST", "/hold/" + Hold.Name, {}};
   };
-  Calls.EndHold = [](const std::string &Name) { return backend_call{"POST", "/free/" + Name, {}}; };
+  Calls.ReleaseHold = [](const std::string &Name) {
+    return backend_call{"POST", "/free/" + Name, {}};
+  };
   return Calls;
 }
 
@@ -78,14 +80,14 @@
          "Transfer-Encoding: chunked\r\n\r\n";
 }
 
-headed_relay::headed_relay(repeat_rule Repeat, const relay_limits &Limits)
+relay_harness::relay_harness(repeat_rule Repeat, const relay_limits &Limits)
     : Declaration(declarationWith(Repeat)), Work(asio::make_work_guard(Io)), Ring(RingCapacity),
-      NewsRing(RingCapacity) {
+      CrashUpdateRing(RingCapacity) {
   Relay = relay_builder(Io, Ring)
               .process({host_name("entry"), incarnation(1)})
               .limits(Limits)
               .interface(testInterface())
-              .crashNews(NewsRing)
+              .crashUpdates(CrashUpdateRing)
               .onCallEnd([this](const call_record &Record) { Records.push_back(Record); })
               .build();
   Address = std::get<std::string>(Relay->listen("127.0.0.1:0"));
@@ -93,51 +95,51 @@
   Thread = std::thread([this] { Io.run(); });
 }
 
-headed_relay::~headed_relay() {
+relay_harness::~relay_harness() {
   hangUp();
   asio::post(Io, [this] { Relay->stop(); });
   Work.reset();
   Thread.join();
 }
 
-void headed_relay::drain() {
+void relay_harness::drain() {
   asio::post(Io, [this] { Relay->beginDrain(); });
 }
 
-void headed_relay::connect() {
+void relay_harness::connect() {
   Caller = std::make_unique<tcp::socket>(CallerIo);
   const std::size_t Colon = Address.rfind(':');
   Caller->connect({asio::ip::make_address(Address.substr(0, Colon)),
                    static_cast<std::uint16_t>(std::stoul(Address.substr(Colon + 1)))});
 }
 
-void headed_relay::send(const std::string &Body, const std::string &MoreHeaders,
-                        const std::string &Path) {
+void relay_harness::send(const std::string &Body, const std::string &MoreHeaders,
+                         const std::string &Path) {
   connect();
   sendText(*Caller, "POST " + Path + " HTTP/1.1\r\nHost: example.test\r\nX-Send: s1\r\n" +
                         MoreHeaders + "Connection: close\r\nContent-Length: " +
                         std::to_string(Body.size()) + "\r\n\r\n" + Body);
 }
 
-void headed_relay::call(const std::string &Body, const std::string &MoreHeaders) {
+void relay_harness::call(const std::string &Body, const std::string &MoreHeaders) {
   send(Body, MoreHeaders);
   Facts = next<request_arrived>().Facts;
 }
 
-void headed_relay::hangUp() {
+void relay_harness::hangUp() {
   boost::system::error_code Ignored;
   if (Caller)
     Caller->close(Ignored);
 }
 
-std::string headed_relay::answer() {
+std::string relay_harness::answer() {
   std::string Bytes;
   boost::system::error_code Code;
   asio::read(*Caller, asio::dynamic_buffer(Bytes), Code);
   return Bytes;
 }
 
-dispatch_event headed_relay::nextEvent() {
+dispatch_event relay_harness::nextEvent() {
   const auto Until = std::chrono::steady_clock::now() + Limit;
   while (Pending.empty() && std::chrono::steady_clock::now() < Until) {
     Ring.drain([this](dispatch_event &&Event) { Pending.push_back(std::move(Event)); });
@@ -145,18 +147,18 @@
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
   }
   if (Pending.empty())
-    throw std::runtime_error("no event of the relay came in time");
+    throw std::runtime_error("the relay sent no event in time");
   dispatch_event First = std::move(Pending.front());
   Pending.erase(Pending.begin());
   return First;
 }
 
-void headed_relay::order(relay_order Order) {
+void relay_harness::order(relay_order Order) {
   auto Shared = std::make_shared<relay_order>(std::move(Order));
   asio::post(Io, [this, Shared] { Relay->handle(std::move(*Shared)); });
 }
 
-void headed_relay::settle() {
+void relay_harness::settle() {
   constexpr int Rounds = 20;
   for (int Round = 0; Round < Rounds; ++Round) {
     std::promise<void> Done;
@@ -165,7 +167,7 @@
   }
 }
 
-start_attempt headed_relay::startOrder(const backend_key &Backend, std::uint32_t Ordinal) const {
+start_attempt relay_harness::startOrder(const backend_key &Backend, std::uint32_t Ordinal) const {
   start_attempt Order;
   Order.Attempt = {{host_name("entry"), incarnation(1)}, Facts.Id, Ordinal};
   Order.Backend = Backend;
@@ -173,58 +175,59 @@
   return Order;
 }
 
-void headed_relay::hangUpAndStart(const scripted_server &Server) {
+void relay_harness::hangUpAndStart(const scripted_server &Server) {
   asio::post(Io, [this, Order = startOrder(Server.key(), 1)]() mutable {
     hangUp();
     Relay->handle(std::move(Order));
   });
 }
 
-void headed_relay::stop() {
+void relay_harness::stop() {
   asio::post(Io, [this] { Relay->stop(); });
 }
 
-void headed_relay::start(const scripted_server &Server, std::uint32_t Ordinal, bool MayRetry,
-                         std::vector<memory_hold> Holds) {
+void relay_harness::start(const scripted_server &Server, std::uint32_t Ordinal, bool MayRetry,
+                          std::vector<memory_hold> Holds) {
   start_attempt Order = startOrder(Server.key(), Ordinal);
   Order.MayRetry = MayRetry;
   Order.Holds = std::move(Holds);
   order(std::move(Order));
 }
 
-void headed_relay::start(const backend_key &Backend) { order(startOrder(Backend, 1)); }
+void relay_harness::start(const backend_key &Backend) { order(startOrder(Backend, 1)); }
 
-void headed_relay::drainNews() {
-  NewsRing.drain([this](crash_news &&One) { News.push_back(std::move(One)); });
+void relay_harness::drainCrashUpdates() {
+  CrashUpdateRing.drain(
+      [this](crash_update &&Update) { CrashUpdates.push_back(std::move(Update)); });
 }
 
-bool headed_relay::hasNews() {
-  drainNews();
-  return !News.empty();
+bool relay_harness::hasCrashUpdate() {
+  drainCrashUpdates();
+  return !CrashUpdates.empty();
 }
 
-crash_news headed_relay::nextNews() {
-  if (!eventually([this] { return hasNews(); }))
-    throw std::runtime_error("the relay told nothing of crashes in time");
-  crash_news First = std::move(News.front());
-  News.erase(News.begin());
+crash_update relay_harness::nextCrashUpdate() {
+  if (!eventually([this] { return hasCrashUpdate(); }))
+    throw std::runtime_error("the relay sent no crash update in time");
+  crash_update First = std::move(CrashUpdates.front());
+  CrashUpdates.erase(CrashUpdates.begin());
   return First;
 }
 
-void headed_relay::setDeclared(bool Declared) {
+void relay_harness::setDeclared(bool Declared) {
   order(declaration_in_force{Declared ? Declaration : nullptr, mono_time::max()});
 }
 
-void headed_relay::setLagging() {
+void relay_harness::setDeclarationStale() {
   order(declaration_in_force{Declaration, mono_time::max(), true});
 }
 
-void headed_relay::declareRoute(const std::string &PathPrefix) {
+void relay_harness::declareRoute(const std::string &PathPrefix) {
   Declaration = declarationWith(repeat_rule::Resume, PathPrefix);
   setDeclared(true);
 }
 
-void headed_relay::finish(final_outcome Outcome, failure_reason Reason) {
+void relay_harness::finish(final_outcome Outcome, failure_reason Reason) {
   order(finish_request{Facts.Id, Outcome, Reason, std::chrono::seconds(1)});
 }
 
--- a/tests/relay/headed_relay_base.h
+++ b/tests/relay/relay_harness_base.h
@@ -1,8 +1,7 @@
-/** @file headed_relay_base.h A relay in this process between a caller and servers that follow a
- * script.
+/** @file relay_harness_base.h Runs a relay in this process between a caller and scripted servers.
  */
-#ifndef POLLENSTALL_TESTS_RELAY_HEADED_RELAY_BASE_H
-#define POLLENSTALL_TESTS_RELAY_HEADED_RELAY_BASE_H
+#ifndef POLLENSTALL_TESTS_RELAY_RELAY_HARNESS_BASE_H
+#define POLLENSTALL_TESTS_RELAY_RELAY_HARNESS_BASE_H
 
 #include "relay/relay.h"
 #include "support/scripted_server_base.h"
@@ -20,79 +19,79 @@
 
 namespace pollenstall {
 
-/// @return The head of an event stream, chunked.
+/// Returns the head of a chunked event stream.
 std::string streamHead();
 
-/// The relay with one declared route, and the test in place of the decision thread.
-class headed_relay {
+/// A relay with one declared route; the test replaces the decision thread.
+class relay_harness {
 public:
-  explicit headed_relay(repeat_rule Repeat = repeat_rule::Resume, const relay_limits &Limits = {});
-  ~headed_relay();
-  headed_relay(const headed_relay &) = delete;
-  headed_relay &operator=(const headed_relay &) = delete;
+  explicit relay_harness(repeat_rule Repeat = repeat_rule::Resume, const relay_limits &Limits = {});
+  ~relay_harness();
+  relay_harness(const relay_harness &) = delete;
+  relay_harness &operator=(const relay_harness &) = delete;
 
-  /// Sends a request that is refused before it arrives at the decision.
+  /// Sends a request that is refused before it reaches the decision thread.
   void send(const std::string &Body, const std::string &MoreHeaders = {},
             const std::string &Path = "/a/b");
   /// Sends a request in the background; answer() waits for the end of its connection.
   void call(const std::string &Body, const std::string &MoreHeaders = {});
-  /// Opens a connection on which nothing is sent.
+  /// Opens a connection without sending anything.
   void connect();
-  /// The host is to stop soon: see relay::beginDrain().
+  /// Starts the drain of the host, see relay::beginDrain().
   void drain();
   /// Closes the caller's connection without waiting for an answer.
   void hangUp();
   [[nodiscard]] std::string answer();
 
-  /// Takes the declaration away, or gives it back.
+  /// Removes or restores the declaration.
   void setDeclared(bool Declared);
-  /// The entry knows that there is a newer declaration, and does not have it yet.
-  void setLagging();
-  /// Puts another declaration in force, whose route has this prefix.
+  /// Informs the relay that a newer declaration exists that it does not have yet.
+  void setDeclarationStale();
+  /// Puts another declaration in force, with a route for this prefix.
   void declareRoute(const std::string &PathPrefix);
 
-  /// Waits for the next event of a kind; others are dropped.
+  /// Waits for the next event of a type; events of other types are dropped.
   template <typename Event> Event next() {
     while (true) {
-      dispatch_event Any = nextEvent();
-      if (auto *Known = std::get_if<Event>(&Any))
-        return *Known;
+      dispatch_event Received = nextEvent();
+      if (auto *Match = std::get_if<Event>(&Received))
+        return *Match;
     }
   }
   void order(relay_order Order);
-  /// Orders an attempt of the call that arrived last.
+  /// Orders an attempt of the latest call.
   void start(const scripted_server &Server, std::uint32_t Ordinal = 1, bool MayRetry = true,
              std::vector<memory_hold> Holds = {});
   void start(const backend_key &Backend);
-  /// Waits for what the relay tells of crashes.
-  crash_news nextNews();
-  [[nodiscard]] bool hasNews();
-  /// The caller closes and an attempt is ordered while the relay's thread is busy with another
-  /// task: both wait for it when it goes on.
+  /// Waits for the relay's next crash update.
+  crash_update nextCrashUpdate();
+  [[nodiscard]] bool hasCrashUpdate();
+  /// Closes the caller's connection and orders an attempt while the relay's thread is busy, so that
+  /// both are pending when it continues.
   void hangUpAndStart(const scripted_server &Server);
-  /// Ends the relay and its connections.
+  /// Stops the relay and its connections.
   void stop();
-  /// Returns once what was ordered has been begun, as far as it needs no peer's answer.
+  /// Returns after all orders have started, as far as they do not depend on a peer's answer.
   void settle();
   void finish(final_outcome Outcome, failure_reason Reason);
 
-  /// @return What was recorded of ended calls; after settle().
+  /// Returns the records of ended calls; call settle() first.
   [[nodiscard]] const std::vector<call_record> &records() const { return Records; }
 
-  request_facts Facts; ///< Of the call that arrived last.
+  request_facts Facts; ///< Facts of the latest call.
 
 private:
   dispatch_event nextEvent();
   [[nodiscard]] start_attempt startOrder(const backend_key &Backend, std::uint32_t Ordinal) const;
-  void drainNews();
+  void drainCrashUpdates();
 
   declaration_view Declaration;
   boost::asio::io_context Io{BOOST_ASIO_CONCURRENCY_HINT_UNSAFE_IO};
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type> Work;
   bounded_ring<dispatch_event> Ring;
   std::vector<dispatch_event> Pending;
-  bounded_ring<crash_news> NewsRing;
-  std::vector<crash_news> News;
+  bounded_ring<crash_update> CrashUpdateRing;
+  std::vector<crash_update> CrashUpdates;
   std::vector<call_record> Records; ///< Filled by the relay's thread.
   std::unique_ptr<relay> Relay;
   std::string Address;
@@ -103,4 +102,4 @@
 
 } // namespace pollenstall
 
-#endif // POLLENSTALL_TESTS_RELAY_HEADED_RELAY_BASE_H
+#endif // POLLENSTALL_TESTS_RELAY_RELAY_HARNESS_BASE_H
--- a/tests/relay/request_head_test.cpp
+++ b/tests/relay/request_head_test.cpp
@@ -1,4 +1,4 @@
-/** @file request_head_test.cpp One reading of each head. */
+/** @file request_head_test.cpp Strict parsing of request heads. */
 #include "relay/relay.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
   return succeeded(Read) ? std::string("(taken)") : errorOf(Read).Field;
 }
 
-TEST(RequestHead, IsRead) {
+TEST(RequestHead, IsParsed) {
   const auto Read = readRequestHead(head("Host: a\r\nContent-Length: 12\r\nX-A: b\r\n"));
   ASSERT_TRUE(succeeded(Read));
   EXPECT_EQ(valueOf(Read).Method, "POST");
@@ -26,7 +26,7 @@
   EXPECT_TRUE(valueOf(Read).KeepAlive);
 }
 
-TEST(RequestHead, RefusesWhatTwoReadersCouldReadAsTwoMessages) {
+TEST(RequestHead, RefusesAmbiguousMessages) {
   const std::vector<std::pair<std::string, std::string>> Cases{
       {"Host: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n", "Content-Length"},
       {"Host: a\r\nTransfer-Encoding: chunked\r\ncontent-length: 3\r\n", "Content-Length"},
@@ -56,7 +56,7 @@
   EXPECT_EQ(fieldOf("GET /a b HTTP/1.1\r\nHost: a\r\n\r\n"), "version");
 }
 
-RC_GTEST_PROP(RequestHead, TakesOrRefusesAnyBytes, ()) {
+RC_GTEST_PROP(RequestHead, AcceptsOrRefusesAnyBytes, ()) {
   std::string Bytes = head("Host: a\r\nContent-Length: 3\r\nX-A: b\r\n");
   const auto Changes = *rc::gen::inRange(1, 6);
   for (int Change = 0; Change < Changes; ++Change)
