--- a/src/relay/backend_exchange_relay.cpp
+++ b/src/relay/backend_exchange_relay.cpp
@@ -49,7 +49,7 @@
                                                     std::string_view First) {
   Call->RelayedBy = Order.Attempt.Ordinal;
   Call->Stage = Framing == answer_framing::Chunked && isEventStream() ? answer_stage::Stream
-                                                                      : answer_stage::Whole;
+                                                                      : answer_stage::FixedLength;
   Call->FirstByte = boot_clock::now();
   // If a stream breaks off, another attempt continues it with the same body.
   if (!Call->HeaderRouted || !Call->Facts.Resumable)
@@ -95,11 +95,11 @@
     const auto Scan = Scanner.scan(Feed->body());
     if (!succeeded(Scan))
       co_return Bad;
-    const std::size_t Whole = valueOf(Scan).WholeBytes;
-    if (Whole > 0) {
-      const std::string_view Ready = std::string_view(Feed->body()).substr(0, Whole);
+    const std::size_t EventBytes = valueOf(Scan).WholeBytes;
+    if (EventBytes > 0) {
+      const std::string_view Ready = std::string_view(Feed->body()).substr(0, EventBytes);
       // Report first: an attempt whose bytes the caller may have must not count as unanswered.
-      noteRelayed(valueOf(Scan).Events, Whole);
+      noteRelayed(valueOf(Scan).Events, EventBytes);
       part_state Part = part_state::Written;
       if (Call->Stage == answer_stage::None)
         Part = co_await startAnswer(answer_framing::Chunked, Ready) ? part_state::Written
@@ -109,7 +109,7 @@
       if (Part == part_state::Waiting && co_await Call->Caller->flush())
         Part = part_state::Written;
       Call->LastEvent = Scanner.lastId();
-      Feed->body().erase(0, Whole);
+      Feed->body().erase(0, EventBytes);
       if (Part != part_state::Written) {
         Context.noteCallerGone(*Call);
         Abandoned = true;
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -125,9 +125,9 @@
     Housekeeping.cancel();
     for (const auto &[Attempt, Exchange] : Exchanges)
       Exchange->abandon();
-    for (const auto &[Number, Call] : Context.Calls) {
+    for (const auto &[RequestNumber, Call] : Context.Calls) {
       Call->Finish =
-          finish_request{Number,
+          finish_request{RequestNumber,
                          Call->mayHaveRun() ? final_outcome::Unknown : final_outcome::NotRun,
                          failure_reason::ShuttingDown,
                          {}};
--- a/tests/relay/header_routed_call_test.cpp
+++ b/tests/relay/header_routed_call_test.cpp
@@ -308,7 +308,7 @@
 
 // A pooled connection delivers an answer to another send. If it were relayed, a caller would read
 // somebody else's answer.
-TEST(Answer, ToAnotherSendIsNotRelayed) {
+TEST(BackendAnswer, ToAnotherSendIsNotRelayed) {
   const scripted_server Crossed([](auto &Socket, const seen_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s0\r\nContent-Length: 6\r\n\r\nsecret");
   });
@@ -322,9 +322,9 @@
   EXPECT_EQ(countOf(Answer, "HTTP/1.1 502"), 1U) << Answer;
 }
 
-// A server states that it did not start the request. The caller may be told so by the one status
+// A server states that it did not start the request. The caller may receive the one status
 // that guarantees it.
-TEST(Answer, ThatSaysNotRunBecomesA503) {
+TEST(BackendAnswer, ThatSaysNotRunBecomesA503) {
   const scripted_server Full([](auto &Socket, const seen_request &) {
     sendText(Socket,
              "HTTP/1.1 503 Full\r\nX-Send: s1\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
@@ -341,7 +341,7 @@
 
 // If no other attempt may follow, the server's error answer is relayed with its status and body
 // unchanged.
-TEST(Answer, WithAnErrorIsRelayedIfNoOtherAttemptMayFollow) {
+TEST(BackendAnswer, WithAnErrorIsRelayedIfNoOtherAttemptMayFollow) {
   const scripted_server Fails([](auto &Socket, const seen_request &) {
     sendText(Socket,
              "HTTP/1.1 500 Oops\r\nX-Send: s1\r\nX-Sign: 7\r\nContent-Length: 4\r\n\r\noops");
