--- a/src/relay/relay_type.h
+++ b/src/relay/relay_type.h
@@ -25,8 +25,8 @@
   ms WriteStall{30'000};    ///< A caller that accepts no bytes for this long is treated as gone.
   ms ConnectTimeout{1'000}; ///< For connecting to a backend server.
   ms UserTimeout{10'000};   ///< Maximum time that sent bytes may stay unacknowledged by a peer.
-  ms ReadyWait{
-      0}; ///< Maximum time that a request waits for a declaration in force before it is refused.
+  /// Maximum time that a request waits for a declaration in force before it is refused.
+  ms ReadyWait{0};
   ms CancelTimeout{2'000};           ///< For one cancel request.
   ms BackendIdle{30'000};            ///< Idle timeout of a pooled connection to a backend server.
   std::size_t MaxConnections{8'192}; ///< Maximum number of callers' connections.
