--- a/programs/pollenstall-entry/decision_thread.cpp
+++ b/programs/pollenstall-entry/decision_thread.cpp
@@ -355,7 +355,7 @@
 }
 
 mono_duration decision_thread::untilNextWake(mono_time Now) const {
-  if (Outbox.waiting() > 0)
+  if (Outbox.queued() > 0)
     return FullRingSleep;
   mono_duration Sleep = LongestSleep;
   if (const auto Wake = Seam.nextWake())
