--- a/bench/consensus/consensus_bench.cpp
+++ b/bench/consensus/consensus_bench.cpp
@@ -121,7 +121,7 @@
   void settle() {
     do {
       for (std::size_t Place = 0; Place < Members; ++Place)
-        carryOut(Place);
+        performAction(Place);
     } while (deliver());
   }
 
@@ -129,7 +129,7 @@
   mono_time Now{std::chrono::hours(1)};
 
 private:
-  void carryOut(std::size_t Place) {
+  void performAction(std::size_t Place) {
     for (consensus_action &Action : Replicas[Place].takeActions(Now)) {
       if (auto *Send = std::get_if<send_to_member>(&Action))
         Messages.push_back(std::move(Send->Message));
--- a/programs/pollenstall-control/control_codec.cpp
+++ b/programs/pollenstall-control/control_codec.cpp
@@ -1,4 +1,4 @@
-/** @file control_codec.cpp cereal functions of commands and snapshots, with their versions. */
+/** @file control_codec.cpp Versioned cereal encoding of commands and snapshots. */
 #include "control_codec_func.h"
 
 #include "control_link/control_link.h"
@@ -69,13 +69,13 @@
   Into(Snapshot.Backends, Snapshot.Suspects, Snapshot.SuspectsVersion);
 }
 
-/// A snapshot of the first version, which knew no backend servers.
+/// A snapshot of the first version, which has no backend servers.
 struct initial_snapshot {
   control_snapshot Snapshot;
   template <typename Archive> void serialize(Archive &Into) { serializeInitial(Into, Snapshot); }
 };
 
-/// A snapshot of the second version, which knew no suspected requests.
+/// A snapshot of the second version, which has no suspected requests.
 struct backends_snapshot {
   control_snapshot Snapshot;
   template <typename Archive> void serialize(Archive &Into) {
@@ -86,12 +86,12 @@
 
 namespace {
 
-/// The largest declaration with the other fields of its change.
+/// Size of the largest declaration with the other fields of its change.
 constexpr std::size_t MaxPlainCommand = 2 * MaxLinkReplyBytes;
 
 template <typename Version> struct version_head {
-  Version Number{};
-  template <typename Archive> void serialize(Archive &Into) { Into(Number); }
+  Version VersionNumber{};
+  template <typename Archive> void serialize(Archive &Into) { Into(VersionNumber); }
 };
 
 template <typename Version>
@@ -104,13 +104,13 @@
   const auto Head = decodePlain<version_head<Version>>(std::span(Bytes.data(), HeadBytes<Version>));
   if (!succeeded(Head))
     return control_codec_error::Malformed;
-  const Version Number = valueOf(Head).Number;
-  if (Number < Version::Initial || Number > Newest)
+  const Version VersionNumber = valueOf(Head).VersionNumber;
+  if (VersionNumber < Version::Initial || VersionNumber > Newest)
     return control_codec_error::OtherVersion;
-  return Number;
+  return VersionNumber;
 }
 
-/// @param Bytes With the head of a version that is known.
+/// Decodes what follows the version. @param Bytes Begin with the head of a known version.
 template <typename Value, typename Version>
 result<Value, control_codec_error> decodeBody(std::string_view Bytes) {
   auto Decoded = decodePlain<Value>(
@@ -120,22 +120,23 @@
   return valueOf(std::move(Decoded));
 }
 
-bool areStates(const std::vector<backend_listing> &Listings) {
-  return std::all_of(Listings.begin(), Listings.end(),
-                     [](const backend_listing &Listing) { return isState(Listing.State); });
+bool areValidListingStates(const std::vector<backend_listing> &Listings) {
+  return std::all_of(Listings.begin(), Listings.end(), [](const backend_listing &Listing) {
+    return isValidListingState(Listing.State);
+  });
 }
 
 bool hasValidEnums(const control_command &Command) {
   if (const auto *Noted = std::get_if<update_backends>(&Command))
-    return areStates(Noted->Changes);
+    return areValidListingStates(Noted->Changes);
   const auto *Settle = std::get_if<claim_settle>(&Command);
-  return Settle == nullptr || isStanding(Settle->Standing);
+  return Settle == nullptr || isValidClaimState(Settle->Standing);
 }
 
 bool hasValidEnums(const control_snapshot &Snapshot) {
-  return areStates(Snapshot.Backends) &&
+  return areValidListingStates(Snapshot.Backends) &&
          std::all_of(Snapshot.Claims.Records.begin(), Snapshot.Claims.Records.end(),
-                     [](const claim_record &Record) { return isStanding(Record.Standing); });
+                     [](const claim_record &Record) { return isValidClaimState(Record.Standing); });
 }
 
 template <typename Older>
@@ -147,10 +148,10 @@
 }
 
 result<control_snapshot, control_codec_error> decodeSnapshot(std::string_view Bytes) {
-  const auto Number = versionOf(Bytes, state_version::Suspects);
-  if (!succeeded(Number))
-    return errorOf(Number);
-  switch (valueOf(Number)) {
+  const auto VersionNumber = versionOf(Bytes, state_version::Suspects);
+  if (!succeeded(VersionNumber))
+    return errorOf(VersionNumber);
+  switch (valueOf(VersionNumber)) {
   case state_version::Initial:
     return decodeOlder<initial_snapshot>(Bytes);
   case state_version::Backends:
@@ -160,8 +161,9 @@
   }
 }
 
-/// A command with a text goes to every follower by the link that carries its heartbeats, in one
-/// message with them: not packed, a large one holds them back until the follower stands.
+/// Whether a command contains a declaration's text, which is compressed. A command is sent to every
+/// follower over the link that also carries heartbeats, in one message with them. Uncompressed, a
+/// large one delays the heartbeats until the follower starts an election.
 bool hasText(const control_command &Command) {
   return std::holds_alternative<apply_change>(Command) ||
          std::holds_alternative<offer_declaration>(Command);
@@ -191,7 +193,8 @@
 } // namespace
 
 std::string encodeCommand(const control_command &Command) {
-  // Only what an older program cannot carry out bears the newer number, so that it stops there.
+  // Only a command that an older program cannot apply gets the newer version, so that the older
+  // program stops there.
   if (hasText(Command))
     return encodePlain(version_head<command_version>{command_version::Packed}) +
            encodePlain(pack(encodePlain(Command)));
@@ -199,10 +202,10 @@
 }
 
 result<control_command, control_codec_error> decodeCommand(std::string_view Bytes) {
-  const auto Number = versionOf(Bytes, command_version::Suspects);
-  if (!succeeded(Number))
-    return errorOf(Number);
-  auto Decoded = valueOf(Number) == command_version::Packed
+  const auto VersionNumber = versionOf(Bytes, command_version::Suspects);
+  if (!succeeded(VersionNumber))
+    return errorOf(VersionNumber);
+  auto Decoded = valueOf(VersionNumber) == command_version::Packed
                      ? decodePacked(Bytes)
                      : decodeBody<control_command, command_version>(Bytes);
   if (succeeded(Decoded) && !hasValidEnums(valueOf(Decoded)))
--- a/programs/pollenstall-control/control_codec_func.h
+++ b/programs/pollenstall-control/control_codec_func.h
@@ -1,4 +1,4 @@
-/** @file control_codec_func.h Commands and snapshots of the control state as bytes. */
+/** @file control_codec_func.h Encodes and decodes commands and snapshots of the control state. */
 #ifndef POLLENSTALL_CONTROL_CONTROL_CODEC_FUNC_H
 #define POLLENSTALL_CONTROL_CONTROL_CODEC_FUNC_H
 
@@ -9,22 +9,22 @@
 
 namespace pollenstall {
 
-/// Versions of a command's bytes in the log.
+/// Versions of a command's encoding in the log.
 enum class command_version : std::uint16_t {
   Initial = 1,
-  Backends = 2, ///< Of update_backends alone.
-  Packed = 3,   ///< Of commands with a declaration: a packed_text of the command.
-  Suspects = 4, ///< Of record_crash and clear_suspect alone.
+  Backends = 2, ///< Used for update_backends only.
+  Packed = 3,   ///< Used for commands with a declaration: a packed_text of the command.
+  Suspects = 4, ///< Used for record_crash and clear_suspect only.
 };
-/// Versions of a snapshot's bytes.
+/// Versions of a snapshot's encoding.
 enum class state_version : std::uint16_t { Initial = 1, Backends = 2, Suspects = 3 };
 
-/// Why bytes of the log cannot be carried out. Skipping them would part this member's state from
-/// the others', so the process must stop.
+/// Why an entry of the log cannot be applied. If it were skipped, this member's state would diverge
+/// from the others', so the process must stop.
 enum class control_codec_error : std::uint8_t {
   OtherVersion,   ///< Written by a newer program.
-  Malformed,      ///< No command or state of that version.
-  InvalidContent, ///< Decoded, but breaks a rule of the state.
+  Malformed,      ///< Not a valid command or state of its version.
+  InvalidContent, ///< Decoded, but violates an invariant of the state.
 };
 
 std::string encodeCommand(const control_command &Command);
--- a/programs/pollenstall-control/control_core.cpp
+++ b/programs/pollenstall-control/control_core.cpp
@@ -1,4 +1,4 @@
-/** @file control_core.cpp The loop of the decision thread and the replica's actions. */
+/** @file control_core.cpp The decision thread's loop and the replica's actions. */
 #include "control_core_base.h"
 
 #include "control_codec_func.h"
@@ -13,13 +13,13 @@
 using std::chrono::milliseconds;
 
 constexpr std::size_t RequestCapacity = 1024;
-/// Looks at the clock this often, or more often where heartbeats need it.
+/// Longest interval between two steps; heartbeats may require a shorter one.
 constexpr milliseconds MaxTick{25};
 constexpr int TicksPerHeartbeat = 4;
-/// An applicant that has not asked for so long is gone.
+/// An applicant is removed if it has not repeated its request for this long.
 constexpr std::chrono::seconds ApplicantLifetime{3};
 
-/// Between two looks at who is lost.
+/// Interval between two checks for lost members.
 constexpr milliseconds RepairInterval{200};
 
 directory_options directoryOptions(const control_settings &Settings) {
@@ -28,10 +28,11 @@
   return Options;
 }
 
-entry_desk_options deskOptions(const control_settings &Settings) {
+entry_server_options deskOptions(const control_settings &Settings) {
   constexpr double BytesPerMegabit = 1e6 / 8;
   const std::chrono::duration<double> Heartbeat = Settings.Heartbeat;
-  // What the link carries between two heartbeats: none waits for longer behind texts.
+  // The bytes that the link carries between two heartbeats, so that texts delay no heartbeat for
+  // longer than one interval.
   return {inForceOptions(Settings),
           static_cast<std::size_t>(Settings.LinkMegabits * BytesPerMegabit * Heartbeat.count())};
 }
@@ -58,10 +59,10 @@
 
 } // namespace
 
-control_core::control_core(control_core_parts Given)
-    : Parts(std::move(Given)), Replica(makeReplica(Parts.Settings, *Parts.Folder)), State(Limits),
-      Desk(deskOptions(Parts.Settings), deskHooks()), Directory(directoryOptions(Parts.Settings)),
-      Requests(RequestCapacity) {
+control_core::control_core(control_core_dependencies Dependencies)
+    : Parts(std::move(Dependencies)), Replica(makeReplica(Parts.Settings, *Parts.Folder)),
+      State(Limits), EntryServer(deskOptions(Parts.Settings), entryServerCallbacks()),
+      Directory(directoryOptions(Parts.Settings)), Requests(RequestCapacity) {
   Addresses[self()] = Parts.Own;
   Requests.onWake([this] { Parts.Wake->notify(); });
   publishDeclared();
@@ -92,9 +93,10 @@
   Replica.tick(Now);
   Parts.Peers->drain([this](peer_message &&Message) { receive(std::move(Message)); });
   Requests.drain([this](control_request &&Request) { answer(std::move(Request)); });
-  Parts.Entries->drain([this](hub_event &&Event) { Desk.handle(Event, boot_clock::now()); });
+  Parts.Entries->drain(
+      [this](entry_event &&Event) { EntryServer.handle(Event, boot_clock::now()); });
   perform();
-  watchTime();
+  updatePeriodically();
 }
 
 void control_core::perform() {
@@ -108,10 +110,11 @@
         Batch.push_back(*Persist);
         continue;
       }
-      // What comes after a persist may tell others of it, so it waits until that is durable.
+      // An action after a persist may report the entry to other hosts, so the persist must be
+      // durable first.
       if (!flush(Batch))
         return;
-      std::visit([this](const auto &One) { carryOut(One); }, Action);
+      std::visit([this](const auto &Alternative) { performAction(Alternative); }, Action);
     }
     if (!flush(Batch))
       return;
@@ -142,18 +145,20 @@
 
 // ---- Actions. ----
 
-void control_core::carryOut(const send_to_member &Action) { Parts.Peers->send(Action.Message); }
+void control_core::performAction(const send_to_member &Action) {
+  Parts.Peers->send(Action.Message);
+}
 
-void control_core::carryOut(const persist_log & /*Action*/) {} // collected by perform()
+void control_core::performAction(const persist_log & /*Action*/) {} // batched in perform()
 
-void control_core::carryOut(const apply_entry &Action) {
+void control_core::performAction(const apply_entry &Action) {
   Applied = Action.Entry.Index;
   if (Action.Entry.Kind == entry_kind::Command)
     execute(Action.Entry);
   if (Action.Entry.Kind == entry_kind::Membership) {
     Members = decodeMembers(Action.Entry.Payload).value_or(member_set{});
-    std::erase_if(Applicants, [this](const auto &Item) {
-      return findMember(Members, Item.second.first) != nullptr;
+    std::erase_if(Applicants, [this](const auto &Applicant) {
+      return findMember(Members, Applicant.second.first) != nullptr;
     });
   }
   const auto Membership = Memberships.find(Action.Entry.Index);
@@ -184,31 +189,31 @@
   const mono_time Time = boot_clock::now();
   if (State.declared().Revision != Before) {
     publishDeclared();
-    if (Desk.inOffice())
-      noteAccepted(Time);
-    Desk.declarationChanged(Time);
+    if (EntryServer.isLeading())
+      recordAccepted(Time);
+    EntryServer.declarationChanged(Time);
   }
   if (State.drainsVersion() != DrainsBefore)
-    Desk.drainsChanged(Time);
+    EntryServer.drainsChanged(Time);
 }
 
 void control_core::announceSuspects() {
-  Desk.suspectsChanged(boot_clock::now());
+  EntryServer.suspectsChanged(boot_clock::now());
   std::string Blocked;
   std::size_t Watched = 0;
-  for (const published_suspect &Told : State.suspects().published(wallClock())) {
-    if (Told.BlockedFor.count() == 0)
+  for (const published_suspect &Suspect : State.suspects().published(wallClock())) {
+    if (Suspect.BlockedFor.count() == 0)
       ++Watched;
     else
-      Blocked += (Blocked.empty() ? "" : ",") + toText(Told.Fingerprint);
+      Blocked += (Blocked.empty() ? "" : ",") + toText(Suspect.Fingerprint);
   }
   logEvent(log_level::Warning, "suspects_changed",
            {{"blocked", Blocked}, {"watched", static_cast<std::int64_t>(Watched)}});
 }
 
-void control_core::noteAccepted(mono_time Time) {
+void control_core::recordAccepted(mono_time Time) {
   const declaration_record &Declared = State.declared();
-  AwaitingForce.emplace(Declared.Revision, Time);
+  AwaitingInForce.emplace(Declared.Revision, Time);
   logEvent(log_level::Info, "declaration_accepted",
            {{"revision", static_cast<std::int64_t>(Declared.Revision.value())},
             {"bytes", static_cast<std::int64_t>(Declared.Text.size())}});
@@ -230,7 +235,7 @@
   Published = std::move(Copy);
 }
 
-void control_core::carryOut(const install_snapshot &Action) {
+void control_core::performAction(const install_snapshot &Action) {
   auto Restored = decodeState(Action.Snapshot->State, Limits);
   if (!succeeded(Restored))
     return fail("snapshot_unreadable", "index " + std::to_string(Action.Snapshot->Index.value()));
@@ -240,34 +245,34 @@
   publishDeclared();
 }
 
-void control_core::carryOut(const became_leader &Action) {
+void control_core::performAction(const became_leader &Action) {
   logEvent(log_level::Info, "became_leader",
            {{"term", static_cast<std::int64_t>(Action.Term.value())}});
   LastRead = LastRead.next();
-  OfficeRead = LastRead;
+  LeadershipRead = LastRead;
   Replica.readIndex(LastRead, boot_clock::now());
 }
 
-void control_core::carryOut(const stepped_down &Action) {
+void control_core::performAction(const stepped_down &Action) {
   logEvent(log_level::Info, "stepped_down",
            {{"term", static_cast<std::int64_t>(Action.Term.value())}});
-  OfficeRead.reset();
-  AwaitingForce.clear();
+  LeadershipRead.reset();
+  AwaitingInForce.clear();
   Applicants.clear();
   Directory.clear();
-  Desk.leaveOffice();
-  Offers.giveUp();
+  EntryServer.stopLeading();
+  Offers.abandonAll();
   for (const auto &[Index, Waiting] : std::exchange(Proposals, {}))
     Waiting.Answered(std::nullopt);
   for (const auto &[Index, Waiting] : std::exchange(Memberships, {}))
     Waiting.Answer->set_value(outcome_unknown{});
 }
 
-void control_core::carryOut(const read_ready &Action) {
-  if (OfficeRead == Action.Read) {
-    OfficeRead.reset();
+void control_core::performAction(const read_ready &Action) {
+  if (LeadershipRead == Action.Read) {
+    LeadershipRead.reset();
     Directory.restore(State.backends(), boot_clock::now());
-    Desk.takeOffice(boot_clock::now());
+    EntryServer.startLeading(boot_clock::now());
     return;
   }
   const auto Found = Reads.find(Action.Read);
@@ -277,31 +282,31 @@
   Reads.erase(Found);
 }
 
-void control_core::carryOut(const read_refused &Action) {
+void control_core::performAction(const read_refused &Action) {
   const auto Found = Reads.find(Action.Read);
   if (Found == Reads.end())
     return;
-  Found->second.Answer->set_value(elsewhere(Action.LeaderHint));
+  Found->second.Answer->set_value(notLeader(Action.LeaderHint));
   Reads.erase(Found);
 }
 
-void control_core::carryOut(const take_snapshot &Action) {
+void control_core::performAction(const take_snapshot &Action) {
   if (!Replica.snapshotTaken(Action.Index, encodeState(State), boot_clock::now()))
     logEvent(log_level::Warning, "snapshot_refused",
              {{"index", static_cast<std::int64_t>(Action.Index.value())}});
 }
 
-void control_core::carryOut(const admission_requested &Action) {
+void control_core::performAction(const admission_requested &Action) {
   const bool New = Applicants.count(Action.Key.Member) == 0;
   Applicants[Action.Key.Member] = {Action.Key, boot_clock::now()};
   if (New)
     logEvent(log_level::Warning, "admission_requested", {{"member", toText(Action.Key)}});
-  // Refused while another change is under way: it asks again.
+  // Refused while another membership change is in progress; the applicant repeats its request.
   if (Parts.Settings.SelfManaged)
     Replica.admit(Action.Key, boot_clock::now());
 }
 
-void control_core::carryOut(const members_changed &Action) {
+void control_core::performAction(const members_changed &Action) {
   logEvent(log_level::Info, "members_changed", {{"members", toText(Action.Members)}});
 }
 
@@ -312,49 +317,51 @@
   Newest.Term = leader_term(Status.Term.value());
   Newest.End = Replica.leaseEnd();
   Newest.Renewed = Newest.End - replicaOptions(Parts.Settings).MinElectionTimeout;
-  Newest.Valid = Desk.inOffice() && Status.LeaseValid;
+  Newest.Valid = EntryServer.isLeading() && Status.LeaseValid;
   const std::lock_guard Lock(LeaseMutex);
   Lease = Newest;
 }
 
-void control_core::countLinks() {
+void control_core::updateLinkMetrics() {
   const peer_link_counters Peer = Parts.Peers->counters();
-  const entry_hub_counters Entry = Parts.Entries->counters();
+  const entry_listener_counters Entry = Parts.Entries->counters();
   control_metrics &Metrics = *Parts.Metrics;
   const auto RaiseTo = [](prometheus::Counter &Counter, std::uint64_t Value) {
     Counter.Increment(static_cast<double>(Value) - Counter.Value());
   };
-  RaiseTo(Metrics.PeerGarbage, Peer.Garbage);
+  RaiseTo(Metrics.PeerUndecodable, Peer.Undecodable);
   RaiseTo(Metrics.PeerDropped, Peer.Dropped);
-  RaiseTo(Metrics.EntryGarbage, Entry.Garbage);
+  RaiseTo(Metrics.EntryUndecodable, Entry.Undecodable);
   Metrics.Entries.Set(static_cast<double>(Entry.Connections));
 }
 
-void control_core::watchTime() {
+void control_core::updatePeriodically() {
   Now = boot_clock::now();
   const replica_status Status = Replica.status(Now);
-  Ready.store(Status.Leader.Member != member_id() &&
-              (Status.Role != replica_role::Leader || (Desk.inOffice() && Status.LeaseValid)));
-  Parts.Metrics->Leads.Set(Desk.inOffice() && Status.LeaseValid ? 1 : 0);
+  Ready.store(
+      Status.Leader.Member != member_id() &&
+      (Status.Role != replica_role::Leader || (EntryServer.isLeading() && Status.LeaseValid)));
+  Parts.Metrics->Leads.Set(EntryServer.isLeading() && Status.LeaseValid ? 1 : 0);
   Parts.Metrics->Term.Set(static_cast<double>(Status.Term.value()));
   Parts.Metrics->Commit.Set(static_cast<double>(Status.Commit.value()));
   Parts.Metrics->Revision.Set(static_cast<double>(State.declared().Revision.value()));
   publishLease(Status);
-  countLinks();
-  giveUpOldWaits();
-  Desk.advance(Now);
+  updateLinkMetrics();
+  expireWaiters();
+  EntryServer.advance(Now);
   answerOffers();
-  if (!Desk.inOffice())
+  if (!EntryServer.isLeading())
     return;
-  if (auto Fallen = Directory.advance(Now); !Fallen.empty()) {
-    Desk.backendsChanged(Fallen);
-    keepBackends(std::move(Fallen), nullptr);
+  if (auto Expired = Directory.advance(Now); !Expired.empty()) {
+    EntryServer.backendsChanged(Expired);
+    recordBackends(std::move(Expired), nullptr);
   }
   replaceLostMembers(Status);
   expireClaims();
   reportInForce();
-  std::erase_if(Applicants,
-                [this](const auto &Item) { return Item.second.second + ApplicantLifetime < Now; });
+  std::erase_if(Applicants, [this](const auto &Applicant) {
+    return Applicant.second.second + ApplicantLifetime < Now;
+  });
 }
 
 void control_core::replaceLostMembers(const replica_status &Status) {
@@ -363,36 +370,36 @@
   NextRepair = Now + RepairInterval;
   member_repair_options Options;
   Options.TargetVoters = targetVoters(Parts.Settings);
-  const std::optional<member_change> Wanted = nextMemberRepair(Status, Emptied, Options);
-  if (!Wanted)
+  const std::optional<member_change> Change = nextMemberRepair(Status, ReplacedMembers, Options);
+  if (!Change)
     return;
-  const auto *Expelled = std::get_if<expel_member>(&*Wanted);
+  const auto *Expelled = std::get_if<expel_member>(&*Change);
   const bool Proposed =
       succeeded(Expelled ? Replica.expel(Expelled->Member, Now)
-                         : Replica.promote(std::get<promote_member>(*Wanted).Member, Now));
+                         : Replica.promote(std::get<promote_member>(*Change).Member, Now));
   if (!Proposed)
     return;
   const member_id Member =
-      Expelled ? Expelled->Member : std::get<promote_member>(*Wanted).Member.Member;
+      Expelled ? Expelled->Member : std::get<promote_member>(*Change).Member.Member;
   logEvent(log_level::Warning, Expelled ? "member_expelled" : "member_promoted",
            {{"member", std::to_string(Member.value())}, {"members", toText(Status.Members)}});
 }
 
-void control_core::giveUpOldWaits() {
-  // Bounds what an outage can collect; the outcome stays open, and a resend resolves it.
+void control_core::expireWaiters() {
+  // Limits the number of waiters during an outage. Their outcome is unknown; a resend resolves it.
   std::vector<answer_hook> Late;
-  std::erase_if(Proposals, [&](auto &Item) {
-    if (Now < Item.second.GiveUp)
+  std::erase_if(Proposals, [&](auto &Waiter) {
+    if (Now < Waiter.second.Deadline)
       return false;
-    Late.push_back(std::move(Item.second.Answered));
+    Late.push_back(std::move(Waiter.second.Answered));
     return true;
   });
   for (const answer_hook &Answered : Late)
     Answered(std::nullopt);
-  std::erase_if(Memberships, [&](auto &Item) {
-    if (Now < Item.second.GiveUp)
+  std::erase_if(Memberships, [&](auto &Waiter) {
+    if (Now < Waiter.second.Deadline)
       return false;
-    Item.second.Answer->set_value(outcome_unknown{});
+    Waiter.second.Answer->set_value(outcome_unknown{});
     return true;
   });
 }
@@ -409,14 +416,14 @@
 }
 
 void control_core::reportInForce() {
-  const std::optional<revision> InForce = Desk.inForce(Now);
-  while (InForce && !AwaitingForce.empty() && AwaitingForce.begin()->first <= *InForce) {
-    const mono_duration Took = Now - AwaitingForce.begin()->second;
+  const std::optional<revision> InForce = EntryServer.inForce(Now);
+  while (InForce && !AwaitingInForce.empty() && AwaitingInForce.begin()->first <= *InForce) {
+    const mono_duration Took = Now - AwaitingInForce.begin()->second;
     Parts.Metrics->InForce.Observe(std::chrono::duration<double>(Took).count());
     logEvent(log_level::Info, "declaration_in_force",
-             {{"revision", static_cast<std::int64_t>(AwaitingForce.begin()->first.value())},
+             {{"revision", static_cast<std::int64_t>(AwaitingInForce.begin()->first.value())},
               {"took_ms", std::chrono::duration_cast<milliseconds>(Took).count()}});
-    AwaitingForce.erase(AwaitingForce.begin());
+    AwaitingInForce.erase(AwaitingInForce.begin());
   }
 }
 
--- a/programs/pollenstall-control/control_core_base.h
+++ b/programs/pollenstall-control/control_core_base.h
@@ -1,4 +1,4 @@
-/** @file control_core_base.h The decision thread: drives the replica, the disk and the state. */
+/** @file control_core_base.h The decision thread: runs the replica, the disk and the state. */
 #ifndef POLLENSTALL_CONTROL_CONTROL_CORE_BASE_H
 #define POLLENSTALL_CONTROL_CONTROL_CORE_BASE_H
 
@@ -7,7 +7,7 @@
 #include "control_settings_type.h"
 #include "control_state/control_state.h"
 #include "directory/directory.h"
-#include "entry_desk_base.h"
+#include "entry_server_base.h"
 #include "offer_queue_base.h"
 #include "order_link/order_link.h"
 #include "peer_link/peer_link.h"
@@ -23,45 +23,50 @@
 
 namespace pollenstall {
 
-/// The parts that the decision thread is joined to; they outlive it.
-struct control_core_parts {
+/// Components that the decision thread uses; they must outlive it.
+struct control_core_dependencies {
   control_settings Settings;
   wake_signal *Wake{nullptr};
   peer_link *Peers{nullptr};
-  entry_hub *Entries{nullptr};
+  entry_listener *Entries{nullptr};
   control_metrics *Metrics{nullptr};
   std::unique_ptr<data_folder> Folder;
   peer_addresses Own;
-  std::shared_ptr<order_status_view> Orders; ///< Null where this host sends no orders.
+  std::shared_ptr<order_status_view> Orders; ///< Null if this host sends no orders.
 };
 
 /**
- * Owns everything that decides. Its thread alone touches the replica, the data folder and the
- * state; operators' threads hand requests over and wait for the answers.
+ * Owns the replica, the data folder and the state; only its thread accesses them. Operators'
+ * threads enqueue requests and wait for the answers.
  */
 class control_core {
 public:
-  explicit control_core(control_core_parts Given);
+  explicit control_core(control_core_dependencies Dependencies);
   ~control_core();
   control_core(const control_core &) = delete;
   control_core &operator=(const control_core &) = delete;
 
   void start();
 
-  /// Asks and waits; callable from any thread. @return outcome_unknown after Limit.
-  control_outcome ask(control_question Question, std::chrono::milliseconds Limit);
+  /// Enqueues an operation and waits for its outcome; callable from any thread.
+  /// @return outcome_unknown after Limit.
+  control_outcome ask(control_operation Operation, std::chrono::milliseconds Limit);
 
-  /// @return The declaration as applied here, perhaps not the newest; callable from any thread.
+  /// @return The declaration applied on this host, perhaps not the newest; callable from any
+  /// thread.
   std::shared_ptr<const declaration_record> declared() const;
 
-  /// @return The lease that orders need, as of the last look; callable from any thread.
+  /// @return The leader lease that orders require, as of the last periodic update; callable from
+  /// any thread.
   leader_lease lease() const;
 
-  /// @return Whether the platform's balancer may send operators here; callable from any thread.
+  /// @return Whether the platform's load balancer may send operators here; callable from any
+  /// thread.
   [[nodiscard]] bool ready() const { return Ready.load(); }
-  /// @return Whether the disk failed or the log cannot be carried out: this object must go.
+  /// @return Whether the disk failed or the log cannot be applied. This object must be destroyed
+  /// then.
   [[nodiscard]] bool failed() const { return Failed.load(); }
-  /// @return Whether it was the disk: it may take writes again later.
+  /// @return Whether the disk was the cause; it may accept writes again later.
   [[nodiscard]] bool diskFailed() const { return DiskFailed.load(); }
 
 private:
@@ -69,12 +74,12 @@
   struct waiting_proposal {
     term_number Term;
     answer_hook Answered;
-    mono_time GiveUp;
+    mono_time Deadline;
   };
   struct waiting_membership {
     term_number Term;
     std::shared_ptr<std::promise<control_outcome>> Answer;
-    mono_time GiveUp;
+    mono_time Deadline;
   };
   struct waiting_read {
     std::function<std::string(const control_state &)> Read;
@@ -84,91 +89,93 @@
   void run();
   void step();
   void perform();
-  /// @return False where the disk failed.
+  /// Writes the batch to the disk. @return False if the disk failed.
   bool flush(std::vector<persist_log> &Batch);
 
-  void carryOut(const send_to_member &Action);
-  void carryOut(const persist_log &Action);
-  void carryOut(const apply_entry &Action);
-  void carryOut(const install_snapshot &Action);
-  void carryOut(const became_leader &Action);
-  void carryOut(const stepped_down &Action);
-  void carryOut(const read_ready &Action);
-  void carryOut(const read_refused &Action);
-  void carryOut(const take_snapshot &Action);
-  void carryOut(const admission_requested &Action);
-  void carryOut(const members_changed &Action);
+  void performAction(const send_to_member &Action);
+  void performAction(const persist_log &Action);
+  void performAction(const apply_entry &Action);
+  void performAction(const install_snapshot &Action);
+  void performAction(const became_leader &Action);
+  void performAction(const stepped_down &Action);
+  void performAction(const read_ready &Action);
+  void performAction(const read_refused &Action);
+  void performAction(const take_snapshot &Action);
+  void performAction(const admission_requested &Action);
+  void performAction(const members_changed &Action);
 
   void receive(peer_message &&Message);
-  /// @param FirstHand Told by the host itself. @return Whether that was news.
-  bool learnAddresses(member_id Member, const peer_addresses &Told, bool FirstHand);
+  /// Stores the addresses of a host.
+  /// @param FromItself Whether the host reported its own addresses. @return Whether they are new.
+  bool learnAddresses(member_id Member, const peer_addresses &Reported, bool FromItself);
   void answer(control_request &&Request);
-  void answerQuestion(const status_wanted &Question, const control_request &Request);
-  void answerQuestion(const dump_wanted &Question, const control_request &Request);
-  void answerQuestion(const command_wanted &Question, const control_request &Request);
-  void answerQuestion(const read_wanted &Question, const control_request &Request);
-  void answerQuestion(const admission_wanted &Question, const control_request &Request);
-  void answerQuestion(const expulsion_wanted &Question, const control_request &Request);
-  void answerQuestion(const announcement_wanted &Question, const control_request &Request);
-  void answerQuestion(const withdrawal_wanted &Question, const control_request &Request);
-  /// @return Whether this host may speak for the fleet now; otherwise the request was answered.
-  bool mayServe(const control_request &Request);
-  void noteBackends(const std::vector<backend_listing> &Changes, const instance_name &Speaker,
-                    const std::shared_ptr<std::promise<control_outcome>> &Asker);
-  [[nodiscard]] bool leavesUnkept(const instance_name &Instance) const;
-  void keepBackends(std::vector<backend_listing> Changes,
-                    const std::shared_ptr<std::promise<control_outcome>> &Asker);
+  void handleOperation(const get_status &Operation, const control_request &Request);
+  void handleOperation(const get_dump &Operation, const control_request &Request);
+  void handleOperation(const submit_command &Operation, const control_request &Request);
+  void handleOperation(const read_state &Operation, const control_request &Request);
+  void handleOperation(const admit_member &Operation, const control_request &Request);
+  void handleOperation(const remove_member &Operation, const control_request &Request);
+  void handleOperation(const announce_backend &Operation, const control_request &Request);
+  void handleOperation(const withdraw_backend &Operation, const control_request &Request);
+  /// @return Whether this host leads and holds its lease; otherwise the request has been answered.
+  bool requireLeadership(const control_request &Request);
+  void publishBackends(const std::vector<backend_listing> &Changes, const instance_name &Announcer,
+                       const std::shared_ptr<std::promise<control_outcome>> &Reply);
+  [[nodiscard]] bool hasUnrecordedLeave(const instance_name &Instance) const;
+  void recordBackends(std::vector<backend_listing> Changes,
+                      const std::shared_ptr<std::promise<control_outcome>> &Reply);
   void answerOffer(const offer_declaration &Offer, const control_request &Request);
   void answerOffers();
   void answerMembership(const proposal_result &Result, const control_request &Request);
   [[nodiscard]] control_outcome refusalOf(const proposal_refusal &Refusal) const;
-  [[nodiscard]] control_outcome elsewhere(const member_key &Leader) const;
+  [[nodiscard]] control_outcome notLeader(const member_key &Leader) const;
 
   std::optional<proposal_refusal> propose(const control_command &Command, answer_hook Answered);
   void execute(const log_entry &Entry);
   void completeProposal(const log_entry &Entry, const control_answer &Answer);
   void announceEffects(revision Before, std::uint64_t DrainsBefore);
   void announceSuspects();
-  void noteAccepted(mono_time Time);
+  void recordAccepted(mono_time Time);
   void publishDeclared();
   void publishLease(const replica_status &Status);
   void fail(std::string_view Event, const std::string &Why);
 
-  void watchTime();
+  void updatePeriodically();
   void replaceLostMembers(const replica_status &Status);
   [[nodiscard]] member_id self() const { return Parts.Folder->identity().Key.Member; }
-  void countLinks();
-  void giveUpOldWaits();
+  void updateLinkMetrics();
+  void expireWaiters();
   void expireClaims();
   void reportInForce();
-  [[nodiscard]] entry_desk_hooks deskHooks();
+  [[nodiscard]] entry_server_callbacks entryServerCallbacks();
   [[nodiscard]] const peer_addresses *addressesOf(const member_key &Member) const;
   [[nodiscard]] std::string statusText();
   [[nodiscard]] std::string dumpText();
 
-  control_core_parts Parts;
+  control_core_dependencies Parts;
   control_limits Limits;
   replica Replica;
   control_state State;
-  entry_desk Desk;
-  backend_directory Directory; ///< Filled while this host is in office.
-  mono_time Now{}; ///< Read at each step and again before anything that needs the lease.
+  entry_server EntryServer;
+  backend_directory Directory; ///< Filled while this host leads.
+  mono_time Now{};             ///< Read at each step, and again before any use of the lease.
   log_index Applied;
-  member_set Members; ///< Committed. One that is only proposed may be lost with this leader.
+  member_set Members; ///< Committed. A proposed change may be lost with this leader.
   std::map<log_index, waiting_proposal> Proposals;
   offer_queue Offers;
   std::map<log_index, waiting_membership> Memberships;
   std::map<read_id, waiting_read> Reads;
   read_id LastRead;
-  std::optional<read_id> OfficeRead; ///< Its answer opens the office.
+  std::optional<read_id> LeadershipRead; ///< This host starts to lead when it completes.
   std::map<member_id, peer_addresses> Addresses;
-  std::set<member_id> Emptied; ///< Members at whose addresses others have come up.
+  std::set<member_id> ReplacedMembers; ///< Their addresses are now used by other members.
   std::map<member_id, std::pair<member_key, mono_time>> Applicants;
-  std::map<revision, mono_time> AwaitingForce; ///< Accepted in this office, not yet in force.
+  /// Accepted during this leadership, not yet in force.
+  std::map<revision, mono_time> AwaitingInForce;
   mono_time NextClaimExpiry{};
   mono_time NextRepair{};
 
-  std::mutex RequestMutex; ///< Makes the operators' threads one producer.
+  std::mutex RequestMutex; ///< Serializes the operators' threads as one producer.
   bounded_ring<control_request> Requests;
   mutable std::mutex DeclaredMutex;
   std::shared_ptr<const declaration_record> Published;
--- a/programs/pollenstall-control/control_core_request.cpp
+++ b/programs/pollenstall-control/control_core_request.cpp
@@ -1,4 +1,4 @@
-/** @file control_core_request.cpp Operators' questions and proposals on the decision thread. */
+/** @file control_core_request.cpp Operators' requests and proposals on the decision thread. */
 #include "control_core_base.h"
 
 #include "control_codec_func.h"
@@ -37,12 +37,12 @@
 
 } // namespace
 
-control_outcome control_core::ask(control_question Question, std::chrono::milliseconds Limit) {
+control_outcome control_core::ask(control_operation Operation, std::chrono::milliseconds Limit) {
   auto Answer = std::make_shared<std::promise<control_outcome>>();
   std::future<control_outcome> Future = Answer->get_future();
   {
     const std::lock_guard Lock(RequestMutex);
-    if (!Requests.push({std::move(Question), std::move(Answer)}))
+    if (!Requests.push({std::move(Operation), std::move(Answer)}))
       return request_refused{"overloaded", "too many calls are waiting"};
   }
   if (Future.wait_for(Limit) != std::future_status::ready)
@@ -62,28 +62,29 @@
 
 void control_core::receive(peer_message &&Message) {
   if (const auto *Hello = std::get_if<peer_hello>(&Message)) {
-    bool News = learnAddresses(Hello->Member, Hello->Addresses, true);
-    for (const known_peer &Other : Hello->Known)
-      News = learnAddresses(Other.first, Other.second, false) || News;
-    if (News)
-      Desk.controlsChanged();
+    bool Changed = learnAddresses(Hello->Member, Hello->Addresses, true);
+    for (const known_peer &Other : Hello->KnownPeers)
+      Changed = learnAddresses(Other.first, Other.second, false) || Changed;
+    if (Changed)
+      EntryServer.controlsChanged();
     return;
   }
   Replica.receive(std::move(std::get<consensus_message>(Message)), boot_clock::now());
 }
 
-bool control_core::learnAddresses(member_id Member, const peer_addresses &Told, bool FirstHand) {
+bool control_core::learnAddresses(member_id Member, const peer_addresses &Reported,
+                                  bool FromItself) {
   if (Member == self())
     return false;
-  const auto Known = Addresses.find(Member);
-  if (Known != Addresses.end() && (!FirstHand || Known->second == Told))
+  const auto Previous = Addresses.find(Member);
+  if (Previous != Addresses.end() && (!FromItself || Previous->second == Reported))
     return false;
-  // A host that comes up under another id has lost its disk, and with it the member that it was.
-  if (FirstHand)
-    for (const auto &[Other, Kept] : Addresses)
-      if (Other != Member && Other != self() && Kept.Peers == Told.Peers)
-        Emptied.insert(Other);
-  Addresses[Member] = Told;
+  // A host that comes up under a new member id has lost its disk, and with it its previous member.
+  if (FromItself)
+    for (const auto &[Other, OtherAddresses] : Addresses)
+      if (Other != Member && Other != self() && OtherAddresses.Peers == Reported.Peers)
+        ReplacedMembers.insert(Other);
+  Addresses[Member] = Reported;
   Replica.addPeer(Member);
   return true;
 }
@@ -93,15 +94,15 @@
   return Found == Addresses.end() ? nullptr : &Found->second;
 }
 
-control_outcome control_core::elsewhere(const member_key &Leader) const {
-  const peer_addresses *Known = addressesOf(Leader);
-  const bool Told = Known != nullptr && !Known->Operators.empty();
-  return leader_elsewhere{Told ? "http://" + Known->Operators : std::string()};
+control_outcome control_core::notLeader(const member_key &Leader) const {
+  const peer_addresses *LeaderAddresses = addressesOf(Leader);
+  const bool HasUrl = LeaderAddresses != nullptr && !LeaderAddresses->Operators.empty();
+  return not_leader{HasUrl ? "http://" + LeaderAddresses->Operators : std::string()};
 }
 
 control_outcome control_core::refusalOf(const proposal_refusal &Refusal) const {
   if (Refusal.Reason == proposal_error::NotLeader)
-    return elsewhere(Refusal.LeaderHint);
+    return notLeader(Refusal.LeaderHint);
   return request_refused{codeOf(Refusal.Reason), "nothing was done"};
 }
 
@@ -111,31 +112,32 @@
   const proposal_result Result = Replica.propose(encodeCommand(Command), Time);
   if (!succeeded(Result))
     return errorOf(Result);
-  const proposal_position &Place = valueOf(Result);
+  const proposal_position &Position = valueOf(Result);
   Proposals.insert_or_assign(
-      Place.Index, waiting_proposal{Place.Term, std::move(Answered), Time + ProposalLimit});
+      Position.Index, waiting_proposal{Position.Term, std::move(Answered), Time + ProposalLimit});
   return std::nullopt;
 }
 
 void control_core::answer(control_request &&Request) {
-  std::visit([&](const auto &Question) { answerQuestion(Question, Request); }, Request.Question);
+  std::visit([&](const auto &Operation) { handleOperation(Operation, Request); },
+             Request.Operation);
 }
 
-void control_core::answerQuestion(const status_wanted & /*Question*/,
-                                  const control_request &Request) {
+void control_core::handleOperation(const get_status & /*Operation*/,
+                                   const control_request &Request) {
   Request.Answer->set_value(statusText());
 }
 
-void control_core::answerQuestion(const dump_wanted & /*Question*/,
-                                  const control_request &Request) {
+void control_core::handleOperation(const get_dump & /*Operation*/, const control_request &Request) {
   Request.Answer->set_value(dumpText());
 }
 
-void control_core::answerQuestion(const command_wanted &Question, const control_request &Request) {
-  if (const auto *Offer = std::get_if<offer_declaration>(&Question.Command))
+void control_core::handleOperation(const submit_command &Operation,
+                                   const control_request &Request) {
+  if (const auto *Offer = std::get_if<offer_declaration>(&Operation.Command))
     return answerOffer(*Offer, Request);
-  const auto Refused = propose(Question.Command, [Answer = Request.Answer](const auto &Known) {
-    Answer->set_value(Known ? control_outcome(*Known) : control_outcome(outcome_unknown{}));
+  const auto Refused = propose(Operation.Command, [Answer = Request.Answer](const auto &Answered) {
+    Answer->set_value(Answered ? control_outcome(*Answered) : control_outcome(outcome_unknown{}));
   });
   if (Refused)
     Request.Answer->set_value(refusalOf(*Refused));
@@ -145,11 +147,11 @@
   const mono_time Time = boot_clock::now();
   const replica_status Status = Replica.status(Time);
   if (Status.Role != replica_role::Leader)
-    return Request.Answer->set_value(elsewhere(Status.Leader));
-  if (Offers.isNews(Offer.Revision, State.declared().Revision)) {
-    const auto Refused = propose(Offer, [this](const auto &Known) {
-      if (!Known)
-        Offers.lost();
+    return Request.Answer->set_value(notLeader(Status.Leader));
+  if (Offers.mustPropose(Offer.Revision, State.declared().Revision)) {
+    const auto Refused = propose(Offer, [this](const auto &Answered) {
+      if (!Answered)
+        Offers.proposalLost();
     });
     if (Refused)
       return Request.Answer->set_value(refusalOf(*Refused));
@@ -159,140 +161,141 @@
       Offer.Revision,
       [this, Answer = Request.Answer, Offered = Offer.Revision](bool Accepted) {
         const revision Current = State.declared().Revision;
-        const control_answer Told = offer_answer{Current, Current == Offered};
-        Answer->set_value(Accepted ? control_outcome(Told) : control_outcome(outcome_unknown{}));
+        const control_answer OfferAnswer = offer_answer{Current, Current == Offered};
+        Answer->set_value(Accepted ? control_outcome(OfferAnswer)
+                                   : control_outcome(outcome_unknown{}));
       },
       Time + ProposalLimit);
 }
 
 void control_core::answerOffers() {
-  Offers.answerDue(State.declared().Revision, Now,
-                   [this](revision Offered) { return Desk.mayAcknowledge(Offered, Now); });
+  Offers.answerReady(State.declared().Revision, Now,
+                     [this](revision Offered) { return EntryServer.mayAcknowledge(Offered, Now); });
 }
 
-void control_core::answerQuestion(const read_wanted &Question, const control_request &Request) {
+void control_core::handleOperation(const read_state &Operation, const control_request &Request) {
   LastRead = LastRead.next();
-  Reads.emplace(LastRead, waiting_read{Question.Read, Request.Answer});
+  Reads.emplace(LastRead, waiting_read{Operation.Read, Request.Answer});
   Replica.readIndex(LastRead, boot_clock::now());
 }
 
-void control_core::answerQuestion(const admission_wanted &Question,
-                                  const control_request &Request) {
+void control_core::handleOperation(const admit_member &Operation, const control_request &Request) {
   const mono_time Time = boot_clock::now();
-  const auto Found = Applicants.find(Question.Member);
+  const auto Found = Applicants.find(Operation.Member);
   const replica_status Status = Replica.status(Time);
   if (Status.Role != replica_role::Leader)
-    return Request.Answer->set_value(elsewhere(Status.Leader));
+    return Request.Answer->set_value(notLeader(Status.Leader));
   if (Found == Applicants.end())
     return Request.Answer->set_value(
         request_refused{"no_applicant", "no empty disk asks to be let in under this id"});
   answerMembership(Replica.admit(Found->second.first, Time), Request);
 }
 
-void control_core::answerQuestion(const expulsion_wanted &Question,
-                                  const control_request &Request) {
-  answerMembership(Replica.expel(Question.Member, boot_clock::now()), Request);
+void control_core::handleOperation(const remove_member &Operation, const control_request &Request) {
+  answerMembership(Replica.expel(Operation.Member, boot_clock::now()), Request);
 }
 
-bool control_core::mayServe(const control_request &Request) {
+bool control_core::requireLeadership(const control_request &Request) {
   const mono_time Time = boot_clock::now();
-  if (Desk.inOffice() && Replica.leaseValid(Time))
+  if (EntryServer.isLeading() && Replica.leaseValid(Time))
     return true;
   const replica_status Status = Replica.status(Time);
   Request.Answer->set_value(Status.Role == replica_role::Leader ? control_outcome(outcome_unknown{})
-                                                                : elsewhere(Status.Leader));
+                                                                : notLeader(Status.Leader));
   return false;
 }
 
-void control_core::answerQuestion(const announcement_wanted &Question,
-                                  const control_request &Request) {
-  if (!mayServe(Request))
+void control_core::handleOperation(const announce_backend &Operation,
+                                   const control_request &Request) {
+  if (!requireLeadership(Request))
     return;
-  noteBackends(Directory.hear(Question.Notice, boot_clock::now()), Question.Notice.Instance,
-               Request.Answer);
+  publishBackends(Directory.hear(Operation.Notice, boot_clock::now()), Operation.Notice.Instance,
+                  Request.Answer);
 }
 
-void control_core::answerQuestion(const withdrawal_wanted &Question,
-                                  const control_request &Request) {
-  if (!mayServe(Request))
+void control_core::handleOperation(const withdraw_backend &Operation,
+                                   const control_request &Request) {
+  if (!requireLeadership(Request))
     return;
-  noteBackends(Directory.withdraw(Question.Incarnation, boot_clock::now()),
-               Question.Incarnation.Instance, Request.Answer);
+  publishBackends(Directory.withdraw(Operation.Incarnation, boot_clock::now()),
+                  Operation.Incarnation.Instance, Request.Answer);
 }
 
 /**
- * A leader that is elected after a loss of everything would list nobody until each server has
- * spoken again, up to a notice interval, and work would crowd on the few that have. So the log
- * keeps the list; who leaves is answered once the log has it, since the next leader must not give
- * it work.
+ * The log stores the list of backend servers. Otherwise, a leader elected after all hosts were lost
+ * would list no server until it announces itself again, up to one notice interval later, and work
+ * would concentrate on the few that have. A server that leaves is answered once the log contains
+ * that, since the next leader must not send it work.
  */
-void control_core::noteBackends(const std::vector<backend_listing> &Changes,
-                                const instance_name &Speaker,
-                                const std::shared_ptr<std::promise<control_outcome>> &Asker) {
-  Desk.backendsChanged(Changes);
-  std::vector<backend_listing> ToKeep = Changes;
-  if (ToKeep.empty() && leavesUnkept(Speaker))
-    ToKeep.push_back(*Directory.find(Speaker)); // What was proposed before may not get there.
-  const bool Leaves = std::any_of(ToKeep.begin(), ToKeep.end(), [](const backend_listing &Item) {
-    return Item.State == listing_state::Leaving;
-  });
-  if (!Leaves)
-    Asker->set_value(backend_noted{});
-  if (!ToKeep.empty())
-    keepBackends(std::move(ToKeep), Leaves ? Asker : nullptr);
+void control_core::publishBackends(const std::vector<backend_listing> &Changes,
+                                   const instance_name &Announcer,
+                                   const std::shared_ptr<std::promise<control_outcome>> &Reply) {
+  EntryServer.backendsChanged(Changes);
+  std::vector<backend_listing> ToRecord = Changes;
+  if (ToRecord.empty() && hasUnrecordedLeave(Announcer))
+    ToRecord.push_back(*Directory.find(Announcer)); // An earlier proposal may be lost.
+  const bool IsLeaving =
+      std::any_of(ToRecord.begin(), ToRecord.end(), [](const backend_listing &Listing) {
+        return Listing.State == listing_state::Leaving;
+      });
+  if (!IsLeaving)
+    Reply->set_value(backend_recorded{});
+  if (!ToRecord.empty())
+    recordBackends(std::move(ToRecord), IsLeaving ? Reply : nullptr);
 }
 
-bool control_core::leavesUnkept(const instance_name &Instance) const {
+bool control_core::hasUnrecordedLeave(const instance_name &Instance) const {
   const backend_listing *Listed = Directory.find(Instance);
   if (Listed == nullptr || Listed->State != listing_state::Leaving)
     return false;
-  const backend_listing *Kept = State.backend(Instance);
-  return Kept == nullptr || *Kept != *Listed;
+  const backend_listing *Recorded = State.backend(Instance);
+  return Recorded == nullptr || *Recorded != *Listed;
 }
 
-/// @param Asker Told once the log has it; may be null.
-void control_core::keepBackends(std::vector<backend_listing> Changes,
-                                const std::shared_ptr<std::promise<control_outcome>> &Asker) {
-  const auto Refused = propose(update_backends{std::move(Changes)}, [Asker](const auto &Known) {
-    if (Asker)
-      Asker->set_value(Known ? control_outcome(backend_noted{})
-                             : control_outcome(outcome_unknown{}));
+/// @param Reply Set once the log contains the changes; may be null.
+void control_core::recordBackends(std::vector<backend_listing> Changes,
+                                  const std::shared_ptr<std::promise<control_outcome>> &Reply) {
+  const auto Refused = propose(update_backends{std::move(Changes)}, [Reply](const auto &Answered) {
+    if (Reply)
+      Reply->set_value(Answered ? control_outcome(backend_recorded{})
+                                : control_outcome(outcome_unknown{}));
   });
-  if (Refused && Asker)
-    Asker->set_value(refusalOf(*Refused));
+  if (Refused && Reply)
+    Reply->set_value(refusalOf(*Refused));
 }
 
 void control_core::answerMembership(const proposal_result &Result, const control_request &Request) {
   if (!succeeded(Result))
     return Request.Answer->set_value(refusalOf(errorOf(Result)));
-  const proposal_position &Place = valueOf(Result);
-  Memberships.insert_or_assign(Place.Index, waiting_membership{Place.Term, Request.Answer,
-                                                               boot_clock::now() + ProposalLimit});
+  const proposal_position &Position = valueOf(Result);
+  Memberships.insert_or_assign(
+      Position.Index,
+      waiting_membership{Position.Term, Request.Answer, boot_clock::now() + ProposalLimit});
 }
 
-entry_desk_hooks control_core::deskHooks() {
-  entry_desk_hooks Hooks;
-  Hooks.Send = [this](hub_order Order) { Parts.Entries->send(std::move(Order)); };
-  Hooks.MayServe = [this](mono_time Time) { return Replica.leaseValid(Time); };
-  Hooks.LeaderAddress = [this] {
+entry_server_callbacks control_core::entryServerCallbacks() {
+  entry_server_callbacks Callbacks;
+  Callbacks.Send = [this](outgoing_reply Reply) { Parts.Entries->send(std::move(Reply)); };
+  Callbacks.MayServe = [this](mono_time Time) { return Replica.leaseValid(Time); };
+  Callbacks.LeaderAddress = [this] {
     const member_key Leader = Replica.status(boot_clock::now()).Leader;
-    const peer_addresses *Known = Leader.Member == self() ? nullptr : addressesOf(Leader);
-    return Known == nullptr ? std::string() : Known->Entries;
+    const peer_addresses *LeaderAddresses = Leader.Member == self() ? nullptr : addressesOf(Leader);
+    return LeaderAddresses == nullptr ? std::string() : LeaderAddresses->Entries;
   };
-  Hooks.State = [this]() -> const control_state & { return State; };
-  Hooks.Backends = [this] { return Directory.all(); };
-  Hooks.Controls = [this] {
+  Callbacks.State = [this]() -> const control_state & { return State; };
+  Callbacks.Backends = [this] { return Directory.all(); };
+  Callbacks.Controls = [this] {
     std::vector<std::string> Listening;
-    for (const auto &[Member, Known] : Addresses)
-      if (!Known.Entries.empty() && findMember(Members, Member) != nullptr)
-        Listening.push_back(Known.Entries);
+    for (const auto &[Member, Listed] : Addresses)
+      if (!Listed.Entries.empty() && findMember(Members, Member) != nullptr)
+        Listening.push_back(Listed.Entries);
     return Listening;
   };
-  Hooks.Propose = [this](const control_command &Command, answer_hook Answered) {
-    // Refused: nothing was done and the entry's own time limit answers it.
+  Callbacks.Propose = [this](const control_command &Command, answer_hook Answered) {
+    // If the proposal is refused, nothing was done and the entry's own timeout applies.
     propose(Command, std::move(Answered));
   };
-  return Hooks;
+  return Callbacks;
 }
 
 } // namespace pollenstall
--- a/programs/pollenstall-control/control_core_status.cpp
+++ b/programs/pollenstall-control/control_core_status.cpp
@@ -1,4 +1,4 @@
-/** @file control_core_status.cpp What a control host says of itself to operators. */
+/** @file control_core_status.cpp The status and the dump of a control host. */
 #include "control_core_base.h"
 
 #include <boost/json.hpp>
@@ -9,7 +9,7 @@
 
 namespace json = boost::json;
 
-/// A member whose log ends within so many entries of the leader's counts as caught up.
+/// A member is caught up if its log ends at most this many entries before the leader's.
 constexpr std::uint64_t CaughtUpWithin = replica_options{}.CaughtUpWithin;
 
 const char *nameOf(replica_role Role) {
@@ -36,15 +36,15 @@
 }
 
 json::object memberObject(const log_member &Member, const replica_status &Status,
-                          const peer_addresses *Known) {
+                          const peer_addresses *Addresses) {
   json::object Object;
   Object["member"] = Member.Key.Member.value();
   Object["disk"] = std::to_string(Member.Key.Disk.value());
   Object["standing"] = Member.VotingStatus == voting_status::Voter ? "voter" : "learner";
-  Object["operator_url"] = Known != nullptr && !Known->Operators.empty()
-                               ? json::value("http://" + Known->Operators)
+  Object["operator_url"] = Addresses != nullptr && !Addresses->Operators.empty()
+                               ? json::value("http://" + Addresses->Operators)
                                : json::value();
-  // Only a leader knows how far the others are.
+  // Only a leader knows the progress of the other members.
   Object["caught_up"] = nullptr;
   if (Status.Role == replica_role::Leader && Member.Key == Status.Self)
     Object["caught_up"] = true;
@@ -58,7 +58,7 @@
   return Object;
 }
 
-/// A lost host that is not fully replaced: one more loss may stop the log.
+/// Whether a lost host is not fully replaced; one more loss may stop the log.
 bool repairUnfinished(const replica_status &Status, const member_set &Committed,
                       std::size_t Expected, mono_duration Silence) {
   if (voterCount(Committed) < Expected)
@@ -80,10 +80,10 @@
   return Object;
 }
 
-json::value ordersValue(const order_status_view *Board) {
-  if (Board == nullptr)
+json::value ordersValue(const order_status_view *OrderStatusView) {
+  if (OrderStatusView == nullptr)
     return nullptr;
-  const order_status Status = Board->read();
+  const order_status Status = OrderStatusView->read();
   json::object Object;
   Object["engines"] = Status.Engines;
   Object["pending"] = Status.Counts.Pending;
@@ -99,7 +99,7 @@
 std::string control_core::statusText() {
   const mono_time Time = boot_clock::now();
   const replica_status Status = Replica.status(Time);
-  const bool Serving = Desk.inOffice() && Replica.leaseValid(Time);
+  const bool Serving = EntryServer.isLeading() && Replica.leaseValid(Time);
   const peer_addresses *Leader = addressesOf(Status.Leader);
   json::object Object;
   Object["host"] = Parts.Settings.Host;
@@ -119,7 +119,7 @@
   Object["applied_index"] = Status.Applied.value();
   Object["snapshot_index"] = Status.SnapshotIndex.value();
   Object["revision"] = State.declared().Revision.value();
-  const auto InForce = Desk.inForce(Time);
+  const auto InForce = EntryServer.inForce(Time);
   Object["in_force_revision"] = InForce ? json::value(InForce->value()) : json::value();
   json::array Listed;
   for (const log_member &Member : Members.Members)
@@ -135,7 +135,7 @@
                                               2 * mono_duration(Parts.Settings.Election));
   Object["repair_unfinished"] = Serving ? json::value(Unfinished) : json::value();
   json::array Entries;
-  for (const entry_lease &Entry : Desk.entries())
+  for (const entry_lease &Entry : EntryServer.entries())
     Entries.push_back(entryObject(Entry, Time));
   Object["entries"] = Serving ? std::move(Entries) : json::array();
   json::array Drains;
@@ -156,10 +156,11 @@
   Object["history"] = State.history().size();
   const peer_link_counters Peers = Parts.Peers->counters();
   Object["peers"] = {
-      {"received", Peers.Received}, {"garbage", Peers.Garbage}, {"dropped", Peers.Dropped}};
-  const entry_hub_counters Hub = Parts.Entries->counters();
-  Object["entry_link"] = {
-      {"connections", Hub.Connections}, {"garbage", Hub.Garbage}, {"refused", Hub.Refused}};
+      {"received", Peers.Received}, {"garbage", Peers.Undecodable}, {"dropped", Peers.Dropped}};
+  const entry_listener_counters Listener = Parts.Entries->counters();
+  Object["entry_link"] = {{"connections", Listener.Connections},
+                          {"garbage", Listener.Undecodable},
+                          {"refused", Listener.Refused}};
   return json::serialize(Object);
 }
 
--- a/programs/pollenstall-control/control_main.cpp
+++ b/programs/pollenstall-control/control_main.cpp
@@ -1,4 +1,5 @@
-/** @file control_main.cpp The control host's process: joins its threads and waits for the end. */
+/** @file control_main.cpp The control host's process: starts its threads and waits until it must
+ * stop. */
 #include "control_core_base.h"
 #include "control_metrics_base.h"
 #include "control_services_func.h"
@@ -42,30 +43,30 @@
   return Options;
 }
 
-void logListening(const char *What, const std::string &Address) {
-  logEvent(log_level::Info, "listening", {{"what", What}, {"address", Address}});
+void logListening(const char *Listener, const std::string &Address) {
+  logEvent(log_level::Info, "listening", {{"what", Listener}, {"address", Address}});
 }
 
-/// Written aside and renamed, so that a reader never sees half a file.
+/// Writes a temporary file and renames it, so that a reader never sees a partial file.
 bool writeAddresses(const std::string &Path, const peer_addresses &Addresses) {
-  const std::string Aside = Path + ".new";
+  const std::string TemporaryPath = Path + ".new";
   {
-    std::ofstream File(Aside);
+    std::ofstream File(TemporaryPath);
     File << boost::json::serialize(boost::json::object{{"peers", Addresses.Peers},
                                                        {"entries", Addresses.Entries},
                                                        {"operators", Addresses.Operators}});
     if (!File.flush())
       return false;
   }
-  return std::rename(Aside.c_str(), Path.c_str()) == 0;
+  return std::rename(TemporaryPath.c_str(), Path.c_str()) == 0;
 }
 
-/// The threads of a control host, in the order in which they may be ended.
+/// The threads of a control host. The destructor stops them in reverse order.
 struct control_host {
   wake_signal Wake;
   control_metrics Metrics;
   std::unique_ptr<peer_link> Peers;
-  std::unique_ptr<entry_hub> Entries;
+  std::unique_ptr<entry_listener> Entries;
   std::unique_ptr<control_core> Core;
   std::unique_ptr<operator_api> Api;
   std::unique_ptr<operator_server> Operators;
@@ -86,8 +87,8 @@
   if (!succeeded(Peers))
     return errorOf(Peers).Text;
   Host.Peers = valueOf(std::move(Peers));
-  auto Entries =
-      entry_hub::start({Settings.Fleet, Settings.ListenEntries, [&Host] { Host.Wake.notify(); }});
+  auto Entries = entry_listener::start(
+      {Settings.Fleet, Settings.ListenEntries, [&Host] { Host.Wake.notify(); }});
   if (!succeeded(Entries))
     return errorOf(Entries).Text;
   Host.Entries = valueOf(std::move(Entries));
@@ -112,7 +113,7 @@
       .readiness([&Host] { return Host.Core->ready(); })
       .metrics(Host.Metrics.registry())
       .dump([&Host] {
-        const control_outcome Outcome = Host.Core->ask(dump_wanted{}, DumpLimit);
+        const control_outcome Outcome = Host.Core->ask(get_dump{}, DumpLimit);
         const auto *Text = std::get_if<std::string>(&Outcome);
         return Text != nullptr ? *Text : std::string("{}");
       });
@@ -123,11 +124,11 @@
   return std::nullopt;
 }
 
-/// How one life of a control host ended; the process may begin another one.
+/// Why a control host stopped; the process may start it again.
 enum class host_exit_reason : std::uint8_t {
-  Stopped,    ///< It was asked to stop.
-  Failed,     ///< It cannot go on; the log says why.
-  DiskFailed, ///< The disk refused a write: what it holds is to be read anew.
+  Stopped,    ///< The process received a stop signal.
+  Failed,     ///< An unrecoverable error, which has been logged.
+  DiskFailed, ///< The disk refused a write; the data folder must be read again.
 };
 
 host_exit_reason failStart(const std::string &Why) {
@@ -143,7 +144,7 @@
   logListening("peers", Own.Peers);
   logListening("entries", Own.Entries);
   logListening("operators", Own.Operators);
-  if (Host.Orders.board())
+  if (Host.Orders.statusView())
     logListening("gossip", Host.Orders.address());
   if (!Settings.AddressFile.empty() && !writeAddresses(Settings.AddressFile, Own))
     return failStart(Settings.AddressFile + ": cannot be written");
@@ -157,9 +158,9 @@
   return host_exit_reason::Stopped;
 }
 
-/// From the opening of the disk to the end of all threads.
-host_exit_reason live(const control_settings &Settings, const std::string &KeyHash,
-                      const stop_signal &Stop) {
+/// Opens the data folder, runs the control host and stops its threads.
+host_exit_reason runHost(const control_settings &Settings, const std::string &KeyHash,
+                         const stop_signal &Stop) {
   auto Folder = data_folder::open(storageOptions(Settings));
   if (!succeeded(Folder)) {
     const bool MayPass = std::holds_alternative<file_failure>(errorOf(Folder)) ||
@@ -173,14 +174,14 @@
     return failStart(*Failure);
   if (const auto Failure = Host.Orders.open(Settings))
     return failStart(*Failure);
-  control_core_parts Parts;
+  control_core_dependencies Parts;
   Parts.Settings = Settings;
   Parts.Wake = &Host.Wake;
   Parts.Peers = Host.Peers.get();
   Parts.Entries = Host.Entries.get();
   Parts.Metrics = &Host.Metrics;
   Parts.Folder = valueOf(std::move(Folder));
-  Parts.Orders = Host.Orders.board();
+  Parts.Orders = Host.Orders.statusView();
   Parts.Own = {Host.Peers->address(), Host.Entries->address(), {}};
   Host.Core = std::make_unique<control_core>(std::move(Parts));
   if (const auto Failure = startOperators(Settings, KeyHash, Host))
@@ -191,9 +192,9 @@
 }
 
 /**
- * Waits until the folder takes a write again. A process that ended instead would be started again
- * and again for as long as the disk is full.
- * @return False where the process was asked to stop.
+ * Waits until the data folder is writable again. If the process exited instead, it would be
+ * restarted repeatedly while the disk is full.
+ * @return False if the process received a stop signal.
  */
 bool waitForDisk(const control_settings &Settings, const stop_signal &Stop) {
   logEvent(log_level::Warning, "disk_awaited", {{"folder", Settings.DataFolder}});
@@ -209,16 +210,16 @@
 exit_code run(const control_settings &Settings) {
   startLogging("pollenstall-control", *logLevelFromText(Settings.LogLevel));
   const stop_signal Stop;
-  // Without a file nobody has the operators' key, and every call that needs it is refused.
+  // Without a key file, every call that requires the operators' key is refused.
   const auto KeyHash = Settings.OperatorKeyHashFile.empty()
                            ? std::optional<std::string>("")
                            : readKeyHash(Settings.OperatorKeyHashFile);
   if (!KeyHash) {
-    failStart(Settings.OperatorKeyHashFile + ": no SHA-256 in hex");
+    failStart(Settings.OperatorKeyHashFile + ": not a SHA-256 in hex");
     return exit_code::Failure;
   }
   while (true) {
-    const host_exit_reason End = live(Settings, *KeyHash, Stop);
+    const host_exit_reason End = runHost(Settings, *KeyHash, Stop);
     if (End == host_exit_reason::Failed)
       return exit_code::Failure;
     if (End == host_exit_reason::Stopped || !waitForDisk(Settings, Stop))
--- a/programs/pollenstall-control/control_metrics_base.h
+++ b/programs/pollenstall-control/control_metrics_base.h
@@ -1,4 +1,4 @@
-/** @file control_metrics_base.h What a control host counts. */
+/** @file control_metrics_base.h Metrics of a control host. */
 #ifndef POLLENSTALL_CONTROL_CONTROL_METRICS_BASE_H
 #define POLLENSTALL_CONTROL_CONTROL_METRICS_BASE_H
 
@@ -12,7 +12,7 @@
 
 namespace pollenstall {
 
-/// Metrics under one registry; the references stay valid for its life.
+/// Metrics in one registry. The references stay valid as long as the registry exists.
 class control_metrics {
 public:
   control_metrics();
@@ -32,12 +32,12 @@
   prometheus::Gauge &Revision; ///< Of the declaration applied here.
   prometheus::Gauge &Commit;
   prometheus::Gauge &Entries;   ///< Connections of entries.
-  prometheus::Counter &Applied; ///< Commands carried out.
-  prometheus::Counter &PeerGarbage;
-  prometheus::Counter &EntryGarbage;
+  prometheus::Counter &Applied; ///< Applied commands.
+  prometheus::Counter &PeerUndecodable;
+  prometheus::Counter &EntryUndecodable;
   prometheus::Counter &PeerDropped;
-  prometheus::Histogram &Sync;    ///< Making a batch durable.
-  prometheus::Histogram &InForce; ///< From acceptance to in force everywhere.
+  prometheus::Histogram &Sync;    ///< Time to make a batch durable.
+  prometheus::Histogram &InForce; ///< Time from acceptance until in force everywhere.
 };
 
 } // namespace pollenstall
--- a/programs/pollenstall-control/control_request_type.h
+++ b/programs/pollenstall-control/control_request_type.h
@@ -1,4 +1,4 @@
-/** @file control_request_type.h What operators' calls ask of the decision thread. */
+/** @file control_request_type.h Requests to the decision thread and their outcomes. */
 #ifndef POLLENSTALL_CONTROL_CONTROL_REQUEST_TYPE_H
 #define POLLENSTALL_CONTROL_CONTROL_REQUEST_TYPE_H
 
@@ -14,71 +14,74 @@
 
 namespace pollenstall {
 
-/// Put a command into the log.
-struct command_wanted {
+/// Proposes a command to the log.
+struct submit_command {
   control_command Command;
 };
 
-/// Read the state as of now or later: confirmed by a quorum, so never from a replaced leader.
-struct read_wanted {
+/// Reads the state as of now or later. A quorum confirms the read, so it never comes from a
+/// replaced leader.
+struct read_state {
   std::function<std::string(const control_state &)> Read;
 };
 
-/// This host's own view; may lag, and says whether it leads.
-struct status_wanted {};
+/// Returns this host's own view, which may be stale, and whether it leads.
+struct get_status {};
 
-struct dump_wanted {};
+/// Returns this host's internal state as JSON.
+struct get_dump {};
 
-/// Let the disk in that asks under this id.
-struct admission_wanted {
+/// Admits the disk that requests membership under this id.
+struct admit_member {
   member_id Member;
 };
 
-struct expulsion_wanted {
+/// Removes a member from the log.
+struct remove_member {
   member_id Member;
 };
 
-/// A backend server announced itself.
-struct announcement_wanted {
+/// Records that a backend server announced itself.
+struct announce_backend {
   backend_notice Notice;
 };
 
-/// A backend server ends this life.
-struct withdrawal_wanted {
+/// Records that a backend server ends this incarnation.
+struct withdraw_backend {
   backend_incarnation Incarnation;
 };
 
-using control_question =
-    std::variant<status_wanted, dump_wanted, command_wanted, read_wanted, admission_wanted,
-                 expulsion_wanted, announcement_wanted, withdrawal_wanted>;
+using control_operation =
+    std::variant<get_status, get_dump, submit_command, read_state, admit_member, remove_member,
+                 announce_backend, withdraw_backend>;
 
-/// Nothing was done here.
-struct leader_elsewhere {
-  std::string OperatorUrl; ///< Empty where not known.
+/// This host is not the leader; nothing was done.
+struct not_leader {
+  std::string OperatorUrl; ///< Of the leader; empty if unknown.
 };
 
-/// It may have been done: ask again with the same change id.
+/// The operation may have been done; repeat it with the same change id.
 struct outcome_unknown {};
 
-/// Nothing was done.
+/// The request was refused; nothing was done.
 struct request_refused {
   std::string Code;
   std::string Message;
 };
 
-/// A membership change is in the log of a quorum.
+/// A membership change was committed.
 struct membership_changed {};
 
-/// Every entry in touch is being told of the backend server.
-struct backend_noted {};
+/// The change of the backend server has been sent to every connected entry.
+struct backend_recorded {};
 
-/// A text is the JSON that was asked for.
-using control_outcome =
-    std::variant<outcome_unknown, leader_elsewhere, request_refused, control_answer,
-                 membership_changed, backend_noted, std::string>;
+/// The outcome of an operation. A string is the requested JSON.
+using control_outcome = std::variant<outcome_unknown, not_leader, request_refused, control_answer,
+                                     membership_changed, backend_recorded, std::string>;
 
+/// An operation with the promise of its outcome.
 struct control_request {
-  control_question Question;
+  control_operation Operation;
   std::shared_ptr<std::promise<control_outcome>> Answer;
 };
 
--- a/programs/pollenstall-control/control_services.cpp
+++ b/programs/pollenstall-control/control_services.cpp
@@ -1,22 +1,22 @@
-/** @file control_services.cpp Turns the decision thread's outcomes into answers for an adapter. */
+/** @file control_services.cpp Converts the decision thread's outcomes to an adapter's answers. */
 #include "control_services_func.h"
 
 namespace pollenstall {
 
 namespace {
 
-/// A caller of a control host moves on to another one after a second without an answer.
+/// A caller tries another control host after one second without an answer.
 constexpr std::chrono::milliseconds ServiceLimit{900};
 
 service_answer answerFor(const control_outcome &Outcome) {
   return std::visit(
-      overloaded{[](const leader_elsewhere &Other) {
-                   return service_answer{service_status::NotLeader, Other.OperatorUrl};
+      overloaded{[](const not_leader &Refusal) {
+                   return service_answer{service_status::NotLeader, Refusal.OperatorUrl};
                  },
                  [](const control_answer &) {
                    return service_answer{service_status::Accepted, {}};
                  },
-                 [](const backend_noted &) {
+                 [](const backend_recorded &) {
                    return service_answer{service_status::Accepted, {}};
                  },
                  [](const std::string &) {
@@ -27,9 +27,10 @@
 }
 
 declaration_answer readDeclared(control_core &Core) {
-  // Filled before the answer is handed over; a read that comes too late fills what nobody looks at.
+  // Filled before the promise is set. A read that completes after the timeout fills a record that
+  // nothing uses.
   auto Read = std::make_shared<declaration_record>();
-  const control_outcome Outcome = Core.ask(read_wanted{[Read](const control_state &State) {
+  const control_outcome Outcome = Core.ask(read_state{[Read](const control_state &State) {
                                              *Read = State.declared();
                                              return std::string();
                                            }},
@@ -43,7 +44,7 @@
   return Answer;
 }
 
-/// A withdrawal that does not say when its life began ends each one that has begun by now.
+/// A withdrawal without a start time ends each incarnation that has started by now.
 backend_incarnation withdrawnIncarnation(backend_incarnation Incarnation) {
   if (Incarnation.Started == incarnation_start())
     Incarnation.Started = incarnation_start(static_cast<std::uint64_t>(wallClock().count()));
@@ -56,14 +57,14 @@
   control_services Services;
   Services.ProposeDeclaration = [&Core](revision Revision, std::string Text) {
     return answerFor(Core.ask(
-        command_wanted{offer_declaration{Revision, std::move(Text), wallClock()}}, ServiceLimit));
+        submit_command{offer_declaration{Revision, std::move(Text), wallClock()}}, ServiceLimit));
   };
   Services.ReadDeclaration = [&Core] { return readDeclared(Core); };
   Services.Announce = [&Core](const backend_notice &Notice) {
-    return answerFor(Core.ask(announcement_wanted{Notice}, ServiceLimit));
+    return answerFor(Core.ask(announce_backend{Notice}, ServiceLimit));
   };
   Services.Withdraw = [&Core](const backend_incarnation &Incarnation) {
-    return answerFor(Core.ask(withdrawal_wanted{withdrawnIncarnation(Incarnation)}, ServiceLimit));
+    return answerFor(Core.ask(withdraw_backend{withdrawnIncarnation(Incarnation)}, ServiceLimit));
   };
   Services.OwnUrl = std::move(OwnUrl);
   return Services;
--- a/programs/pollenstall-control/control_services_func.h
+++ b/programs/pollenstall-control/control_services_func.h
@@ -1,4 +1,4 @@
-/** @file control_services_func.h The decision thread's answers for an adapter. */
+/** @file control_services_func.h Connects an adapter's services to the decision thread. */
 #ifndef POLLENSTALL_CONTROL_CONTROL_SERVICES_FUNC_H
 #define POLLENSTALL_CONTROL_CONTROL_SERVICES_FUNC_H
 
@@ -9,7 +9,7 @@
 
 namespace pollenstall {
 
-/// @param Core Outlives the services. @param OwnUrl Of this host's operators' address.
+/// @param Core Must outlive the services. @param OwnUrl URL of this host's operators' address.
 control_services controlServices(control_core &Core, std::string OwnUrl);
 
 } // namespace pollenstall
--- a/programs/pollenstall-control/control_settings.cpp
+++ b/programs/pollenstall-control/control_settings.cpp
@@ -14,9 +14,9 @@
 using std::chrono::milliseconds;
 
 constexpr const char *PeerForm = "ID=IP:port, with an id of 1 or more";
-/// A whole snapshot travels in one frame, with room for the frame's other fields.
+/// A snapshot is sent in one frame and must leave room for the frame's other fields.
 constexpr std::size_t MaxSnapshotState = 24U << 20U;
-/// The largest declaration with the other fields of its change.
+/// Size of the largest declaration with the other fields of its change.
 constexpr std::size_t MaxEntryPayload = 4U << 20U;
 
 std::optional<std::string> checkPeer(const std::string &Text) {
@@ -34,43 +34,44 @@
       .text("host.name", &control_settings::Host, presence::Required, Name, checkName,
             "Name of this host.")
       .text("host.failure_domain", &control_settings::Domain, presence::Required, Name, checkName,
-            "Failure domain this host is lost with.")
+            "Failure domain of this host.")
       .text("fleet", &control_settings::Fleet, presence::Required, Name, checkName,
             "Name of the fleet; other fleets' messages are dropped.")
       .number("member_id", &control_settings::MemberId, {1U, 0U, 1'000'000U},
               "Id of this host in the replicated log; unique among the control hosts. 0 draws one "
               "with the disk, so that an emptied disk comes back as another member.")
       .text("data.folder", &control_settings::DataFolder, presence::Required, "a path",
-            checkNotEmpty, "Folder for the log, snapshots and promises.");
+            checkNotEmpty, "Folder for the log, snapshots and votes.");
 }
 
 void addAddresses(settings_table<control_settings> &Table) {
-  constexpr const char *Address = "IP:port, where port 0 takes one from the kernel";
+  constexpr const char *Address = "IP:port, where port 0 lets the kernel choose";
   Table
       .text("listen.peers", &control_settings::ListenPeers, presence::Required, Address,
-            checkAddress, "Where other control hosts connect.")
+            checkAddress, "Address for connections from other control hosts.")
       .text("listen.entries", &control_settings::ListenEntries, presence::Required, Address,
-            checkAddress, "Where entries connect.")
+            checkAddress, "Address for connections from entries.")
       .text("listen.operators", &control_settings::ListenOperators, presence::Required, Address,
-            checkAddress, "Where operators and the platform call by HTTP.")
+            checkAddress, "Address for HTTP calls from operators and the platform.")
       .text("listen.address_file", &control_settings::AddressFile, presence::Optional, "a path", {},
-            "File that the addresses in use are written to as JSON.")
+            "File to which the addresses in use are written as JSON.")
       .texts("peers", &control_settings::Peers, presence::Optional, PeerForm, checkPeer,
              "The control hosts of the first start; this host may be among them.")
       .texts("seeds", &control_settings::Seeds, presence::Optional, Address, checkAddress,
-             "Addresses of hosts through which the other control hosts are found.")
+             "Addresses of hosts used to discover the other control hosts.")
       .number("seeds_port", &control_settings::SeedPort, {0U, 0U, 65'535U},
-              "Port for peers on the seeds' hosts; 0 takes the seeds as they are.")
+              "Port for peers on the seeds' hosts; 0 uses the seeds unchanged.")
       .flag("self_managed", &control_settings::SelfManaged, false,
-            "The control hosts let each other in and replace lost members by themselves; otherwise "
-            "a person does, by `pollenstallctl member`.")
+            "The control hosts admit and replace members automatically; otherwise operators do, "
+            "with `pollenstallctl member`.")
       .number(
           "tolerated_losses", &control_settings::ToleratedLosses, {1U, 0U, 1'000U},
           "Control hosts that may be lost at once, with their disks: the log gets twice as many "
           "voters and one more before the first change is accepted. For self_managed only.")
-      .flag("bootstrap", &control_settings::Bootstrap, false,
-            "On exactly one host: it founds the log once every peer has an empty disk. With seeds "
-            "on all hosts of the first start: the one with the least address founds.")
+      .flag(
+          "bootstrap", &control_settings::Bootstrap, false,
+          "Set on exactly one host: it bootstraps the log once every peer has an empty disk. With "
+          "seeds, set on all hosts of the first start: the one with the lowest address does it.")
       .text("operators.key_hash_file", &control_settings::OperatorKeyHashFile, presence::Optional,
             "a path", {},
             "File with the SHA-256 of the operators' key in hex; without it every call that needs "
@@ -78,7 +79,7 @@
 }
 
 void addOrders(settings_table<control_settings> &Table) {
-  constexpr const char *Address = "IP:port, where port 0 takes one from the kernel";
+  constexpr const char *Address = "IP:port, where port 0 lets the kernel choose";
   Table
       .text(
           "listen.gossip", &control_settings::GossipAddress, presence::Optional, Address,
@@ -102,11 +103,12 @@
 
 void addInterface(settings_table<control_settings> &Table) {
   Table
-      .text("interface", &control_settings::Interface, presence::Optional, "own or platform",
-            checkInterface,
-            "What the operators' address answers beside the own calls: platform adds the calls of "
-            "the platform adapter, without the operators' key.",
-            "own")
+      .text(
+          "interface", &control_settings::Interface, presence::Optional, "own or platform",
+          checkInterface,
+          "Calls answered at the operators' address: own has only its own calls; platform adds the "
+          "calls of the platform adapter, which need no operators' key.",
+          "own")
       .span("backends.notice_ms", &control_settings::NoticeInterval,
             {milliseconds(1000), milliseconds(50), milliseconds(60'000)},
             "How often backend servers announce themselves to control hosts.");
@@ -116,10 +118,11 @@
   Table
       .span("log.heartbeat_ms", &control_settings::Heartbeat,
             {milliseconds(100), milliseconds(10), milliseconds(1000)},
-            "Between a leader's heartbeats.")
+            "Interval between a leader's heartbeats.")
       .span("log.election_ms", &control_settings::Election,
             {milliseconds(1000), milliseconds(100), milliseconds(10'000)},
-            "Least time without a leader before a host stands; at most twice this.")
+            "Shortest time without a leader before a host starts an election; the longest is twice "
+            "this.")
       .number("log.snapshot_every", &control_settings::SnapshotEvery, {4096U, 16U, 1'000'000U},
               "Entries after which a snapshot is taken.")
       .span("entries.lease_ms", &control_settings::EntryLease,
@@ -127,19 +130,21 @@
             "How long an entry may act on its declaration without word from the leader.")
       .span("entries.confirm_within_ms", &control_settings::ConfirmWithin,
             {milliseconds(2000), milliseconds(100), milliseconds(60'000)},
-            "An entry that lags behind a change for longer gets no further lease.")
-      .span("entries.apply_within_ms", &control_settings::ApplyWithin,
-            {milliseconds(10'000), milliseconds(100), milliseconds(600'000)},
-            "No entry acts on an older declaration for longer after a change was acknowledged. "
-            "Where a lease lasts longer, an acknowledgement may wait for what it lasts longer.")
+            "An entry that has not confirmed a change for longer gets no further lease.")
+      .span(
+          "entries.apply_within_ms", &control_settings::ApplyWithin,
+          {milliseconds(10'000), milliseconds(100), milliseconds(600'000)},
+          "After a change was acknowledged, no entry acts on an older declaration for longer. If a "
+          "lease lasts longer, an acknowledgement may wait for the difference.")
       .span("entries.revoke_within_ms", &control_settings::RevokeWithin,
             {milliseconds(10'000), milliseconds(100), milliseconds(600'000)},
-            "The same for keys that a change took away; the shorter of both counts.")
-      .fraction("link_mbps", &control_settings::LinkMegabits, {1000.0, 1.0, 1'000'000.0},
-                "Rate of this host's link in Mbit/s. Declarations on their way to entries take no "
-                "more than it carries between two heartbeats.")
+            "The same for keys that a change removes; the shorter of both applies.")
+      .fraction(
+          "link_mbps", &control_settings::LinkMegabits, {1000.0, 1.0, 1'000'000.0},
+          "Rate of this host's link in Mbit/s. Declarations in flight to entries take no more "
+          "than it carries between two heartbeats.")
       .text("log_level", &control_settings::LogLevel, presence::Optional,
-            "debug, info, warning or error", checkLevel, "Least level that is logged.", "info");
+            "debug, info, warning or error", checkLevel, "Lowest level that is logged.", "info");
 }
 
 } // namespace
@@ -181,7 +186,7 @@
 }
 
 replica_options replicaOptions(const control_settings &Settings) {
-  /// Several times as long as a vote's way and two syncs of a sound disk.
+  /// The result is several times the round trip of a vote plus two syncs of a healthy disk.
   constexpr int EarlyPart = 8;
   replica_options Options;
   Options.TargetVoters = targetVoters(Settings);
--- a/programs/pollenstall-control/control_settings_type.h
+++ b/programs/pollenstall-control/control_settings_type.h
@@ -14,7 +14,7 @@
 
 namespace pollenstall {
 
-/// As the file gives them; docs are in the table.
+/// The settings as in the file; the table documents them.
 struct control_settings {
   std::string Host;
   std::string Domain;
@@ -26,11 +26,11 @@
   std::string ListenOperators;
   std::string AddressFile;
   std::vector<std::string> Peers;
-  std::vector<std::string> Seeds; ///< Addresses whose hosts may be control hosts.
-  std::uint32_t SeedPort{0};      ///< Where those hosts listen for peers; 0: as Seeds says.
-  bool SelfManaged{false};        ///< Members are let in and replaced without a person.
+  std::vector<std::string> Seeds; ///< Addresses of hosts that may be control hosts.
+  std::uint32_t SeedPort{0};      ///< Port for peers on those hosts; 0 uses the port in Seeds.
+  bool SelfManaged{false};        ///< Members are admitted and replaced automatically.
   std::uint32_t ToleratedLosses{0};
-  std::string Interface; ///< Of the operators' address beside the own calls.
+  std::string Interface; ///< Calls at the operators' address in addition to its own.
   std::chrono::milliseconds NoticeInterval{0};
   bool Bootstrap{false};
   std::string OperatorKeyHashFile;
@@ -42,7 +42,7 @@
   std::chrono::milliseconds RevokeWithin{0};
   double LinkMegabits{0};
   std::uint32_t SnapshotEvery{0};
-  std::string GossipAddress; ///< Empty: no engines are known, and no order is sent.
+  std::string GossipAddress; ///< If empty, no engines are known and no order is sent.
   std::vector<std::string> GossipSeeds;
   std::string GossipKeyFile;
   std::uint32_t LoadsAtOnce{0};
@@ -50,28 +50,30 @@
   std::string LogLevel;
 };
 
-/// @return The table of every setting.
+/// @return The table of all settings.
 settings_table<control_settings> controlSettingsTable();
 
-/// @return The id and address that "id=IP:port" names, or nothing.
+/// @return The id and the address of "id=IP:port", or nothing.
 std::optional<std::pair<member_id, std::string>> peerFromText(const std::string &Text);
 
-/// @return The seeds with the port on which control hosts listen for each other.
+/// @return The seeds, with the port on which control hosts listen for peers.
 std::vector<std::string> seedAddresses(const control_settings &Settings);
 
-/// @return Voters that bear the tolerated losses; 0 where a person manages the members.
+/// @return The number of voters required for the tolerated losses; 0 if operators manage the
+/// members.
 std::size_t targetVoters(const control_settings &Settings);
 
 /**
- * @return Whether this host may found the log. With seeds every host of a first start is allowed
- * to, so it is the one with the least address among the seeds: all were given the same ones.
+ * @return Whether this host may bootstrap the log. With seeds, every host of the first start has
+ * bootstrap set. The one with the lowest address among the seeds does it, since all have the same
+ * seeds.
  */
 bool isFounder(const control_settings &Settings);
 
-/// @return Bounds and times of the log that follow from the settings.
+/// @return Limits and timeouts of the log, derived from the settings.
 replica_options replicaOptions(const control_settings &Settings);
 
-/// @return Times of the entries' leases.
+/// @return Durations of the entries' leases.
 in_force_options inForceOptions(const control_settings &Settings);
 
 } // namespace pollenstall
--- a/programs/pollenstall-control/offer_queue_base.h
+++ b/programs/pollenstall-control/offer_queue_base.h
@@ -1,4 +1,4 @@
-/** @file offer_queue_base.h Offered declarations whose senders wait for an acknowledgement. */
+/** @file offer_queue_base.h Proposed declarations whose senders wait for an acknowledgement. */
 #ifndef POLLENSTALL_CONTROL_OFFER_QUEUE_BASE_H
 #define POLLENSTALL_CONTROL_OFFER_QUEUE_BASE_H
 
@@ -12,35 +12,36 @@
 namespace pollenstall {
 
 /**
- * At the leader: which offers go into the log, and who is told that one was accepted.
- * Whoever hears nothing within a second sends the same text again, to any host. A text that stands
- * in the log or is on its way there is not put into it once more: the copies for the followers
- * would fill the link that made the answer late.
+ * Decides at the leader which offers are proposed to the log, and acknowledges accepted ones.
+ * A sender without an answer within a second resends the same text to any host. A text that is
+ * already in the log or proposed is not proposed again: the copies for the followers would fill the
+ * link that delayed the answer.
  */
 class offer_queue {
 public:
-  /// @param Accepted Whether the log has this revision or a higher one.
+  /// @param Accepted Whether the log contains this revision or a higher one.
   using answer_hook = std::function<void(bool Accepted)>;
 
-  /// @return Whether the offer must go into the log; otherwise it stands there or is on its way.
-  [[nodiscard]] bool isNews(revision Offered, revision Declared) const {
+  /// @return Whether the offer must be proposed; otherwise it is in the log or already proposed.
+  [[nodiscard]] bool mustPropose(revision Offered, revision Declared) const {
     return Offered > Declared && Offered > Proposed;
   }
-  /// The offer is on its way into the log.
+  /// Records that the offer was proposed.
   void proposed(revision Offered) { Proposed = std::max(Proposed, Offered); }
 
-  /// Answered is called once, by answerDue() or by giveUp().
-  void wait(revision Offered, answer_hook Answered, mono_time GiveUp) {
-    Waiting.push_back({Offered, std::move(Answered), GiveUp});
+  /// Adds a waiter. Answered is called once, by answerReady() or by abandonAll().
+  void wait(revision Offered, answer_hook Answered, mono_time Deadline) {
+    Waiting.push_back({Offered, std::move(Answered), Deadline});
   }
 
-  /// @param MayAcknowledge Of a revision that the log has.
-  void answerDue(revision Declared, mono_time Now,
-                 const std::function<bool(revision)> &MayAcknowledge) {
+  /// Answers the offers that may be acknowledged, and those whose deadline has passed.
+  /// @param MayAcknowledge Called for a revision that the log contains.
+  void answerReady(revision Declared, mono_time Now,
+                   const std::function<bool(revision)> &MayAcknowledge) {
     std::vector<std::pair<answer_hook, bool>> Answers;
     std::erase_if(Waiting, [&](waiting_offer &Offer) {
       const bool Accepted = Offer.Offered <= Declared && MayAcknowledge(Offer.Offered);
-      if (!Accepted && Now < Offer.GiveUp)
+      if (!Accepted && Now < Offer.Deadline)
         return false;
       Answers.emplace_back(std::move(Offer.Answered), Accepted);
       return true;
@@ -49,24 +50,24 @@
       Answer(Accepted);
   }
 
-  /// This host leads no more: what becomes of the offers is not known here.
-  void giveUp() {
+  /// Answers all waiters, since this host no longer leads and does not know the offers' outcomes.
+  void abandonAll() {
     Proposed = revision();
     for (const waiting_offer &Offer : std::exchange(Waiting, {}))
       Offer.Answered(false);
   }
 
-  /// The log did not take an offer: a resend may go into it.
-  void lost() { Proposed = revision(); }
+  /// Records that a proposal may not be in the log, so that a resend is proposed again.
+  void proposalLost() { Proposed = revision(); }
 
 private:
   struct waiting_offer {
     revision Offered;
     answer_hook Answered;
-    mono_time GiveUp;
+    mono_time Deadline;
   };
 
-  revision Proposed; ///< The highest one that was proposed in this office.
+  revision Proposed; ///< The highest revision proposed during this leadership.
   std::vector<waiting_offer> Waiting;
 };
 
--- a/programs/pollenstall-control/operator_api.cpp
+++ b/programs/pollenstall-control/operator_api.cpp
@@ -1,4 +1,4 @@
-/** @file operator_api.cpp Operators' calls as questions to the decision thread. */
+/** @file operator_api.cpp Converts operators' calls to operations of the decision thread. */
 #include "operator_api_base.h"
 
 #include "declaration/declaration.h"
@@ -15,7 +15,8 @@
 namespace json = boost::json;
 
 constexpr std::chrono::milliseconds AnswerLimit{5000};
-/// As JSON it fits the operator server's bound on a body, and as an entry the log's.
+/// As JSON it stays within the operator server's limit on a body, and within the log's limit on an
+/// entry.
 constexpr std::size_t MaxTextBytes = 3U << 20U;
 constexpr std::size_t MaxIdBytes = 128;
 constexpr std::size_t MaxListedErrors = 20;
@@ -51,11 +52,11 @@
 }
 
 std::string changeText(const control_state &State, const change_id &Id) {
-  const answer_record *Known = State.findAnswer(Id);
-  const auto *Accepted = Known ? std::get_if<change_accepted>(&Known->Verdict) : nullptr;
-  const bool Drain = Known && std::holds_alternative<drain_recorded>(Known->Verdict);
+  const answer_record *Recorded = State.findAnswer(Id);
+  const auto *Accepted = Recorded ? std::get_if<change_accepted>(&Recorded->Verdict) : nullptr;
+  const bool Drain = Recorded && std::holds_alternative<drain_recorded>(Recorded->Verdict);
   json::object Object;
-  Object["known"] = Known != nullptr;
+  Object["known"] = Recorded != nullptr;
   Object["accepted"] = Accepted != nullptr || Drain;
   Object["revision"] = Accepted ? json::value(Accepted->Revision.value()) : json::value();
   return json::serialize(Object);
@@ -73,9 +74,9 @@
 
 std::string suspectsText(const control_state &State) {
   json::array Suspects;
-  for (const published_suspect &Told : State.suspects().published(wallClock()))
+  for (const published_suspect &Suspect : State.suspects().published(wallClock()))
     Suspects.push_back(
-        {{"request", toText(Told.Fingerprint)}, {"blocked_ms", Told.BlockedFor.count()}});
+        {{"request", toText(Suspect.Fingerprint)}, {"blocked_ms", Suspect.BlockedFor.count()}});
   return json::serialize(json::object{{"suspects", std::move(Suspects)}});
 }
 
@@ -118,8 +119,8 @@
   return Text;
 }
 
-operator_api::operator_api(control_core &Asked, validation_hook Check)
-    : Core(Asked), Validate(std::move(Check)) {}
+operator_api::operator_api(control_core &ControlCore, validation_hook Check)
+    : Core(ControlCore), Validate(std::move(Check)) {}
 
 void operator_api::addRoutes(operator_server_builder &Server) {
   const auto Add = [&](const char *Method, const char *Path,
@@ -138,12 +139,12 @@
   Add("POST", "/v1/suspects", &operator_api::postSuspect);
 }
 
-operator_reply operator_api::ask(control_question Question) {
-  return replyTo(Core.ask(std::move(Question), AnswerLimit));
+operator_reply operator_api::ask(control_operation Operation) {
+  return replyTo(Core.ask(std::move(Operation), AnswerLimit));
 }
 
 operator_reply operator_api::read(std::function<std::string(const control_state &)> Read) {
-  return ask(read_wanted{std::move(Read)});
+  return ask(read_state{std::move(Read)});
 }
 
 operator_reply operator_api::postChange(const operator_call &Call) {
@@ -152,15 +153,15 @@
   const auto Base = Object ? numberAt(*Object, "base_revision") : std::nullopt;
   auto Text = Object ? textAt(*Object, "text") : std::nullopt;
   if (!isChangeId(Id) || !Base || !Text)
-    return badCall("needs change_id (1 to 128 visible characters), base_revision and text");
+    return badRequest("needs change_id (1 to 128 visible characters), base_revision and text");
   if (Text->size() > MaxTextBytes)
-    return badCall("text is larger than 3 MiB");
+    return badRequest("text is larger than 3 MiB");
   apply_change Change{change_id(*Id), revision(*Base), std::move(*Text), {}, {}, wallClock()};
   Change.ValidationErrors = Validate(Change.Text);
   const auto Declared = Core.declared();
   if (Change.ValidationErrors.empty() && Declared->Revision == Change.Base)
     Change.Summary = changeSummary(Declared->Text, Change.Text);
-  return ask(command_wanted{std::move(Change)});
+  return ask(submit_command{std::move(Change)});
 }
 
 operator_reply operator_api::postDrain(const operator_call &Call) {
@@ -169,10 +170,10 @@
   const auto Backend = Object ? textAt(*Object, "backend") : std::nullopt;
   const json::value *Undo = Object ? Object->if_contains("undo") : nullptr;
   if (!isChangeId(Id) || !Backend || checkAddress(*Backend))
-    return badCall("needs change_id (1 to 128 visible characters) and backend as IP:port");
+    return badRequest("needs change_id (1 to 128 visible characters) and backend as IP:port");
   if (Undo != nullptr && !Undo->is_bool())
-    return badCall("undo is true or false");
-  return ask(command_wanted{set_drain{change_id(*Id), backend_address(*Backend),
+    return badRequest("undo is true or false");
+  return ask(submit_command{set_drain{change_id(*Id), backend_address(*Backend),
                                       Undo != nullptr && Undo->as_bool(), wallClock()}});
 }
 
@@ -181,12 +182,12 @@
   const auto Action = Object ? textAt(*Object, "action") : std::nullopt;
   const auto Member = Object ? numberAt(*Object, "member") : std::nullopt;
   if (!Action || !Member)
-    return badCall("needs action (admit or remove) and member");
+    return badRequest("needs action (admit or remove) and member");
   if (*Action == "admit")
-    return ask(admission_wanted{member_id(*Member)});
+    return ask(admit_member{member_id(*Member)});
   if (*Action == "remove")
-    return ask(expulsion_wanted{member_id(*Member)});
-  return badCall("action is admit or remove; a learner that has caught up votes by itself");
+    return ask(remove_member{member_id(*Member)});
+  return badRequest("action is admit or remove; a learner that has caught up votes by itself");
 }
 
 operator_reply operator_api::getSuspects(const operator_call & /*Call*/) {
@@ -198,8 +199,8 @@
   const auto Request = Object ? textAt(*Object, "request") : std::nullopt;
   const auto High = Request ? parseFingerprint(*Request) : std::nullopt;
   if (!High)
-    return badCall("needs request, as the list of suspects names it");
-  return ask(command_wanted{clear_suspect{*High}});
+    return badRequest("needs request, as the list of suspects names it");
+  return ask(submit_command{clear_suspect{*High}});
 }
 
 operator_reply operator_api::getDeclaration(const operator_call & /*Call*/) {
@@ -215,8 +216,6 @@
   return read(historyText);
 }
 
-operator_reply operator_api::getStatus(const operator_call & /*Call*/) {
-  return ask(status_wanted{});
-}
+operator_reply operator_api::getStatus(const operator_call & /*Call*/) { return ask(get_status{}); }
 
 } // namespace pollenstall
--- a/programs/pollenstall-control/operator_api_base.h
+++ b/programs/pollenstall-control/operator_api_base.h
@@ -10,22 +10,22 @@
 
 namespace pollenstall {
 
-/// Says as a JSON array what is wrong with a declaration's text; empty where it is valid.
+/// Returns the errors of a declaration's text as a JSON array; empty if the text is valid.
 using validation_hook = std::function<std::string(const std::string &Text)>;
 
-/// @return The check that every change passes before it is proposed.
+/// @return The check that every change must pass before it is proposed.
 validation_hook declarationValidation();
 
-/// @return One line that says what the change does, for the history.
+/// @return A one-line summary of the change for the history.
 std::string changeSummary(const std::string &From, const std::string &To);
 
-/// Turns calls into questions to the core and its outcomes into replies; see
+/// Converts calls to operations of the core, and their outcomes to replies. See
 /// docs/design/control.md for the paths.
 class operator_api {
 public:
-  operator_api(control_core &Asked, validation_hook Check);
+  operator_api(control_core &ControlCore, validation_hook Check);
 
-  /// Adds every path.
+  /// Adds all routes to the server.
   void addRoutes(operator_server_builder &Server);
 
 private:
@@ -39,7 +39,7 @@
   operator_reply getHistory(const operator_call &Call);
   operator_reply getStatus(const operator_call &Call);
   operator_reply read(std::function<std::string(const control_state &)> Read);
-  operator_reply ask(control_question Question);
+  operator_reply ask(control_operation Operation);
 
   control_core &Core;
   validation_hook Validate;
--- a/programs/pollenstall-control/operator_reply.cpp
+++ b/programs/pollenstall-control/operator_reply.cpp
@@ -1,4 +1,4 @@
-/** @file operator_reply.cpp Outcomes of the decision thread as HTTP replies. */
+/** @file operator_reply.cpp Converts outcomes of the decision thread to HTTP replies. */
 #include "operator_reply_func.h"
 
 #include <boost/json.hpp>
@@ -70,7 +70,8 @@
 }
 
 template <typename Other> operator_reply replyToAnswer(const Other & /*Answer*/) {
-  return jsonReply(HttpServerError, errorObject("internal", "not an operator's command"));
+  return jsonReply(HttpServerError,
+                   errorObject("internal", "unexpected answer to an operator's command"));
 }
 
 operator_reply replyToOutcome(const outcome_unknown & /*Outcome*/) {
@@ -78,7 +79,7 @@
                    errorObject("unknown_outcome", "send the same change id again"));
 }
 
-operator_reply replyToOutcome(const leader_elsewhere &Outcome) {
+operator_reply replyToOutcome(const not_leader &Outcome) {
   json::object Body = errorObject("not_leader", "this host does not lead; nothing was done");
   Body["leader"] = Outcome.OperatorUrl.empty() ? json::value() : json::value(Outcome.OperatorUrl);
   return jsonReply(HttpMisdirected, Body);
@@ -97,7 +98,7 @@
   return jsonReply(HttpOk, {{"done", true}});
 }
 
-operator_reply replyToOutcome(const backend_noted & /*Outcome*/) {
+operator_reply replyToOutcome(const backend_recorded & /*Outcome*/) {
   return jsonReply(HttpOk, {{"done", true}});
 }
 
@@ -108,10 +109,10 @@
 } // namespace
 
 operator_reply replyTo(const control_outcome &Outcome) {
-  return std::visit([](const auto &One) { return replyToOutcome(One); }, Outcome);
+  return std::visit([](const auto &Alternative) { return replyToOutcome(Alternative); }, Outcome);
 }
 
-operator_reply badCall(std::string_view Message) {
+operator_reply badRequest(std::string_view Message) {
   return jsonReply(HttpBadRequest, errorObject("bad_request", Message));
 }
 
--- a/programs/pollenstall-control/operator_reply_func.h
+++ b/programs/pollenstall-control/operator_reply_func.h
@@ -1,4 +1,4 @@
-/** @file operator_reply_func.h Outcomes of the decision thread as HTTP replies. */
+/** @file operator_reply_func.h Converts outcomes of the decision thread to HTTP replies. */
 #ifndef POLLENSTALL_CONTROL_OPERATOR_REPLY_FUNC_H
 #define POLLENSTALL_CONTROL_OPERATOR_REPLY_FUNC_H
 
@@ -9,11 +9,11 @@
 
 namespace pollenstall {
 
-/// @return The reply to any outcome; see docs/design/control.md for the codes.
+/// @return The reply for an outcome; see docs/design/control.md for the codes.
 operator_reply replyTo(const control_outcome &Outcome);
 
-/// @return 400 for a call that cannot be read.
-operator_reply badCall(std::string_view Message);
+/// @return A reply with status 400 for a malformed call.
+operator_reply badRequest(std::string_view Message);
 
 } // namespace pollenstall
 
--- a/programs/pollenstall-control/order_service.cpp
+++ b/programs/pollenstall-control/order_service.cpp
@@ -1,4 +1,4 @@
-/** @file order_service.cpp Joins gossip, control core and order duty. */
+/** @file order_service.cpp Connects gossip, the control core and the order executor. */
 #include "order_service_base.h"
 
 #include "declaration/declaration.h"
@@ -13,23 +13,23 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds MaxUnderWay{400};
-constexpr int LeaseParts = 3; ///< Margin at the end, renewal, and a part in which to send.
+constexpr int LeaseParts = 3; ///< Margin at the end, renewal, and time to send.
 constexpr milliseconds FenceLimit{300};
 
-/// The bounds follow from the lease: a margin as long as the lease would never let an order pass.
+/// Derives the limits from the lease: with a margin as long as the lease, no order could be sent.
 order_executor_options optionsFrom(const control_settings &Settings) {
   order_executor_options Options;
-  const milliseconds UnderWay = std::min(MaxUnderWay, Settings.Election / LeaseParts);
-  Options.Gate = {UnderWay, UnderWay, UnderWay, replicaOptions(Settings).MaxClockStep};
-  Options.Calls = {UnderWay / 2, UnderWay / 2};
+  const milliseconds InFlight = std::min(MaxUnderWay, Settings.Election / LeaseParts);
+  Options.Gate = {InFlight, InFlight, InFlight, replicaOptions(Settings).MaxClockStep};
+  Options.Calls = {InFlight / 2, InFlight / 2};
   Options.Planner.Loads = {Settings.LoadsAtOnce, Settings.LoadsPerMinute};
   return Options;
 }
 
-/// Reads a declaration once for each revision.
+/// Parses the declaration once per revision.
 class placement_reader {
 public:
-  explicit placement_reader(control_core &Asked) : Core(&Asked) {}
+  explicit placement_reader(control_core &ControlCore) : Core(&ControlCore) {}
 
   std::optional<std::vector<placement>> operator()() {
     const auto Declared = Core->declared();
@@ -46,20 +46,21 @@
   std::optional<std::vector<placement>> Placements;
 };
 
-std::optional<fencing_token> takeFence(control_core &Core) {
-  const control_outcome Outcome = Core.ask(command_wanted{take_fencing_token{}}, FenceLimit);
+std::optional<fencing_token> takeFencingToken(control_core &Core) {
+  const control_outcome Outcome = Core.ask(submit_command{take_fencing_token{}}, FenceLimit);
   const auto *Answer = std::get_if<control_answer>(&Outcome);
   const auto *Granted = Answer == nullptr ? nullptr : std::get_if<fencing_token_granted>(Answer);
   return Granted == nullptr ? std::nullopt : std::optional(Granted->Fence);
 }
 
-order_executor_callbacks hooksFor(control_core &Core, std::shared_ptr<order_status_view> Board) {
-  order_executor_callbacks Hooks;
-  Hooks.Lease = [&Core] { return Core.lease(); };
-  Hooks.TakeFencingToken = [&Core] { return takeFence(Core); };
-  Hooks.Placements = placement_reader(Core);
-  Hooks.StatusView = std::move(Board);
-  return Hooks;
+order_executor_callbacks executorCallbacks(control_core &Core,
+                                           std::shared_ptr<order_status_view> OrderStatusView) {
+  order_executor_callbacks Callbacks;
+  Callbacks.Lease = [&Core] { return Core.lease(); };
+  Callbacks.TakeFencingToken = [&Core] { return takeFencingToken(Core); };
+  Callbacks.Placements = placement_reader(Core);
+  Callbacks.StatusView = std::move(OrderStatusView);
+  return Callbacks;
 }
 
 } // namespace
@@ -71,10 +72,11 @@
   const fleet_declaration &Fleet = valueOf(Parsed);
   std::vector<placement> Placements;
   for (const placement_declaration &Declared : Fleet.Placements) {
-    const auto Group =
-        std::find_if(Fleet.Groups.begin(), Fleet.Groups.end(),
-                     [&](const group_declaration &One) { return One.Name == Declared.Group; });
-    requireInvariant(Group != Fleet.Groups.end(), "a checked placement names a declared group");
+    const auto Group = std::find_if(
+        Fleet.Groups.begin(), Fleet.Groups.end(),
+        [&](const group_declaration &Candidate) { return Candidate.Name == Declared.Group; });
+    requireInvariant(Group != Fleet.Groups.end(),
+                     "a validated placement refers to a declared group");
     const bool Spreads = Declared.Spread == placement_spread::Domains;
     Placements.push_back({Declared.Service,
                           Declared.Group,
@@ -108,17 +110,17 @@
   if (!succeeded(Created))
     return "cannot listen for gossip on " + Settings.GossipAddress;
   Gossip = std::move(valueOf(Created));
-  Board = std::make_shared<order_status_view>();
+  OrderStatusView = std::make_shared<order_status_view>();
   return std::nullopt;
 }
 
 void order_service::start(const control_settings &Settings, control_core &Core) {
   if (!Gossip)
     return;
-  Duty = std::make_unique<order_executor>(optionsFrom(Settings), hooksFor(Core, Board),
-                                          Gossip->changes());
+  OrderExecutor = std::make_unique<order_executor>(
+      optionsFrom(Settings), executorCallbacks(Core, OrderStatusView), Gossip->changes());
   Gossip->start();
-  Duty->start();
+  OrderExecutor->start();
 }
 
 } // namespace pollenstall
--- a/programs/pollenstall-control/order_service_base.h
+++ b/programs/pollenstall-control/order_service_base.h
@@ -1,4 +1,4 @@
-/** @file order_service_base.h The gossip thread and the order duty of a control host. */
+/** @file order_service_base.h The gossip thread and the order executor of a control host. */
 #ifndef POLLENSTALL_CONTROL_ORDER_SERVICE_BASE_H
 #define POLLENSTALL_CONTROL_ORDER_SERVICE_BASE_H
 
@@ -12,26 +12,26 @@
 
 namespace pollenstall {
 
-/// @return The placements of a declaration with the labels of their groups; nothing where the text
-/// cannot be read.
+/// @return The placements of a declaration with the labels of their groups; nothing if the text
+/// cannot be parsed.
 std::optional<std::vector<placement>> placementsOf(const std::string &Declaration);
 
-/// Nothing runs where the settings name no gossip address.
+/// Runs gossip and the order executor. Does nothing if the settings have no gossip address.
 class order_service {
 public:
-  /// Binds the gossip address. @return What failed.
+  /// Binds the gossip address. @return The error, or nothing on success.
   std::optional<std::string> open(const control_settings &Settings);
-  /// @param Core Outlives this service.
+  /// Starts both threads. @param Core Must outlive this service.
   void start(const control_settings &Settings, control_core &Core);
 
-  /// @return Null where no orders are sent.
-  [[nodiscard]] std::shared_ptr<order_status_view> board() const { return Board; }
+  /// @return Null if no orders are sent.
+  [[nodiscard]] std::shared_ptr<order_status_view> statusView() const { return OrderStatusView; }
   [[nodiscard]] std::string address() const { return Gossip->address().str(); }
 
 private:
-  std::shared_ptr<order_status_view> Board;
+  std::shared_ptr<order_status_view> OrderStatusView;
   std::unique_ptr<gossip_service> Gossip;
-  std::unique_ptr<order_executor> Duty; ///< Takes from Gossip, so it ends before it.
+  std::unique_ptr<order_executor> OrderExecutor; ///< Uses Gossip, so it is destroyed first.
 };
 
 } // namespace pollenstall
--- a/programs/pollenstall-control/wake_signal_base.h
+++ b/programs/pollenstall-control/wake_signal_base.h
@@ -1,4 +1,4 @@
-/** @file wake_signal_base.h Wakes the thread that waits for work from several rings. */
+/** @file wake_signal_base.h Wakes a thread that waits for work from several rings. */
 #ifndef POLLENSTALL_CONTROL_WAKE_SIGNAL_BASE_H
 #define POLLENSTALL_CONTROL_WAKE_SIGNAL_BASE_H
 
@@ -11,7 +11,7 @@
 /// A notification that is kept until the next wait.
 class wake_signal {
 public:
-  /// May be called from any thread.
+  /// Wakes the waiting thread. May be called from any thread.
   void notify() {
     {
       const std::lock_guard Lock(Mutex);
@@ -20,7 +20,7 @@
     Condition.notify_one();
   }
 
-  /// Waits until notified, at most so long.
+  /// Waits until notified, at most for Limit.
   void waitFor(std::chrono::milliseconds Limit) {
     std::unique_lock Lock(Mutex);
     Condition.wait_for(Lock, Limit, [this] { return Notified; });
--- a/programs/pollenstall-entry/decision_seam.cpp
+++ b/programs/pollenstall-entry/decision_seam.cpp
@@ -173,7 +173,7 @@
 
 void decision_seam::take(const backends_listed &Listed, mono_time Now) {
   const std::vector<backend_listing> Changes =
-      Listed.Whole ? Directory.takeAll(Listed.Listings, Now) : Directory.take(Listed.Listings);
+      Listed.IsFullList ? Directory.takeAll(Listed.Listings, Now) : Directory.take(Listed.Listings);
   for (const backend_listing &Listing : Changes)
     noteListing(Listing, Now);
 }
--- a/programs/pollenstall-entry/decision_thread.cpp
+++ b/programs/pollenstall-entry/decision_thread.cpp
@@ -39,11 +39,11 @@
             {"at_fault", Failed.AtFault.str()}});
 }
 
-void logLoss(const control_lost &Lost) {
+void logLoss(const control_connection_lost &Lost) {
   logEvent(log_level::Warning, "control_lost",
-           {{"why", std::string(controlLossText(Lost.Why))},
-            {"part_bytes", static_cast<std::int64_t>(Lost.PartBytes)},
-            {"since_message_ms", static_cast<std::int64_t>(Lost.SinceMessage.count())}});
+           {{"why", std::string(controlLossReasonText(Lost.Reason))},
+            {"part_bytes", static_cast<std::int64_t>(Lost.PartialMessageBytes)},
+            {"since_message_ms", static_cast<std::int64_t>(Lost.SinceLastMessage.count())}});
 }
 
 void logStart(const start_attempt &Start) {
@@ -173,7 +173,7 @@
   std::visit(
       overloaded{
           [this](const declaration_received &Received) { takeDeclaration(Received); },
-          [this](const declaration_announced &Newer) { Freshness.announced(Newer.Revision); },
+          [this](const declaration_announced &Newer) { Freshness.recordAnnounced(Newer.Revision); },
           [this](const lease_extended &Lease) { Freshness.extend(Lease.Revision, Lease.Until); },
           [this, Now](const claim_answered &Answer) { Seam.take(dispatch_event(Answer), Now); },
           [this, Now](const drains_changed &Drains) { Seam.useDrains(Drains.Backends, Now); },
@@ -182,7 +182,7 @@
           [this, Now](const suspects_listed &Listed) {
             Outbox.push(suspects_known{std::make_shared<const suspect_list>(Listed.Suspects, Now)});
           },
-          [](const control_lost &Lost) { logLoss(Lost); }},
+          [](const control_connection_lost &Lost) { logLoss(Lost); }},
       Event);
 }
 
@@ -205,7 +205,7 @@
       valueOf(Parsed).Limits.RetryPercent =
           static_cast<std::uint32_t>(std::lround(*Plan.RetryShare * 100));
     useIndex(std::make_shared<const declaration_index>(valueOf(std::move(Parsed))));
-    Freshness.inUse(Received.Revision);
+    Freshness.markInUse(Received.Revision);
     RevisionGauge.Set(static_cast<double>(Received.Revision.value()));
     logEvent(log_level::Info, "declaration_in_use",
              {{"revision", static_cast<std::int64_t>(Received.Revision.value())},
@@ -299,11 +299,11 @@
   const bool Turned = std::exchange(Usable, Now < ReadyUntil) != (Now < ReadyUntil);
   const mono_time Until = Plan.Fixed ? mono_time::max() : Freshness.leaseEnd();
   const bool Changed = Turned || (Usable && !Announced);
-  const bool Extended = Usable && (Until != ToldUntil || Freshness.lags() != ToldLags);
+  const bool Extended = Usable && (Until != ToldUntil || Freshness.isBehind() != ToldLags);
   if (!Changed && !Extended)
     return;
   ToldUntil = Until;
-  ToldLags = Freshness.lags();
+  ToldLags = Freshness.isBehind();
   Outbox.push(declaration_in_force{Usable ? Declaration : nullptr, Until, ToldLags});
   if (!Changed)
     return;
@@ -318,14 +318,14 @@
       overloaded{[this](acquire_claim &&Claim) {
                    const std::chrono::milliseconds Lifetime = Claim.Lifetime;
                    const request_number Request = Claim.Request;
-                   if (!Control || !Control->request(claim_wanted{std::move(Claim), Lifetime}))
+                   if (!Control || !Control->request(claim_requested{std::move(Claim), Lifetime}))
                      Seam.take(dispatch_event(claim_answered{Request, claim_status::Unavailable}),
                                boot_clock::now());
                    Gate.wake(); // The answer may have made actions of its own.
                  },
                  [this](settle_claim &&Claim) {
                    const std::chrono::milliseconds Lifetime = Claim.Lifetime;
-                   if (Control && !Control->request(claim_ended{std::move(Claim), Lifetime}))
+                   if (Control && !Control->request(claim_settled{std::move(Claim), Lifetime}))
                      logEvent(log_level::Error, "claim_end_not_recorded");
                  },
                  [this](cancel_attempt &&Cancel) {
--- a/programs/pollenstall-entry/decision_thread_base.h
+++ b/programs/pollenstall-entry/decision_thread_base.h
@@ -76,7 +76,7 @@
   void stop();
 
   /// @return Whether new requests are admitted; from any thread.
-  [[nodiscard]] bool ready() const { return Ready.holds(boot_clock::now()); }
+  [[nodiscard]] bool ready() const { return Ready.isReady(boot_clock::now()); }
   /// @return Whether a newer life of this host runs; from any thread.
   [[nodiscard]] bool superseded() const { return Superseded.load(std::memory_order_relaxed); }
   /// @return Attempts given up whose end the backend server has not confirmed; from any thread.
@@ -123,7 +123,7 @@
   mono_time LoadsToldAt{};
   wake_gate Gate;
   std::unique_ptr<control_link> Control;
-  entry_freshness Freshness;
+  declaration_lease Freshness;
   declaration_view Declaration;
   decision_seam Seam;
   bool Usable{false};        ///< New requests were admitted at the last look.
@@ -133,7 +133,7 @@
   bool ToldLags{false};      ///< The relay was told that a newer declaration is on its way.
   std::uint64_t BadDeclarations{0};
 
-  ready_span Ready;
+  readiness_deadline Ready;
   std::atomic<std::size_t> Abandoned{0};
   std::atomic<bool> Superseded{false};
   std::atomic<bool> Stopping{false};
--- a/programs/pollenstall-entry/entry.cpp
+++ b/programs/pollenstall-entry/entry.cpp
@@ -103,9 +103,9 @@
                            Settings.Fleet)
           .process(Self, failure_domain_name(Settings.FailureDomain))
           .workAddress(Share ? Share->address() : std::string())
-          .renewEvery(Settings.ControlRenew)
-          .answerWithin(Settings.ControlAnswer)
-          .connectWithin(Settings.ControlConnect)
+          .renewInterval(Settings.ControlRenew)
+          .answerTimeout(Settings.ControlAnswer)
+          .connectTimeout(Settings.ControlConnect)
           .onEvents([this] { Decision->wake(); })
           .start());
 }
--- a/src/control_link/claim_key.cpp
+++ b/src/control_link/claim_key.cpp
@@ -1,4 +1,4 @@
-/** @file claim_key.cpp Hashes idempotency keys, so that none of them reaches a disk. */
+/** @file claim_key.cpp Hashes idempotency keys, so that no key is written to disk. */
 #include "control_link/claim_key_func.h"
 
 #include <openssl/sha.h>
@@ -12,10 +12,10 @@
 constexpr unsigned BitsPerByte = 8;
 
 std::uint64_t bigEndian(const unsigned char *Bytes) {
-  std::uint64_t Number = 0;
-  for (std::size_t Index = 0; Index < sizeof(Number); ++Index)
-    Number = (Number << BitsPerByte) | Bytes[Index];
-  return Number;
+  std::uint64_t Value = 0;
+  for (std::size_t Index = 0; Index < sizeof(Value); ++Index)
+    Value = (Value << BitsPerByte) | Bytes[Index];
+  return Value;
 }
 
 } // namespace
--- a/src/control_link/claim_key_func.h
+++ b/src/control_link/claim_key_func.h
@@ -1,4 +1,4 @@
-/** @file claim_key_func.h The hash under which the control log knows an idempotency key. */
+/** @file claim_key_func.h The hash that replaces an idempotency key in the control log. */
 #ifndef POLLENSTALL_CONTROL_LINK_CLAIM_KEY_FUNC_H
 #define POLLENSTALL_CONTROL_LINK_CLAIM_KEY_FUNC_H
 
@@ -8,7 +8,7 @@
 
 namespace pollenstall {
 
-/// @return The leading 128 bits of SHA-256; a caller cannot find two keys that share them.
+/// @return The first 128 bits of the key's SHA-256. A caller cannot find two keys that collide.
 claim_key_hash claimKeyHash(std::string_view Key);
 
 } // namespace pollenstall
--- a/src/control_link/control_link.cpp
+++ b/src/control_link/control_link.cpp
@@ -1,11 +1,11 @@
-/** @file control_link.cpp The thread that finds the leading control host and keeps the lease. */
+/** @file control_link.cpp The thread that finds the leading control host and renews the lease. */
 #include "control_link/control_link_base.h"
 
 #include "address/address.h"
+#include "control_link/claim_call_tracker_base.h"
 #include "control_link/control_link_codec_func.h"
 #include "control_link/control_rotation_base.h"
-#include "control_link/link_ledger_base.h"
-#include "control_link/silence_watch_base.h"
+#include "control_link/receive_idle_monitor_base.h"
 #include "peer_link/peer_link.h"
 
 #include <boost/asio/executor_work_guard.hpp>
@@ -26,12 +26,12 @@
 
 namespace {
 
-/// How often deadlines are looked at; a claim may be answered this much after its AnswerBy.
+/// Interval at which deadlines are checked; a claim may be answered this late after its AnswerBy.
 constexpr milliseconds TickInterval{10};
-/// Renewals without an answer that are remembered; more mean that the host is silent.
-constexpr std::size_t MaxOpenAsks = 64;
-/// How long a crash is told on new connections: it may have been told to a leader that failed.
-constexpr std::chrono::seconds CrashKept{10};
+/// Unanswered renewals that are remembered; more mean that the host does not answer.
+constexpr std::size_t MaxUnansweredRenewals = 64;
+/// How long a crash is resent on new connections: the leader that received it may have failed.
+constexpr std::chrono::seconds CrashResendPeriod{10};
 constexpr std::size_t MaxCrashes = 64;
 
 framed_limits linkLimits() {
@@ -45,11 +45,12 @@
 
 class control_link::state {
 public:
-  explicit state(control_link_plan Settings)
-      : Plan(std::move(Settings)), Requests(Plan.RingCapacity), Events(Plan.RingCapacity),
-        Timer(Io), Ledger(Plan.Process), Rotation(Plan.Controls, Plan.BackOffMin, Plan.BackOffMax) {
-    Events.onWake(Plan.WakeEntry);
-    Requests.onWake([this] { boost::asio::post(Io, [this] { takeRequests(); }); });
+  explicit state(control_link_options Settings)
+      : Options(std::move(Settings)), Requests(Options.RingCapacity), Events(Options.RingCapacity),
+        Timer(Io), Calls(Options.Process),
+        Rotation(Options.Controls, Options.BackOffMin, Options.BackOffMax) {
+    Events.onWake(Options.NotifyEntry);
+    Requests.onWake([this] { boost::asio::post(Io, [this] { drainRequests(); }); });
   }
 
   ~state() {
@@ -65,13 +66,13 @@
     Thread = std::thread([this] { Io.run(); });
   }
 
-  const control_link_plan Plan;
+  const control_link_options Options;
   bounded_ring<control_link_request> Requests;
   bounded_ring<control_link_event> Events;
   std::atomic<std::uint64_t> Connects{0};
-  std::atomic<std::uint64_t> Garbage{0};
+  std::atomic<std::uint64_t> Undecodable{0};
   std::atomic<std::uint64_t> ClaimTimeouts{0};
-  std::atomic<std::uint64_t> UnsettledEnds{0};
+  std::atomic<std::uint64_t> UnrecordedOutcomes{0};
 
 private:
   // ---- Time. ----
@@ -80,11 +81,11 @@
     const mono_time Now = boot_clock::now();
     expireClaims(Now);
     if (Connection)
-      watchConnection(Now);
+      checkConnection(Now);
     else
       connectWhenDue(Now);
     flushEvents();
-    UnsettledEnds.store(Ledger.openEnds(), std::memory_order_relaxed);
+    UnrecordedOutcomes.store(Calls.unrecordedOutcomes(), std::memory_order_relaxed);
     Timer.expires_after(TickInterval);
     Timer.async_wait([this](boost::system::error_code Cancelled) {
       if (!Cancelled)
@@ -92,19 +93,19 @@
     });
   }
 
-  void watchConnection(mono_time Now) {
-    if (Silence.isOver(Now, Open ? Plan.AnswerWithin : Plan.ConnectWithin))
-      return lose(Now, control_loss::Silent);
+  void checkConnection(mono_time Now) {
+    if (IdleMonitor.isIdleLongerThan(Now, Open ? Options.AnswerTimeout : Options.ConnectionTimeout))
+      return closeConnection(Now, control_loss_reason::Silent);
     if (Open && Now >= NextRenew)
       renew(Now);
   }
 
   void expireClaims(mono_time Now) {
-    for (const claim_answered &Event : Ledger.expire(Now)) {
+    for (const claim_answered &Event : Calls.expire(Now)) {
       ClaimTimeouts.fetch_add(1, std::memory_order_relaxed);
       emit(Event);
     }
-    for (const link_claim_settle &Release : Ledger.takeReleases())
+    for (const link_claim_settle &Release : Calls.takeReleases())
       send(Release);
   }
 
@@ -120,179 +121,184 @@
     if (!Endpoint)
       return;
     Connection = std::make_shared<framed_connection>(tcp::socket(Io), linkLimits());
-    Connection->tell({[this] { opened(); }, [this](std::string &&Bytes) { received(Bytes); },
-                      [this] { lose(boot_clock::now(), control_loss::Closed); },
-                      [this](std::size_t Bytes) { Silence.arrived(Bytes, boot_clock::now()); }});
-    Silence.begin(Now);
+    Connection->setCallbacks(
+        {[this] { opened(); }, [this](std::string &&Bytes) { received(Bytes); },
+         [this] { closeConnection(boot_clock::now(), control_loss_reason::Closed); },
+         [this](std::size_t Bytes) { IdleMonitor.recordBytes(Bytes, boot_clock::now()); }});
+    IdleMonitor.reset(Now);
     Connection->connect(*Endpoint);
   }
 
   void opened() {
     Open = true;
-    Silence.begin(boot_clock::now());
-    send(link_subscribe{Plan.Process, Plan.Domain, Plan.WorkAddress, Held.Revision});
+    IdleMonitor.reset(boot_clock::now());
+    send(link_subscribe{Options.Process, Options.Domain, Options.WorkAddress, StoredText.Revision});
     renew(boot_clock::now());
-    for (const link_request &Message : Ledger.unanswered())
+    for (const link_request &Message : Calls.unanswered())
       send(Message);
     for (const auto &[Seen, Crash] : Crashes)
       send(Crash);
   }
 
-  void lose(mono_time Now, control_loss Why) {
+  void closeConnection(mono_time Now, control_loss_reason Reason) {
     Connection->close();
     Connection.reset();
     Open = false;
-    Asks.clear();
-    Rotation.noteLost(Served, Now);
-    if (std::exchange(Served, false))
-      emit(control_lost{Why, Silence.partBytes(), Silence.sinceMessage(Now)});
+    UnansweredRenewals.clear();
+    Rotation.recordConnectionLoss(LeaderAnswered, Now);
+    if (std::exchange(LeaderAnswered, false))
+      emit(control_connection_lost{Reason, IdleMonitor.partialMessageBytes(),
+                                   IdleMonitor.sinceLastMessage(Now)});
   }
 
-  void loseUnreadable() {
-    Garbage.fetch_add(1, std::memory_order_relaxed);
-    lose(boot_clock::now(), control_loss::Unreadable);
+  void closeUndecodable() {
+    Undecodable.fetch_add(1, std::memory_order_relaxed);
+    closeConnection(boot_clock::now(), control_loss_reason::Unreadable);
   }
 
   template <typename Message> void send(const Message &Value) {
-    // A full queue means a host that reads nothing; it is found silent and given up.
+    // A full queue means that the host reads nothing; the idle timeout closes the connection.
     if (Open)
-      Connection->send(linkFrame(Plan.Fleet, link_request(Value)));
+      Connection->send(linkFrame(Options.Fleet, link_request(Value)));
   }
 
   void renew(mono_time Now) {
-    NextRenew = Now + Plan.RenewEvery;
-    if (Asks.size() >= MaxOpenAsks)
+    NextRenew = Now + Options.LeaseRenewInterval;
+    if (UnansweredRenewals.size() >= MaxUnansweredRenewals)
       return;
-    // The time is taken before the request can leave: the lease must end here before it ends there.
-    Asks.emplace(++LastAsk, Now);
-    send(link_renew{LastAsk, Plan.Process, Confirmed, DrainsSeen, Held.Revision});
+    // The time is taken before the request is sent: the lease must end here before it ends at the
+    // leader.
+    UnansweredRenewals.emplace(++LastRenewId, Now);
+    send(link_renew{LastRenewId, Options.Process, Confirmed, DrainsSeen, StoredText.Revision});
   }
 
   // ---- Messages. ----
 
   void received(const std::string &Bytes) {
-    const auto Decoded =
-        decodeEnvelope<link_reply>(Plan.Fleet, message_kind::ControlLink, Bytes, MaxLinkReplyBytes);
+    const auto Decoded = decodeEnvelope<link_reply>(Options.Fleet, message_kind::ControlLink, Bytes,
+                                                    MaxLinkReplyBytes);
     if (!succeeded(Decoded))
-      return loseUnreadable();
-    Silence.message(boot_clock::now());
+      return closeUndecodable();
+    IdleMonitor.recordMessage(boot_clock::now());
     std::visit([this](const auto &Message) { handle(Message); }, valueOf(Decoded));
   }
 
-  void served() {
-    if (std::exchange(Served, true))
+  void recordLeader() {
+    if (std::exchange(LeaderAnswered, true))
       return;
     Connects.fetch_add(1, std::memory_order_relaxed);
-    Rotation.noteServed();
+    Rotation.recordLeaderAnswer();
   }
 
   void handle(const link_declaration &Message) {
     auto Text = unpack(Message.Text, MaxLinkReplyBytes);
     if (!Text)
-      return loseUnreadable();
-    served();
-    hold(Message.Revision, std::move(*Text));
+      return closeUndecodable();
+    recordLeader();
+    storeText(Message.Revision, std::move(*Text));
   }
 
   void handle(const link_declaration_change &Message) {
-    auto Text = Held.Revision == Message.Base ? applyPackedDifference(Held.Text, Message.Change)
-                                              : std::nullopt;
+    auto Text = StoredText.Revision == Message.Base
+                    ? applyPackedDifference(StoredText.Text, Message.Change)
+                    : std::nullopt;
     if (!Text) {
-      // On the next connection this host says that it holds nothing, and is sent the whole text.
-      Held = {};
-      return loseUnreadable();
+      // On the next connection this entry reports no stored text, and receives the complete text.
+      StoredText = {};
+      return closeUndecodable();
     }
-    served();
-    hold(Message.Revision, std::move(*Text));
+    recordLeader();
+    storeText(Message.Revision, std::move(*Text));
   }
 
-  void hold(revision Revision, std::string Text) {
-    // An older one, from a former leader, is nothing to build on.
-    if (Held.Revision && *Held.Revision >= Revision)
+  void storeText(revision Revision, std::string Text) {
+    // An older declaration, from a former leader, does not replace the stored text.
+    if (StoredText.Revision && *StoredText.Revision >= Revision)
       return emit(declaration_received{Revision, std::move(Text)});
-    Held = {Revision, Text};
+    StoredText = {Revision, Text};
     emit(declaration_received{Revision, std::move(Text)});
-    // The control host sends the next entry its text once it knows that this one has arrived.
+    // The control host sends the text to the next entry once it knows that this one has arrived.
     renew(boot_clock::now());
   }
 
   void handle(const link_lease &Message) {
-    const auto Ask = Asks.find(Message.Ask);
-    if (Ask == Asks.end())
+    const auto Renewal = UnansweredRenewals.find(Message.RenewId);
+    if (Renewal == UnansweredRenewals.end())
       return;
-    served();
-    const mono_time Sent = Ask->second;
-    Asks.erase(Asks.begin(), std::next(Ask));
+    recordLeader();
+    const mono_time Sent = Renewal->second;
+    UnansweredRenewals.erase(UnansweredRenewals.begin(), std::next(Renewal));
     if (Message.LeaseMillis > 0)
       emit(lease_extended{Message.Revision, Sent + milliseconds(Message.LeaseMillis)});
   }
 
   void handle(const link_declared &Message) {
-    served();
+    recordLeader();
     emit(declaration_announced{Message.Revision});
   }
 
   void handle(const link_not_leader &Message) {
     const mono_time Now = boot_clock::now();
-    lose(Now, control_loss::Redirected);
-    Rotation.noteRedirect(Message.Leader, Now);
+    closeConnection(Now, control_loss_reason::Redirected);
+    Rotation.recordRedirect(Message.Leader, Now);
     connectWhenDue(Now);
   }
 
   void handle(const link_claim_answer &Message) {
-    if (!isVerdict(Message.Verdict))
+    if (!isValidClaimStatus(Message.Verdict))
       return;
-    if (const auto Event = Ledger.answered(Message))
+    if (const auto Event = Calls.answered(Message))
       emit(*Event);
   }
 
-  void handle(const link_settle_answer &Message) { Ledger.settled(Message); }
+  void handle(const link_settle_answer &Message) { Calls.settled(Message); }
 
   void handle(const link_backends &Message) {
-    served();
+    recordLeader();
     for (const backend_listing &Listing : Message.Listings)
-      if (!isState(Listing.State))
+      if (!isValidListingState(Listing.State))
         return;
-    emit(backends_listed{Message.Whole, Message.Listings});
+    emit(backends_listed{Message.IsFullList, Message.Listings});
   }
 
   void handle(const link_fleet &Message) {
-    served();
-    Rotation.useHosts(Message.Controls);
+    recordLeader();
+    Rotation.updateHosts(Message.Controls);
     emit(entries_listed{Message.Entries});
   }
 
   void handle(const link_suspects &Message) {
-    served();
+    recordLeader();
     emit(suspects_listed{Message.Suspects});
   }
 
   void handle(const link_drains &Message) {
-    served();
+    recordLeader();
     DrainsSeen = Message.Version;
     emit(drains_changed{Message.Backends});
   }
 
-  // ---- The entry's side. ----
+  // ---- Requests of the entry. ----
 
-  void takeRequests() {
+  void drainRequests() {
     Requests.drain([this](control_link_request &&Request) {
-      std::visit([this](const auto &One) { take(One); }, Request);
+      std::visit([this](const auto &Alternative) { handleRequest(Alternative); }, Request);
     });
     flushEvents();
   }
 
-  void take(const revision_confirmed &Request) {
+  void handleRequest(const revision_confirmed &Request) {
     Confirmed = Request.Revision;
     if (Open)
       renew(boot_clock::now());
   }
-  void take(const crash_report &Request) {
+  void handleRequest(const crash_report &Request) {
     const mono_time Now = boot_clock::now();
-    std::erase_if(Crashes, [Now](const auto &Item) { return Now - Item.first > CrashKept; });
-    for (std::size_t At = 0; At < Request.Fingerprints.size(); At += MaxCrashMarks) {
+    std::erase_if(Crashes,
+                  [Now](const auto &Crash) { return Now - Crash.first > CrashResendPeriod; });
+    for (std::size_t At = 0; At < Request.Fingerprints.size(); At += MaxCrashFingerprints) {
       const auto First = Request.Fingerprints.begin() + static_cast<std::ptrdiff_t>(At);
-      const auto Count = std::min(MaxCrashMarks, Request.Fingerprints.size() - At);
+      const auto Count = std::min(MaxCrashFingerprints, Request.Fingerprints.size() - At);
       link_crash Crash{Request.Backend.Incarnation,
                        {First, First + static_cast<std::ptrdiff_t>(Count)}};
       send(Crash);
@@ -301,9 +307,11 @@
     while (Crashes.size() > MaxCrashes)
       Crashes.pop_front();
   }
-  void take(const suspect_cleared &Request) { send(link_clear_suspect{Request.Fingerprint}); }
-  void take(const claim_wanted &Request) { send(Ledger.acquire(Request, wallClock())); }
-  void take(const claim_ended &Request) { send(Ledger.settle(Request, wallClock())); }
+  void handleRequest(const suspect_cleared &Request) {
+    send(link_clear_suspect{Request.Fingerprint});
+  }
+  void handleRequest(const claim_requested &Request) { send(Calls.acquire(Request, wallClock())); }
+  void handleRequest(const claim_settled &Request) { send(Calls.settle(Request, wallClock())); }
 
   void emit(control_link_event Event) {
     Backlog.push_back(std::move(Event));
@@ -318,24 +326,25 @@
   boost::asio::io_context Io{1};
   boost::asio::steady_timer Timer;
   std::shared_ptr<framed_connection> Connection;
-  link_ledger Ledger;
-  std::deque<control_link_event> Backlog; ///< Where the ring is full; no event may be lost.
-  std::map<std::uint64_t, mono_time> Asks;
-  std::uint64_t LastAsk{0};
-  /// The newest declaration that arrived in this life, for differences to build on.
-  struct held_text {
+  claim_call_tracker Calls;
+  std::deque<control_link_event> Backlog; ///< Used if the ring is full; no event may be lost.
+  std::map<std::uint64_t, mono_time> UnansweredRenewals;
+  std::uint64_t LastRenewId{0};
+  /// The newest declaration received in this incarnation; differences refer to it.
+  struct stored_text {
     std::optional<revision> Revision;
     std::string Text;
   };
-  held_text Held;
+  stored_text StoredText;
   std::optional<revision> Confirmed;
   std::uint64_t DrainsSeen{0};
-  std::deque<std::pair<mono_time, link_crash>> Crashes; ///< The last ones, for the next connection.
+  std::deque<std::pair<mono_time, link_crash>>
+      Crashes; ///< Recent crashes, to be resent on the next connection.
   control_rotation Rotation;
   mono_time NextRenew{};
-  silence_watch Silence;
+  receive_idle_monitor IdleMonitor;
   bool Open{false};
-  bool Served{false}; ///< A leader has answered on this connection.
+  bool LeaderAnswered{false}; ///< On this connection.
   std::thread Thread;
 };
 
@@ -351,63 +360,64 @@
 }
 
 control_link_counters control_link::counters() const {
-  return {State->Connects.load(), State->Garbage.load(), State->ClaimTimeouts.load(),
-          State->UnsettledEnds.load()};
+  return {State->Connects.load(), State->Undecodable.load(), State->ClaimTimeouts.load(),
+          State->UnrecordedOutcomes.load()};
 }
 
 control_link_builder::control_link_builder(std::vector<std::string> Controls, std::string Fleet) {
-  requireInvariant(!Controls.empty(), "a control link knows a control host");
-  Plan.Controls = std::move(Controls);
-  Plan.Fleet = std::move(Fleet);
+  requireInvariant(!Controls.empty(),
+                   "a control link needs the address of at least one control host");
+  Options.Controls = std::move(Controls);
+  Options.Fleet = std::move(Fleet);
 }
 
 control_link_builder &control_link_builder::process(process_key Process,
                                                     failure_domain_name Domain) {
-  Plan.Process = std::move(Process);
-  Plan.Domain = std::move(Domain);
+  Options.Process = std::move(Process);
+  Options.Domain = std::move(Domain);
   return *this;
 }
 
 control_link_builder &control_link_builder::workAddress(std::string Address) {
-  Plan.WorkAddress = std::move(Address);
+  Options.WorkAddress = std::move(Address);
   return *this;
 }
 
 control_link_builder &control_link_builder::onEvents(std::function<void()> Wake) {
-  Plan.WakeEntry = std::move(Wake);
+  Options.NotifyEntry = std::move(Wake);
   return *this;
 }
 
-control_link_builder &control_link_builder::renewEvery(milliseconds Interval) {
-  Plan.RenewEvery = Interval;
+control_link_builder &control_link_builder::renewInterval(milliseconds Interval) {
+  Options.LeaseRenewInterval = Interval;
   return *this;
 }
 
-control_link_builder &control_link_builder::answerWithin(milliseconds Limit) {
-  Plan.AnswerWithin = Limit;
+control_link_builder &control_link_builder::answerTimeout(milliseconds Limit) {
+  Options.AnswerTimeout = Limit;
   return *this;
 }
 
-control_link_builder &control_link_builder::connectWithin(milliseconds Limit) {
-  Plan.ConnectWithin = Limit;
+control_link_builder &control_link_builder::connectTimeout(milliseconds Limit) {
+  Options.ConnectionTimeout = Limit;
   return *this;
 }
 
 control_link_builder &control_link_builder::backOff(milliseconds Min, milliseconds Max) {
-  Plan.BackOffMin = Min;
-  Plan.BackOffMax = Max;
+  Options.BackOffMin = Min;
+  Options.BackOffMax = Max;
   return *this;
 }
 
 control_link_builder &control_link_builder::ringCapacity(std::size_t Items) {
-  Plan.RingCapacity = Items;
+  Options.RingCapacity = Items;
   return *this;
 }
 
 std::unique_ptr<control_link> control_link_builder::start() {
-  auto Made = std::make_unique<control_link::state>(Plan);
-  Made->start();
-  return std::unique_ptr<control_link>(new control_link(std::move(Made)));
+  auto NewState = std::make_unique<control_link::state>(Options);
+  NewState->start();
+  return std::unique_ptr<control_link>(new control_link(std::move(NewState)));
 }
 
 } // namespace pollenstall
--- a/src/control_link/control_link_base.h
+++ b/src/control_link/control_link_base.h
@@ -1,4 +1,4 @@
-/** @file control_link_base.h The entry's connection to whichever control host leads. */
+/** @file control_link_base.h The entry's connection to the leading control host. */
 #ifndef POLLENSTALL_CONTROL_LINK_CONTROL_LINK_BASE_H
 #define POLLENSTALL_CONTROL_LINK_CONTROL_LINK_BASE_H
 
@@ -13,40 +13,41 @@
 
 namespace pollenstall {
 
-/// Everything a link is built from.
-struct control_link_plan {
+/// Addresses, identity, timeouts and callbacks of a control link.
+struct control_link_options {
   std::vector<std::string> Controls; ///< "IP:port" of every control host's entry listener.
   std::string Fleet;
   process_key Process;
   failure_domain_name Domain;
-  std::string WorkAddress; ///< Where other entries tell of their work; may be empty.
-  std::chrono::milliseconds RenewEvery{500};    ///< Between two requests for the lease.
-  std::chrono::milliseconds AnswerWithin{2000}; ///< A silent control host is given up after this.
-  /// A connection that is not open by then is given up: a host without power answers nothing, and
-  /// the system's own next try at it comes after a second only.
-  std::chrono::milliseconds ConnectWithin{1000};
-  std::chrono::milliseconds BackOffMin{50}; ///< Between two attempts to connect.
+  std::string WorkAddress; ///< Where other entries publish their work; may be empty.
+  std::chrono::milliseconds LeaseRenewInterval{500}; ///< Between two renewals of the lease.
+  std::chrono::milliseconds AnswerTimeout{
+      2000}; ///< A connection that is idle for longer is closed.
+  /// A connection attempt that takes longer is abandoned: a host without power sends no answer, and
+  /// the kernel retries a SYN only after one second.
+  std::chrono::milliseconds ConnectionTimeout{1000};
+  std::chrono::milliseconds BackOffMin{50}; ///< Between two connection attempts.
   std::chrono::milliseconds BackOffMax{200};
   std::size_t RingCapacity{4096};
-  std::function<void()> WakeEntry; ///< Called on the link's thread when events wait.
+  std::function<void()> NotifyEntry; ///< Called on the link's thread when events are pending.
 };
 
 /**
- * One thread that finds the leader, keeps the lease and carries claims.
- * The producer of requests and the consumer of events must be one thread each (they may be the
- * same); both rings are bounded.
+ * Runs one thread that finds the leader, renews the lease and sends claims.
+ * Only one thread may produce requests and only one may consume events; it may be the same thread.
+ * Both rings are bounded.
  */
 class control_link {
 public:
   control_link(const control_link &) = delete;
   control_link &operator=(const control_link &) = delete;
-  /// Ends the thread; ends of claims that were not recorded by then are lost with the process.
+  /// Stops the thread. Claim outcomes that are not recorded by then are lost.
   ~control_link();
 
-  /// @return False where the ring is full: treat a claim as Unavailable.
+  /// @return False if the ring is full; the caller treats a claim as Unavailable.
   bool request(control_link_request Request);
 
-  /// Hands every waiting event to Handle. @return How many there were.
+  /// Passes each pending event to Handle. @return The number of events.
   std::size_t drainEvents(const std::function<void(control_link_event &&)> &Handle);
 
   /// May be called from any thread.
@@ -67,13 +68,13 @@
   control_link_builder(std::vector<std::string> Controls, std::string Fleet);
 
   control_link_builder &process(process_key Process, failure_domain_name Domain);
-  /// Told to other entries.
+  /// Sets the address that the leader reports to the other entries.
   control_link_builder &workAddress(std::string Address);
-  /// Called on the link's thread when events wait for drainEvents().
+  /// Sets a callback that runs on the link's thread when events are ready for drainEvents().
   control_link_builder &onEvents(std::function<void()> Wake);
-  control_link_builder &renewEvery(std::chrono::milliseconds Interval);
-  control_link_builder &answerWithin(std::chrono::milliseconds Limit);
-  control_link_builder &connectWithin(std::chrono::milliseconds Limit);
+  control_link_builder &renewInterval(std::chrono::milliseconds Interval);
+  control_link_builder &answerTimeout(std::chrono::milliseconds Limit);
+  control_link_builder &connectTimeout(std::chrono::milliseconds Limit);
   control_link_builder &backOff(std::chrono::milliseconds Min, std::chrono::milliseconds Max);
   /// Capacity of each ring.
   control_link_builder &ringCapacity(std::size_t Items);
@@ -82,7 +83,7 @@
   [[nodiscard]] std::unique_ptr<control_link> start();
 
 private:
-  control_link_plan Plan;
+  control_link_options Options;
 };
 
 } // namespace pollenstall
--- a/src/control_link/control_link_codec_func.h
+++ b/src/control_link/control_link_codec_func.h
@@ -23,10 +23,11 @@
   Into(Claim.Key, Claim.Holder, Claim.Standing, Claim.ExpiresAt);
 }
 template <typename Archive> void serialize(Archive &Into, link_subscribe &Message) {
-  Into(Message.Process, Message.Domain, Message.WorkAddress, Message.Holds);
+  Into(Message.Process, Message.Domain, Message.WorkAddress, Message.HeldRevision);
 }
 template <typename Archive> void serialize(Archive &Into, link_renew &Message) {
-  Into(Message.Ask, Message.Process, Message.Confirmed, Message.DrainsSeen, Message.Holds);
+  Into(Message.RenewId, Message.Process, Message.Confirmed, Message.DrainsSeen,
+       Message.HeldRevision);
 }
 template <typename Archive> void serialize(Archive &Into, link_claim_acquire &Message) {
   Into(Message.Call, Message.Claim);
@@ -53,7 +54,7 @@
   Into(Message.Revision);
 }
 template <typename Archive> void serialize(Archive &Into, link_lease &Message) {
-  Into(Message.Ask, Message.Revision, Message.LeaseMillis);
+  Into(Message.RenewId, Message.Revision, Message.LeaseMillis);
 }
 template <typename Archive> void serialize(Archive &Into, link_not_leader &Message) {
   Into(Message.Leader);
@@ -68,23 +69,23 @@
   Into(Listing.Key, Listing.Instance, Listing.Service, Listing.Domain, Listing.Places,
        Listing.State, Listing.Started);
 }
-template <typename Archive> void serialize(Archive &Into, request_fingerprint &Mark) {
-  Into(Mark.Account, Mark.HeadHash, Mark.High, Mark.Low);
+template <typename Archive> void serialize(Archive &Into, request_fingerprint &Fingerprint) {
+  Into(Fingerprint.Account, Fingerprint.HeadHash, Fingerprint.High, Fingerprint.Low);
 }
-template <typename Archive> void serialize(Archive &Into, published_suspect &Told) {
-  Into(Told.Fingerprint, Told.BlockedFor);
+template <typename Archive> void serialize(Archive &Into, published_suspect &Suspect) {
+  Into(Suspect.Fingerprint, Suspect.BlockedFor);
 }
 template <typename Archive> void serialize(Archive &Into, link_crash &Message) {
-  Into(Message.Incarnation, Message.Marks);
+  Into(Message.Incarnation, Message.Fingerprints);
 }
 template <typename Archive> void serialize(Archive &Into, link_clear_suspect &Message) {
-  Into(Message.Mark);
+  Into(Message.Fingerprint);
 }
 template <typename Archive> void serialize(Archive &Into, link_suspects &Message) {
   Into(Message.Suspects);
 }
 template <typename Archive> void serialize(Archive &Into, link_backends &Message) {
-  Into(Message.Whole, Message.Listings);
+  Into(Message.IsFullList, Message.Listings);
 }
 template <typename Archive> void serialize(Archive &Into, served_entry &Entry) {
   Into(Entry.WorkAddress, Entry.Domain);
@@ -96,12 +97,12 @@
   Into(Message.Version, Message.Backends);
 }
 
-/// @return The difference as it travels.
+/// @return The difference in its compressed wire form.
 inline packed_text packDifference(const text_difference &Difference) {
   return pack(encodePlain(Difference));
 }
 
-/// @return The new text, or nothing where the difference cannot be read or is not meant for Old.
+/// @return The new text, or nothing if the difference cannot be decoded or does not apply to Old.
 inline std::optional<std::string> applyPackedDifference(std::string_view Old,
                                                         const packed_text &Change) {
   const auto Plain = unpack(Change, MaxLinkReplyBytes);
@@ -113,17 +114,17 @@
   return applyDifference(Old, valueOf(Difference), MaxLinkReplyBytes);
 }
 
-/// @return The frame of one message to a control host or to an entry.
+/// @return One message to a control host or an entry, framed for the wire.
 template <typename Message> std::string linkFrame(const std::string &Fleet, const Message &Value) {
   return frameOf(encodeEnvelope(Fleet, message_kind::ControlLink, Value));
 }
 
-/// @return Whether a number that arrived is one of the standings.
-inline bool isStanding(claim_state Standing) { return Standing <= claim_state::Released; }
-/// @return Whether a number that arrived is one of the states.
-inline bool isState(listing_state State) { return State <= listing_state::Gone; }
-/// @return Whether a number that arrived is one of the verdicts.
-inline bool isVerdict(claim_status Verdict) { return Verdict <= claim_status::Unavailable; }
+/// @return Whether a received number is a valid enumerator.
+inline bool isValidClaimState(claim_state State) { return State <= claim_state::Released; }
+/// @return Whether a received number is a valid enumerator.
+inline bool isValidListingState(listing_state State) { return State <= listing_state::Gone; }
+/// @return Whether a received number is a valid enumerator.
+inline bool isValidClaimStatus(claim_status Status) { return Status <= claim_status::Unavailable; }
 
 } // namespace pollenstall
 
--- a/src/control_link/control_link_message_type.h
+++ b/src/control_link/control_link_message_type.h
@@ -25,44 +25,44 @@
 struct link_subscribe {
   process_key Process;
   failure_domain_name Domain;
-  std::string WorkAddress{}; ///< Where other entries tell of their work, "IP:port"; may be empty.
-  std::optional<revision> Holds{}; ///< As in link_renew.
+  std::string WorkAddress{}; ///< Where other entries publish their work, "IP:port"; may be empty.
+  std::optional<revision> HeldRevision{}; ///< As in link_renew.
 };
 
 /**
- * Asks for the lease to be extended and says what is in use. Sent at a steady interval, and at once
- * after a new revision came into use.
+ * Requests an extension of the lease and reports the revision in use. Sent at a fixed interval, and
+ * immediately after the entry started to use a new revision.
  */
 struct link_renew {
-  std::uint64_t Ask{0};              ///< Rises on one connection; the answer names it.
-  process_key Process;               ///< A confirmation counts for this life only.
-  std::optional<revision> Confirmed; ///< In use in this life; nothing where none is.
-  std::uint64_t DrainsSeen{0};       ///< link_drains::Version last received; 0 where none was.
-  std::optional<revision> Holds{};   ///< Its text is at hand: a difference may build on it.
+  std::uint64_t RenewId{0};          ///< Increases within one connection; the reply repeats it.
+  process_key Process;               ///< Confirmed is valid for this incarnation only.
+  std::optional<revision> Confirmed; ///< In use in this incarnation; empty if none is.
+  std::uint64_t DrainsSeen{0};       ///< link_drains::Version last received; 0 if none.
+  std::optional<revision> HeldRevision{}; ///< The entry has its text; a difference may refer to it.
 };
 
-/// Answered by link_claim_answer. Sent again on the next connection until it is answered.
+/// Answered by link_claim_answer. Resent on each new connection until it is answered.
 struct link_claim_acquire {
-  std::uint64_t Call{0}; ///< Unique in the process's life.
+  std::uint64_t Call{0}; ///< Unique within the process's incarnation.
   claim_acquire Claim;
 };
 
-/// Answered by link_settle_answer. Sent again on the next connection until it is answered.
+/// Answered by link_settle_answer. Resent on each new connection until it is answered.
 struct link_claim_settle {
   std::uint64_t Call{0};
   claim_settle Claim;
 };
 
-/// Requests that this entry had on a backend server when it crashed. Sent again on the next
-/// connection: the log counts a life once.
+/// Reports the requests that this entry had in flight on a backend server when it crashed. Resent
+/// on a new connection: the log counts each incarnation once.
 struct link_crash {
   incarnation Incarnation; ///< Of the backend server.
-  std::vector<request_fingerprint> Marks;
+  std::vector<request_fingerprint> Fingerprints;
 };
 
-/// A run of a suspected request ended well.
+/// Reports that a suspected request completed without a crash.
 struct link_clear_suspect {
-  request_fingerprint Mark;
+  request_fingerprint Fingerprint;
 };
 
 using link_request = std::variant<link_subscribe, link_renew, link_claim_acquire, link_claim_settle,
@@ -70,29 +70,29 @@
 
 // ---- From the control host. ----
 
-/// The declaration in force; sent where the entry confirmed less.
+/// The declaration in force; sent if the entry confirmed an older one.
 struct link_declaration {
   revision Revision;
   packed_text Text;
 };
 
-/// The same as a difference to an older one, whose text the entry holds.
+/// The declaration in force as a difference to an older one whose text the entry has.
 struct link_declaration_change {
   revision Base;
   revision Revision;
   packed_text Change; ///< A text_difference, see packDifference().
 };
 
-/// Extends the lease. Given only while the control host holds its own lease as the leader.
+/// Extends the lease. Sent only while the control host holds its own leader lease.
 struct link_lease {
-  std::uint64_t Ask{0}; ///< Of the link_renew that it answers.
-  revision Revision;    ///< As confirmed in that link_renew.
+  std::uint64_t RenewId{0}; ///< Copied from the link_renew that this message answers.
+  revision Revision;        ///< Copied from that link_renew's Confirmed.
   std::uint32_t LeaseMillis{0};
 };
 
-/// This control host does not lead; the connection is closed after it.
+/// This control host is not the leader. It closes the connection after this message.
 struct link_not_leader {
-  std::string Leader; ///< Where the leader listens for entries, "IP:port"; empty where not known.
+  std::string Leader; ///< Where the leader listens for entries, "IP:port"; empty if unknown.
 };
 
 struct link_claim_answer {
@@ -100,35 +100,36 @@
   claim_status Verdict{claim_status::Unavailable};
 };
 
-/// The end of the claim is recorded, or is known to be refused for good.
+/// The claim's outcome is recorded, or is refused and would be refused again.
 struct link_settle_answer {
   std::uint64_t Call{0};
 };
 
-/// All backend servers that operators drain.
+/// The complete list of backend servers that operators drain.
 struct link_drains {
-  std::uint64_t Version{0}; ///< Rises with each change; 0 stands for no list yet.
+  std::uint64_t Version{0}; ///< Increases with each change; 0 means no list yet.
   std::vector<backend_address> Backends;
 };
 
-/// Backend servers: all at the start of a connection, then those that changed.
+/// Backend servers: the full list at the start of a connection, later only the changes.
 struct link_backends {
-  bool Whole{false};
+  bool IsFullList{false};
   std::vector<backend_listing> Listings;
 };
 
-/// Who else there is; sent at the start of a connection and after each change.
+/// The control hosts and entries of the fleet; sent at the start of a connection and after each
+/// change.
 struct link_fleet {
-  std::vector<std::string> Controls; ///< Where control hosts listen for entries.
-  std::vector<served_entry> Entries; ///< Every entry that the leader serves.
+  std::vector<std::string> Controls; ///< Addresses at which control hosts listen for entries.
+  std::vector<served_entry> Entries; ///< Every entry connected to the leader.
 };
 
-/// The log has this declaration; its text follows as the link allows.
+/// The log contains this declaration. Its text follows as soon as the link has capacity.
 struct link_declared {
   revision Revision;
 };
 
-/// All suspected requests; at the start of a connection and after each change.
+/// All suspected requests; sent at the start of a connection and after each change.
 struct link_suspects {
   std::vector<published_suspect> Suspects;
 };
@@ -137,12 +138,12 @@
                                 link_settle_answer, link_drains, link_backends, link_fleet,
                                 link_declaration_change, link_declared, link_suspects>;
 
-/// Of one link_crash; more go into the next one.
-constexpr std::size_t MaxCrashMarks = 64;
+/// Fingerprints in one link_crash; further ones go into another message.
+constexpr std::size_t MaxCrashFingerprints = 64;
 
-/// Largest message that a control host takes from an entry.
+/// Largest message that a control host accepts from an entry.
 constexpr std::size_t MaxLinkRequestBytes = 4U << 10U;
-/// Largest message that an entry takes from a control host: a declaration fits.
+/// Largest message that an entry accepts from a control host; large enough for a declaration.
 constexpr std::size_t MaxLinkReplyBytes = 4U << 20U;
 
 } // namespace pollenstall
--- a/src/control_link/control_link_type.h
+++ b/src/control_link/control_link_type.h
@@ -20,107 +20,109 @@
 
 // ---- Requests: from the entry's decision thread to the link. ----
 
-/// The declaration of this revision is in use in this life of the process.
+/// The declaration of this revision is in use in this incarnation of the process.
 struct revision_confirmed {
   revision Revision;
 };
 
-/// Make a claim durable; answered by claim_answered, at the latest at Claim.AnswerBy.
-struct claim_wanted {
+/// Requests a durable claim. Answered by claim_answered, at the latest at Claim.AnswerBy.
+struct claim_requested {
   acquire_claim Claim;
   std::chrono::milliseconds Lifetime{0}; ///< limits_declaration::ClaimLifetime.
 };
 
-/// Record the end of claimed work; resent until a leader has recorded it, not answered.
-struct claim_ended {
+/// Reports the outcome of claimed work. Resent until a leader has recorded it; has no answer.
+struct claim_settled {
   settle_claim Claim;
   std::chrono::milliseconds Lifetime{0}; ///< limits_declaration::ClaimLifetime.
 };
 
 using control_link_request =
-    std::variant<revision_confirmed, claim_wanted, claim_ended, crash_report, suspect_cleared>;
+    std::variant<revision_confirmed, claim_requested, claim_settled, crash_report, suspect_cleared>;
 
 // ---- Events: from the link to the entry's decision thread. ----
 
-/// A leader that held its lease declared this. Revisions may repeat; entry_freshness sorts it out.
+/// A declaration from a leader that held its lease. Revisions may repeat; declaration_lease filters
+/// them.
 struct declaration_received {
   revision Revision;
   std::string Text;
 };
 
-/// The log has a declaration of this revision; its text is on the way.
+/// The log contains a declaration of this revision; its text will follow.
 struct declaration_announced {
   revision Revision;
 };
 
 /**
- * The declaration in use may be acted upon until then.
- * The span counts from the moment the request was sent: delays on the way only shorten it, so the
- * leader's own count never ends before the entry's.
+ * The entry may act on the declaration in use until this time.
+ * The lease starts when the request was sent. Network delays only shorten it, so the entry's lease
+ * never ends later than the leader assumes.
  */
 struct lease_extended {
-  revision Revision; ///< Which the entry had confirmed when it asked.
+  revision Revision; ///< Confirmed in the renewal that was answered.
   mono_time Until;
 };
 
-/// All backend servers that operators drain now; replaces the last such list.
+/// All backend servers that operators drain now; replaces the previous list.
 struct drains_changed {
   std::vector<backend_address> Backends;
 };
 
-/// A leader told of backend servers.
+/// Backend servers that a leader reported.
 struct backends_listed {
-  bool Whole{false}; ///< All that it knows, at the start of a connection.
+  bool IsFullList{false}; ///< Sent at the start of a connection: all known backend servers.
   std::vector<backend_listing> Listings;
 };
 
-/// An entry that the leader serves.
+/// An entry connected to the leader.
 struct served_entry {
-  std::string WorkAddress; ///< Where other entries tell of their work, "IP:port".
+  std::string WorkAddress; ///< Where other entries publish their work, "IP:port".
   failure_domain_name Domain;
 };
 
-/// The entries that the leader serves, this one included.
+/// All entries connected to the leader, including this one.
 struct entries_listed {
   std::vector<served_entry> Entries;
 };
 
-/// All requests to be refused or watched; replaces the last such list.
+/// All requests to be refused or watched; replaces the previous list.
 struct suspects_listed {
   std::vector<published_suspect> Suspects;
 };
 
 /// Why a connection to a control host ended.
-enum class control_loss : std::uint8_t {
-  Silent,     ///< Nothing came for control_link_plan::AnswerWithin.
-  Closed,     ///< By the other side, or by the network.
-  Redirected, ///< That host does not lead.
-  Unreadable, ///< What came is no message, or no difference to the text held.
+enum class control_loss_reason : std::uint8_t {
+  Silent,     ///< No bytes arrived for control_link_options::AnswerTimeout.
+  Closed,     ///< By the control host, or by a network error.
+  Redirected, ///< That host is not the leader.
+  Unreadable, ///< A message did not decode, or a difference did not apply to the stored text.
 };
 
-/// @return The loss's name in logs.
-constexpr std::string_view controlLossText(control_loss Loss) {
+/// @return The name in logs.
+constexpr std::string_view controlLossReasonText(control_loss_reason Loss) {
   constexpr std::array<std::string_view, 4> Names{"silent", "closed", "redirected", "unreadable"};
   return Names[static_cast<std::size_t>(Loss)];
 }
 
-/// No leader is connected; the lease at hand still counts until its end.
-struct control_lost {
-  control_loss Why{control_loss::Closed};
-  std::uint64_t PartBytes{0};                ///< Of a message that was under way.
-  std::chrono::milliseconds SinceMessage{0}; ///< Since the last whole message.
+/// The connection to the leader was lost. The current lease stays valid until it expires.
+struct control_connection_lost {
+  control_loss_reason Reason{control_loss_reason::Closed};
+  std::uint64_t PartialMessageBytes{0};          ///< Received of an incomplete message.
+  std::chrono::milliseconds SinceLastMessage{0}; ///< Since the last complete message.
 };
 
-using control_link_event = std::variant<declaration_received, lease_extended, claim_answered,
-                                        drains_changed, backends_listed, entries_listed,
-                                        control_lost, declaration_announced, suspects_listed>;
+using control_link_event =
+    std::variant<declaration_received, lease_extended, claim_answered, drains_changed,
+                 backends_listed, entries_listed, control_connection_lost, declaration_announced,
+                 suspects_listed>;
 
-/// What the link says of itself, for metrics and dumps.
+/// Counters of a control link, for metrics and dumps.
 struct control_link_counters {
-  std::uint64_t Connects{0};      ///< Connections that a leader answered on.
-  std::uint64_t Garbage{0};       ///< Messages that did not decode.
-  std::uint64_t ClaimTimeouts{0}; ///< Claims answered Unavailable for want of an answer.
-  std::uint64_t UnsettledEnds{0}; ///< Ends of claims not yet recorded.
+  std::uint64_t Connects{0};      ///< Connections on which a leader answered.
+  std::uint64_t Undecodable{0};   ///< Messages that failed to decode.
+  std::uint64_t ClaimTimeouts{0}; ///< Claims without an answer in time, reported as Unavailable.
+  std::uint64_t UnrecordedOutcomes{0}; ///< Claim outcomes that no leader has recorded yet.
 };
 
 } // namespace pollenstall
--- a/src/control_link/control_rotation.cpp
+++ b/src/control_link/control_rotation.cpp
@@ -1,4 +1,4 @@
-/** @file control_rotation.cpp Turns, hints and pauses. */
+/** @file control_rotation.cpp Round robin, leader hints and backoff. */
 #include "control_link/control_rotation_base.h"
 
 #include "address/address.h"
@@ -8,35 +8,36 @@
 
 namespace pollenstall {
 
-control_rotation::control_rotation(std::vector<std::string> Known, std::chrono::milliseconds Least,
-                                   std::chrono::milliseconds Most)
-    : Declared(std::move(Known)), Hosts(Declared), LeastPause(Least), MostPause(Most),
-      Pause(Least) {}
+control_rotation::control_rotation(std::vector<std::string> Addresses,
+                                   std::chrono::milliseconds InitialBackoff,
+                                   std::chrono::milliseconds LargestBackoff)
+    : Configured(std::move(Addresses)), Hosts(Configured), MinBackoff(InitialBackoff),
+      MaxBackoff(LargestBackoff), Backoff(InitialBackoff) {}
 
 std::optional<std::string> control_rotation::next(mono_time Now) {
-  if (Now < Due)
+  if (Now < NextAttemptAt)
     return std::nullopt;
-  Due = Now + Pause;
-  Pause = std::min(Pause * 2, MostPause);
-  HintFollowed = !Hint.empty();
-  if (HintFollowed)
-    return std::exchange(Hint, {});
-  return Hosts[Place++ % Hosts.size()];
+  NextAttemptAt = Now + Backoff;
+  Backoff = std::min(Backoff * 2, MaxBackoff);
+  FollowedLeaderHint = !LeaderHint.empty();
+  if (FollowedLeaderHint)
+    return std::exchange(LeaderHint, {});
+  return Hosts[NextIndex++ % Hosts.size()];
 }
 
-void control_rotation::noteLost(bool Served, mono_time Now) {
-  Due = Served ? Now : std::max(Due, Now);
+void control_rotation::recordConnectionLoss(bool LeaderAnswered, mono_time Now) {
+  NextAttemptAt = LeaderAnswered ? Now : std::max(NextAttemptAt, Now);
 }
 
-void control_rotation::noteRedirect(const std::string &Leader, mono_time Now) {
-  Hint = tcpEndpoint(Leader) ? Leader : std::string();
-  if (!Hint.empty())
-    Due = HintFollowed ? Now + LeastPause : Now;
+void control_rotation::recordRedirect(const std::string &Leader, mono_time Now) {
+  LeaderHint = tcpEndpoint(Leader) ? Leader : std::string();
+  if (!LeaderHint.empty())
+    NextAttemptAt = FollowedLeaderHint ? Now + MinBackoff : Now;
 }
 
-void control_rotation::useHosts(const std::vector<std::string> &Told) {
-  Hosts = Declared;
-  for (const std::string &Address : Told)
+void control_rotation::updateHosts(const std::vector<std::string> &Listed) {
+  Hosts = Configured;
+  for (const std::string &Address : Listed)
     if (tcpEndpoint(Address) && std::find(Hosts.begin(), Hosts.end(), Address) == Hosts.end())
       Hosts.push_back(Address);
 }
--- a/src/control_link/control_rotation_base.h
+++ b/src/control_link/control_rotation_base.h
@@ -1,4 +1,4 @@
-/** @file control_rotation_base.h Which control host an entry turns to next, and when. */
+/** @file control_rotation_base.h Selects the control host to connect to next, with backoff. */
 #ifndef POLLENSTALL_CONTROL_LINK_CONTROL_ROTATION_BASE_H
 #define POLLENSTALL_CONTROL_LINK_CONTROL_ROTATION_BASE_H
 
@@ -12,39 +12,41 @@
 namespace pollenstall {
 
 /**
- * Control hosts are asked in turn, with pauses that grow while none serves. A host that names the
- * leader is believed once, and at once: what it says may be old, and two hosts that name each other
- * must not be asked without pauses.
+ * Tries the control hosts in turn, with a backoff that grows until a leader answers. A leader hint
+ * is followed once, without delay. The hint may be stale, and two hosts that redirect to each other
+ * must not be tried without a delay.
  */
 class control_rotation {
 public:
-  /// @param Declared From the settings: kept for good, they are all that is left when the hosts
-  /// that a leader told of are replaced.
-  control_rotation(std::vector<std::string> Declared, std::chrono::milliseconds Least,
-                   std::chrono::milliseconds Most);
+  /// @param Configured Addresses from the settings. They are never removed: if all hosts that a
+  /// leader listed have been replaced, no other address would remain.
+  control_rotation(std::vector<std::string> Configured, std::chrono::milliseconds InitialBackoff,
+                   std::chrono::milliseconds LargestBackoff);
 
-  /// @return The address to connect to, where it is time to; the next one is due a pause later.
+  /// @return The address to connect to if an attempt is due. The next attempt is due one backoff
+  /// later.
   std::optional<std::string> next(mono_time Now);
-  /// A leader answers: the pauses start anew.
-  void noteServed() { Pause = LeastPause; }
-  /// A connection ended. @param Served Whether a leader had answered on it: the next is due at
-  /// once.
-  void noteLost(bool Served, mono_time Now);
-  /// The host that was asked does not lead. @param Leader Whom it names; empty: nobody.
-  void noteRedirect(const std::string &Leader, mono_time Now);
-  /// A leader told which hosts there are; what is no address is left out.
-  void useHosts(const std::vector<std::string> &Told);
+  /// Resets the backoff, since a leader answered.
+  void recordLeaderAnswer() { Backoff = MinBackoff; }
+  /// Handles the end of a connection. @param LeaderAnswered Whether a leader had answered on it; if
+  /// so, the next attempt is due immediately.
+  void recordConnectionLoss(bool LeaderAnswered, mono_time Now);
+  /// Handles a reply from a host that is not the leader. @param Leader The address that it named as
+  /// the leader; empty if it named none.
+  void recordRedirect(const std::string &Leader, mono_time Now);
+  /// Replaces the hosts that the previous leader listed. Invalid addresses are skipped.
+  void updateHosts(const std::vector<std::string> &Listed);
 
 private:
-  std::vector<std::string> Declared;
-  std::vector<std::string> Hosts; ///< Asked in turn.
-  std::size_t Place{0};
-  std::string Hint;
-  bool HintFollowed{false}; ///< The host asked last was named by another.
-  std::chrono::milliseconds LeastPause;
-  std::chrono::milliseconds MostPause;
-  std::chrono::milliseconds Pause;
-  mono_time Due{};
+  std::vector<std::string> Configured;
+  std::vector<std::string> Hosts; ///< Tried in turn.
+  std::size_t NextIndex{0};
+  std::string LeaderHint;
+  bool FollowedLeaderHint{false}; ///< The last host tried was a leader hint.
+  std::chrono::milliseconds MinBackoff;
+  std::chrono::milliseconds MaxBackoff;
+  std::chrono::milliseconds Backoff;
+  mono_time NextAttemptAt{};
 };
 
 } // namespace pollenstall
--- a/src/peer_link/framed_connection.cpp
+++ b/src/peer_link/framed_connection.cpp
@@ -12,11 +12,11 @@
 using boost::asio::ip::tcp;
 
 framed_connection::framed_connection(tcp::socket Connected, const framed_limits &Bounds)
-    : Socket(std::move(Connected)), Limits(Bounds), Hooks(std::make_shared<framed_hooks>()),
+    : Socket(std::move(Connected)), Limits(Bounds), Callbacks(std::make_shared<framed_callbacks>()),
       Reader(Bounds.MaxFrame) {}
 
-void framed_connection::tell(framed_hooks Told) {
-  Hooks = std::make_shared<framed_hooks>(std::move(Told));
+void framed_connection::setCallbacks(framed_callbacks CurrentCallbacks) {
+  Callbacks = std::make_shared<framed_callbacks>(std::move(CurrentCallbacks));
 }
 
 void framed_connection::prepareSocket() {
@@ -33,9 +33,9 @@
     if (Error)
       return Self->fail();
     Self->start();
-    const auto Told = Self->Hooks;
-    if (Told->Opened)
-      Told->Opened();
+    const auto CurrentCallbacks = Self->Callbacks;
+    if (CurrentCallbacks->Opened)
+      CurrentCallbacks->Opened();
   });
 }
 
@@ -58,34 +58,34 @@
 }
 
 void framed_connection::received(std::size_t Count) {
-  if (const auto Told = Hooks; Told->Arrived)
-    Told->Arrived(Count);
+  if (const auto CurrentCallbacks = Callbacks; CurrentCallbacks->Arrived)
+    CurrentCallbacks->Arrived(Count);
   Reader.append(std::string_view(Input.data(), Count));
-  while (Open && !Ending) {
+  while (Open && !ClosingWhenWritten) {
     auto Next = Reader.next();
     if (!succeeded(Next))
       return fail();
     if (!valueOf(Next))
       break;
-    const auto Told = Hooks;
-    if (Told->Received)
-      Told->Received(std::move(*valueOf(Next)));
+    const auto CurrentCallbacks = Callbacks;
+    if (CurrentCallbacks->Received)
+      CurrentCallbacks->Received(std::move(*valueOf(Next)));
   }
   if (Open)
     read();
 }
 
 bool framed_connection::send(std::string_view Frame) {
-  if (!Open || Ending || Waiting.size() + Frame.size() > Limits.MaxQueued)
+  if (!Open || ClosingWhenWritten || QueuedBytes.size() + Frame.size() > Limits.MaxQueued)
     return false;
-  Waiting.append(Frame);
+  QueuedBytes.append(Frame);
   if (Writing.empty())
     write();
   return true;
 }
 
 void framed_connection::write() {
-  Writing.swap(Waiting);
+  Writing.swap(QueuedBytes);
   boost::asio::async_write(
       Socket, boost::asio::buffer(Writing),
       [Self = shared_from_this()](boost::system::error_code Error, std::size_t /*Count*/) {
@@ -94,34 +94,34 @@
           return;
         if (Error)
           return Self->fail();
-        if (!Self->Waiting.empty())
+        if (!Self->QueuedBytes.empty())
           Self->write();
-        else if (Self->Ending)
-          Self->shut();
+        else if (Self->ClosingWhenWritten)
+          Self->closeSocket();
       });
 }
 
-void framed_connection::shut() {
+void framed_connection::closeSocket() {
   Open = false;
-  Hooks = std::make_shared<framed_hooks>();
+  Callbacks = std::make_shared<framed_callbacks>();
   boost::system::error_code Ignored;
   Socket.close(Ignored);
 }
 
 void framed_connection::fail() {
-  const auto Told = Hooks;
-  shut();
-  if (Told->Closed)
-    Told->Closed();
+  const auto CurrentCallbacks = Callbacks;
+  closeSocket();
+  if (CurrentCallbacks->Closed)
+    CurrentCallbacks->Closed();
 }
 
-void framed_connection::close() { shut(); }
+void framed_connection::close() { closeSocket(); }
 
 void framed_connection::closeWhenWritten() {
   if (Writing.empty())
-    return shut();
-  Ending = true;
-  Hooks = std::make_shared<framed_hooks>();
+    return closeSocket();
+  ClosingWhenWritten = true;
+  Callbacks = std::make_shared<framed_callbacks>();
 }
 
 } // namespace pollenstall
--- a/src/peer_link/framed_connection_base.h
+++ b/src/peer_link/framed_connection_base.h
@@ -1,4 +1,4 @@
-/** @file framed_connection_base.h One TCP connection that carries frames, used on one thread. */
+/** @file framed_connection_base.h A TCP connection that carries frames, used on one thread. */
 #ifndef POLLENSTALL_PEER_LINK_FRAMED_CONNECTION_BASE_H
 #define POLLENSTALL_PEER_LINK_FRAMED_CONNECTION_BASE_H
 
@@ -16,44 +16,45 @@
 
 /// Bounds of a connection.
 struct framed_limits {
-  std::size_t MaxFrame{MaxFrameBytes};         ///< Larger frames close the connection.
-  std::size_t MaxQueued{2 * MaxFrameBytes};    ///< Bytes that wait to be written.
-  std::chrono::milliseconds SendTimeout{3000}; ///< Unacknowledged bytes close the connection.
+  std::size_t MaxFrame{MaxFrameBytes};      ///< Larger frames close the connection.
+  std::size_t MaxQueued{2 * MaxFrameBytes}; ///< Bytes queued for writing.
+  std::chrono::milliseconds SendTimeout{
+      3000}; ///< Closes the connection if bytes stay unacknowledged.
 };
 
-/// What the owner of a connection is told, on the connection's thread.
-struct framed_hooks {
-  std::function<void()> Opened; ///< Only after connect().
+/// Notifications to the owner of a connection, on the connection's thread.
+struct framed_callbacks {
+  std::function<void()> Opened; ///< Called only after connect().
   std::function<void(std::string &&Message)> Received;
-  std::function<void()> Closed; ///< By the other side, by an error or by a frame over the limit.
-  std::function<void(std::size_t Bytes)> Arrived{}; ///< Bytes came, perhaps part of a message only.
+  std::function<void()> Closed; ///< By the peer, by an error or by an oversized frame.
+  std::function<void(std::size_t Bytes)> Arrived{}; ///< Bytes may be part of a message only.
 };
 
 /**
- * Reads and writes frames. All calls are made on the io_context's one thread.
- * Bytes that the other side does not acknowledge are bounded in time (TCP_USER_TIMEOUT): otherwise
- * a healed partition would deliver what was written minutes ago.
+ * Reads and writes frames. All functions must be called on the io_context's only thread.
+ * TCP_USER_TIMEOUT limits how long bytes stay unacknowledged. Without it, a healed partition would
+ * deliver bytes that were written minutes ago.
  */
 class framed_connection : public std::enable_shared_from_this<framed_connection> {
 public:
   framed_connection(boost::asio::ip::tcp::socket Connected, const framed_limits &Bounds);
 
-  /// Sets what the owner is told; to be called before connect() or start().
-  void tell(framed_hooks Told);
+  /// Sets the owner's callbacks; must be called before connect() or start().
+  void setCallbacks(framed_callbacks CurrentCallbacks);
 
-  /// Opens the connection, then reads.
+  /// Opens the connection and starts to read.
   void connect(const boost::asio::ip::tcp::endpoint &To);
 
-  /// Reads from a socket that was accepted.
+  /// Starts to read from an accepted socket.
   void start();
 
-  /// @return False where too much waits already, or the connection is closed; nothing is written.
+  /// @return False if the queue is full or the connection is closed; the frame is dropped then.
   bool send(std::string_view Frame);
 
-  /// Closes at once; no hook is called after it.
+  /// Closes immediately. No callback is called afterwards.
   void close();
 
-  /// Closes after what waits was written; no hook is called after it.
+  /// Closes after the queued bytes are written. No callback is called afterwards.
   void closeWhenWritten();
 
 private:
@@ -62,17 +63,18 @@
   void received(std::size_t Count);
   void write();
   void fail();
-  void shut();
+  void closeSocket();
 
   boost::asio::ip::tcp::socket Socket;
   framed_limits Limits;
-  std::shared_ptr<framed_hooks> Hooks; ///< Shared, so that a hook may close the connection.
+  std::shared_ptr<framed_callbacks>
+      Callbacks; ///< Shared, so that a callback may close the connection.
   frame_reader Reader;
   std::array<char, 64U << 10U> Input{};
-  std::string Waiting; ///< Collected while a write is under way, then written as one.
+  std::string QueuedBytes; ///< Collected during a write, then written together.
   std::string Writing;
   bool Open{false};
-  bool Ending{false};
+  bool ClosingWhenWritten{false};
 };
 
 } // namespace pollenstall
--- a/src/peer_link/framed_listener.cpp
+++ b/src/peer_link/framed_listener.cpp
@@ -9,17 +9,18 @@
 
 namespace {
 
-/// After a failed accept (no file descriptor is free): at once would spin.
-constexpr std::chrono::milliseconds PauseAfterFailure{50};
+/// Delay after a failed accept, such as when no file descriptor is free. An immediate retry would
+/// spin.
+constexpr std::chrono::milliseconds AcceptRetryDelay{50};
 
 } // namespace
 
-framed_listener::framed_listener(boost::asio::io_context &Io, accepted_hook Hook)
-    : Acceptor(Io), Pause(Io), Accepted(std::move(Hook)) {}
+framed_listener::framed_listener(boost::asio::io_context &Io, accept_callback Hook)
+    : Acceptor(Io), RetryTimer(Io), Accepted(std::move(Hook)) {}
 
 result<std::unique_ptr<framed_listener>, listen_error>
 framed_listener::open(boost::asio::io_context &Io, const std::string &Address,
-                      accepted_hook Accepted) {
+                      accept_callback Accepted) {
   std::unique_ptr<framed_listener> Listener(new framed_listener(Io, std::move(Accepted)));
   const auto Listening = listenOn(Listener->Acceptor, Address);
   if (!succeeded(Listening))
@@ -41,8 +42,8 @@
       Accepted(std::move(Socket));
       return accept();
     }
-    Pause.expires_after(PauseAfterFailure);
-    Pause.async_wait([this](boost::system::error_code Cancelled) {
+    RetryTimer.expires_after(AcceptRetryDelay);
+    RetryTimer.async_wait([this](boost::system::error_code Cancelled) {
       if (!Cancelled)
         accept();
     });
--- a/src/peer_link/framed_listener_base.h
+++ b/src/peer_link/framed_listener_base.h
@@ -1,4 +1,4 @@
-/** @file framed_listener_base.h Accepts TCP connections and hands their sockets on. */
+/** @file framed_listener_base.h Accepts TCP connections and passes on their sockets. */
 #ifndef POLLENSTALL_PEER_LINK_FRAMED_LISTENER_BASE_H
 #define POLLENSTALL_PEER_LINK_FRAMED_LISTENER_BASE_H
 
@@ -14,30 +14,31 @@
 
 namespace pollenstall {
 
-/// Why an address cannot be listened on.
+/// Why listening on an address failed.
 struct listen_error {
   std::string Text;
 };
 
-/// Listens on one address; all calls are made on the io_context's one thread or before it runs.
+/// Listens on one address. All functions must be called on the io_context's only thread, or before
+/// it runs.
 class framed_listener {
 public:
-  using accepted_hook = std::function<void(boost::asio::ip::tcp::socket)>;
+  using accept_callback = std::function<void(boost::asio::ip::tcp::socket)>;
 
-  /// @param Address "IP:port"; port 0 takes one from the kernel.
+  /// @param Address "IP:port"; with port 0 the kernel assigns a port.
   static result<std::unique_ptr<framed_listener>, listen_error>
-  open(boost::asio::io_context &Io, const std::string &Address, accepted_hook Accepted);
+  open(boost::asio::io_context &Io, const std::string &Address, accept_callback Accepted);
 
-  /// @return Where it listens, with the port that the kernel gave.
+  /// @return The listening address, with the port that the kernel assigned.
   [[nodiscard]] std::string address() const;
 
 private:
-  framed_listener(boost::asio::io_context &Io, accepted_hook Hook);
+  framed_listener(boost::asio::io_context &Io, accept_callback Hook);
   void accept();
 
   boost::asio::ip::tcp::acceptor Acceptor;
-  boost::asio::steady_timer Pause;
-  accepted_hook Accepted;
+  boost::asio::steady_timer RetryTimer;
+  accept_callback Accepted;
 };
 
 } // namespace pollenstall
--- a/src/peer_link/peer_codec_func.h
+++ b/src/peer_link/peer_codec_func.h
@@ -9,7 +9,7 @@
 
 namespace pollenstall {
 
-/// Reads or writes an enum; a number beyond the last enumerator is malformed.
+/// Reads or writes an enum. A number above the last enumerator is malformed.
 template <typename Archive, typename Enum>
 void serializeEnum(Archive &Into, Enum &Value, Enum Last) {
   Into(Value);
@@ -65,15 +65,15 @@
   Into(Addresses.Peers, Addresses.Entries, Addresses.Operators);
 }
 template <typename Archive> void serialize(Archive &Into, peer_hello &Hello) {
-  Into(Hello.Member, Hello.Addresses, Hello.Known);
+  Into(Hello.Member, Hello.Addresses, Hello.KnownPeers);
 }
 
-/// @return The frame of one message.
+/// @return The message, framed for the wire.
 inline std::string peerFrame(const std::string &Fleet, const peer_message &Message) {
   return frameOf(encodeEnvelope(Fleet, message_kind::Consensus, Message));
 }
 
-/// @return The message, or why the bytes are none of this fleet's.
+/// @return The message, or why the bytes are not a message of this fleet.
 inline result<peer_message, wire_error> decodePeerMessage(const std::string &Fleet,
                                                           std::string_view Bytes) {
   return decodeEnvelope<peer_message>(Fleet, message_kind::Consensus, Bytes, MaxFrameBytes);
--- a/src/peer_link/peer_link.cpp
+++ b/src/peer_link/peer_link.cpp
@@ -1,4 +1,4 @@
-/** @file peer_link.cpp The thread that carries messages between control hosts. */
+/** @file peer_link.cpp The thread that sends and receives messages between control hosts. */
 #include "peer_link/peer_link_base.h"
 
 #include "peer_link/framed_connection_base.h"
@@ -19,17 +19,17 @@
 
 namespace {
 
-/// More than this are not peers of ours: each peer holds one connection, and one that it lost.
+/// Limit on incoming connections: each peer has one, and perhaps one more that it has lost.
 constexpr std::size_t MaxIncoming = 64;
 
 } // namespace
 
 class peer_link::state {
 public:
-  explicit state(peer_link_plan Settings)
-      : Plan(std::move(Settings)), Outbox(Plan.RingCapacity), Inbox(Plan.RingCapacity),
-        Guard(boost::asio::make_work_guard(Io)) {
-    Inbox.onWake(Plan.WakeOwner);
+  explicit state(peer_link_options Settings)
+      : Options(std::move(Settings)), Outbox(Options.RingCapacity), Inbox(Options.RingCapacity),
+        WorkGuard(boost::asio::make_work_guard(Io)) {
+    Inbox.onWake(Options.NotifyOwner);
     Outbox.onWake([this] { boost::asio::post(Io, [this] { sendAll(); }); });
   }
 
@@ -40,25 +40,25 @@
   }
 
   std::optional<listen_error> start() {
-    auto Opened = framed_listener::open(Io, Plan.Listen,
+    auto Opened = framed_listener::open(Io, Options.Listen,
                                         [this](tcp::socket Socket) { accept(std::move(Socket)); });
     if (!succeeded(Opened))
       return errorOf(Opened);
     Listener = valueOf(std::move(Opened));
     Address = Listener->address();
-    for (const auto &[Member, To] : Plan.Peers)
+    for (const auto &[Member, To] : Options.Peers)
       addSender(Member, To);
-    for (const std::string &Seed : Plan.Seeds)
+    for (const std::string &Seed : Options.Seeds)
       if (Seed != Address)
-        Dialers.emplace(Seed, std::make_unique<peer_sender>(Io, Plan, Seed));
+        SeedSenders.emplace(Seed, std::make_unique<peer_sender>(Io, Options, Seed));
     Thread = std::thread([this] { Io.run(); });
     return std::nullopt;
   }
 
   void announce(peer_addresses Addresses) {
     boost::asio::post(Io, [this, Addresses = std::move(Addresses)] {
-      Own = Addresses;
-      greetAll();
+      OwnAddresses = Addresses;
+      updateHello();
     });
   }
 
@@ -67,27 +67,29 @@
       Dropped.fetch_add(1, std::memory_order_relaxed);
   }
 
-  const peer_link_plan Plan;
+  const peer_link_options Options;
   bounded_ring<consensus_message> Outbox;
   bounded_ring<peer_message> Inbox;
   std::string Address;
   std::atomic<std::uint64_t> Received{0};
-  std::atomic<std::uint64_t> Garbage{0};
+  std::atomic<std::uint64_t> Undecodable{0};
   std::atomic<std::uint64_t> Dropped{0};
 
 private:
-  void greetAll() {
-    Greeting = peerFrame(Plan.Fleet, peer_hello{Plan.Self, Own, {Known.begin(), Known.end()}});
+  void updateHello() {
+    HelloFrame =
+        peerFrame(Options.Fleet,
+                  peer_hello{Options.Self, OwnAddresses, {KnownPeers.begin(), KnownPeers.end()}});
     for (const auto &[Member, Sender] : Senders)
-      Sender->greetWith(Greeting);
-    for (const auto &[Seed, Dialer] : Dialers)
-      Dialer->greetWith(Greeting);
+      Sender->setHelloFrame(HelloFrame);
+    for (const auto &[Seed, SeedSender] : SeedSenders)
+      SeedSender->setHelloFrame(HelloFrame);
   }
 
   void addSender(member_id Member, const std::string &To) {
-    auto Sender = std::make_unique<peer_sender>(Io, Plan, To);
-    if (!Greeting.empty())
-      Sender->greetWith(Greeting);
+    auto Sender = std::make_unique<peer_sender>(Io, Options, To);
+    if (!HelloFrame.empty())
+      Sender->setHelloFrame(HelloFrame);
     Senders.emplace(Member, std::move(Sender));
   }
 
@@ -95,7 +97,7 @@
     Outbox.drain([this](consensus_message &&Message) {
       const auto Sender = Senders.find(Message.To.Member);
       const bool Sent = Sender != Senders.end() &&
-                        Sender->second->send(peerFrame(Plan.Fleet, peer_message(Message)));
+                        Sender->second->send(peerFrame(Options.Fleet, peer_message(Message)));
       if (!Sent)
         Dropped.fetch_add(1, std::memory_order_relaxed);
     });
@@ -103,94 +105,99 @@
 
   void accept(tcp::socket Socket) {
     if (Incoming.size() >= MaxIncoming)
-      return; // the socket closes with it
-    const auto Made = std::make_shared<framed_connection>(std::move(Socket), framed_limits{});
-    Incoming.insert(Made);
-    Made->tell({{},
-                [this, Weak = std::weak_ptr(Made)](std::string &&Bytes) {
-                  if (const auto From = Weak.lock())
-                    received(From, Bytes);
-                },
-                [this, Weak = std::weak_ptr(Made)] { Incoming.erase(Weak.lock()); }});
-    Made->start();
+      return; // the socket's destructor closes it
+    const auto Created = std::make_shared<framed_connection>(std::move(Socket), framed_limits{});
+    Incoming.insert(Created);
+    Created->setCallbacks({{},
+                           [this, Weak = std::weak_ptr(Created)](std::string &&Bytes) {
+                             if (const auto From = Weak.lock())
+                               received(From, Bytes);
+                           },
+                           [this, Weak = std::weak_ptr(Created)] { Incoming.erase(Weak.lock()); }});
+    Created->start();
   }
 
   void received(const std::shared_ptr<framed_connection> &From, const std::string &Bytes) {
-    auto Decoded = decodePeerMessage(Plan.Fleet, Bytes);
+    auto Decoded = decodePeerMessage(Options.Fleet, Bytes);
     if (!succeeded(Decoded)) {
-      // Whoever sends what is not ours, is not a peer; no later byte of it is worth reading.
-      Garbage.fetch_add(1, std::memory_order_relaxed);
+      // A sender of messages that do not decode is not a peer, so nothing more is read from it.
+      Undecodable.fetch_add(1, std::memory_order_relaxed);
       From->close();
       Incoming.erase(From);
       return;
     }
     Received.fetch_add(1, std::memory_order_relaxed);
     if (const auto *Hello = std::get_if<peer_hello>(&valueOf(Decoded)))
-      learn(*Hello);
+      handleHello(*Hello);
     if (!Inbox.push(std::move(valueOf(Decoded))))
       Dropped.fetch_add(1, std::memory_order_relaxed);
   }
 
-  /// A host that is not in the settings may be admitted later; it is answered where it listens.
-  void learn(const peer_hello &Hello) {
-    bool Changed = note(Hello.Member, Hello.Addresses, true);
-    // It speaks, so it listens: a try that began while it was down need not run out.
+  /// Handles a hello. A host that is not in the settings may be admitted later; replies go to the
+  /// address at which it listens.
+  void handleHello(const peer_hello &Hello) {
+    bool Changed = recordPeer(Hello.Member, Hello.Addresses, true);
+    // The host is up. An attempt that began while it was down need not time out first.
     if (const auto Sender = Senders.find(Hello.Member); Sender != Senders.end())
-      Sender->second->retryNow();
-    for (const auto &[Member, Addresses] : Hello.Known)
-      Changed = note(Member, Addresses, false) || Changed;
-    if (Changed && !Greeting.empty())
-      greetAll();
+      Sender->second->reconnectNow();
+    for (const auto &[Member, Addresses] : Hello.KnownPeers)
+      Changed = recordPeer(Member, Addresses, false) || Changed;
+    if (Changed && !HelloFrame.empty())
+      updateHello();
   }
 
-  /// @param FirstHand Told by the host itself. @return Whether that was news.
-  bool note(member_id Member, const peer_addresses &Addresses, bool FirstHand) {
-    if (Member == Plan.Self || Addresses.Peers.empty() || Addresses.Peers == Address)
+  /// Stores the addresses of a host.
+  /// @param FromItself Whether the host reported its own addresses. @return Whether they are new.
+  bool recordPeer(member_id Member, const peer_addresses &Addresses, bool FromItself) {
+    if (Member == Options.Self || Addresses.Peers.empty() || Addresses.Peers == Address)
       return false;
-    const auto Before = Known.find(Member);
-    if (Before != Known.end() && (Before->second == Addresses || !FirstHand))
+    const auto Before = KnownPeers.find(Member);
+    if (Before != KnownPeers.end() && (Before->second == Addresses || !FromItself))
       return false;
-    // Another member at the same address has lost its disk; who only heard of that one is behind.
-    const auto Holder = std::find_if(Known.begin(), Known.end(), [&](const auto &Other) {
-      return Other.first != Member && Other.second.Peers == Addresses.Peers;
-    });
-    if (Holder != Known.end() && !FirstHand)
+    // A new member id at a known address means that the previous member lost its disk. A report
+    // from another host may be stale.
+    const auto SameAddress =
+        std::find_if(KnownPeers.begin(), KnownPeers.end(), [&](const auto &Other) {
+          return Other.first != Member && Other.second.Peers == Addresses.Peers;
+        });
+    if (SameAddress != KnownPeers.end() && !FromItself)
       return false;
-    if (Holder != Known.end())
-      forget(Holder->first);
-    if (Known.size() >= MaxIncoming)
+    if (SameAddress != KnownPeers.end())
+      forgetPeer(SameAddress->first);
+    if (KnownPeers.size() >= MaxIncoming)
       return false;
-    Known[Member] = Addresses;
-    Dialers.erase(Addresses.Peers);
-    reach(Member, Addresses.Peers);
+    KnownPeers[Member] = Addresses;
+    SeedSenders.erase(Addresses.Peers);
+    connectTo(Member, Addresses.Peers);
     return true;
   }
 
-  void forget(member_id Member) {
-    Known.erase(Member);
-    if (Plan.Peers.count(Member) == 0)
+  void forgetPeer(member_id Member) {
+    KnownPeers.erase(Member);
+    if (Options.Peers.count(Member) == 0)
       Senders.erase(Member);
   }
 
-  void reach(member_id Member, const std::string &To) {
-    if (Plan.Peers.count(Member) != 0)
+  void connectTo(member_id Member, const std::string &To) {
+    if (Options.Peers.count(Member) != 0)
       return;
     const auto Sender = Senders.find(Member);
     if (Sender != Senders.end())
-      Sender->second->moveTo(To);
+      Sender->second->changeAddress(To);
     else
       addSender(Member, To);
   }
 
   boost::asio::io_context Io{1};
-  boost::asio::executor_work_guard<boost::asio::io_context::executor_type> Guard;
+  boost::asio::executor_work_guard<boost::asio::io_context::executor_type> WorkGuard;
   std::unique_ptr<framed_listener> Listener;
   std::map<member_id, std::unique_ptr<peer_sender>> Senders;
-  std::map<std::string, std::unique_ptr<peer_sender>> Dialers; ///< To seeds that are not known yet.
-  std::map<member_id, peer_addresses> Known;
-  peer_addresses Own;
+  std::map<std::string, std::unique_ptr<peer_sender>>
+      SeedSenders; ///< To seeds whose ids are unknown.
+  std::map<member_id, peer_addresses> KnownPeers;
+  peer_addresses OwnAddresses;
   std::set<std::shared_ptr<framed_connection>> Incoming;
-  std::string Greeting;
+  std::string HelloFrame;
   std::thread Thread;
 };
 
@@ -208,43 +215,43 @@
 }
 
 peer_link_counters peer_link::counters() const {
-  return {State->Received.load(), State->Garbage.load(), State->Dropped.load()};
+  return {State->Received.load(), State->Undecodable.load(), State->Dropped.load()};
 }
 
 peer_link_builder::peer_link_builder(std::string Fleet, member_id Self, std::string Listen) {
-  Plan.Fleet = std::move(Fleet);
-  Plan.Self = Self;
-  Plan.Listen = std::move(Listen);
+  Options.Fleet = std::move(Fleet);
+  Options.Self = Self;
+  Options.Listen = std::move(Listen);
 }
 
 peer_link_builder &peer_link_builder::peer(member_id Member, std::string Address) {
-  if (Member != Plan.Self)
-    Plan.Peers.emplace(Member, std::move(Address));
+  if (Member != Options.Self)
+    Options.Peers.emplace(Member, std::move(Address));
   return *this;
 }
 
 peer_link_builder &peer_link_builder::seed(std::string Address) {
-  Plan.Seeds.push_back(std::move(Address));
+  Options.Seeds.push_back(std::move(Address));
   return *this;
 }
 
 peer_link_builder &peer_link_builder::onMessages(std::function<void()> Wake) {
-  Plan.WakeOwner = std::move(Wake);
+  Options.NotifyOwner = std::move(Wake);
   return *this;
 }
 
 peer_link_builder &peer_link_builder::backOff(std::chrono::milliseconds Min,
                                               std::chrono::milliseconds Max) {
-  Plan.BackOffMin = Min;
-  Plan.BackOffMax = Max;
+  Options.BackOffMin = Min;
+  Options.BackOffMax = Max;
   return *this;
 }
 
 result<std::unique_ptr<peer_link>, listen_error> peer_link_builder::start() {
-  auto Made = std::make_unique<peer_link::state>(Plan);
-  if (const auto Failure = Made->start())
+  auto Created = std::make_unique<peer_link::state>(Options);
+  if (const auto Failure = Created->start())
     return *Failure;
-  return std::unique_ptr<peer_link>(new peer_link(std::move(Made)));
+  return std::unique_ptr<peer_link>(new peer_link(std::move(Created)));
 }
 
 } // namespace pollenstall
--- a/src/peer_link/peer_link.h
+++ b/src/peer_link/peer_link.h
@@ -1,4 +1,4 @@
-/** @file peer_link.h Public header of peer_link: framed TCP connections between our processes. */
+/** @file peer_link.h Public header of peer_link: framed TCP connections between processes. */
 #ifndef POLLENSTALL_PEER_LINK_PEER_LINK_H
 #define POLLENSTALL_PEER_LINK_PEER_LINK_H
 
