--- a/programs/pollenstall-control/control_core_request.cpp
+++ b/programs/pollenstall-control/control_core_request.cpp
@@ -209,7 +209,7 @@
                                    const control_request &Request) {
   if (!requireLeadership(Request))
     return;
-  publishBackends(Directory.hear(Operation.Notice, boot_clock::now()), Operation.Notice.Instance,
+  publishBackends(Directory.handleNotice(Operation.Notice, boot_clock::now()), Operation.Notice.Instance,
                   Request.Answer);
 }
 
