--- a/programs/pollenstall-entry/announcement.cpp
+++ b/programs/pollenstall-entry/announcement.cpp
@@ -1,4 +1,4 @@
-/** @file announcement.cpp JSON of an announcement, field by field. */
+/** @file announcement.cpp Parses and validates the JSON of an announcement. */
 #include "announcement_func.h"
 
 #include "settings/settings.h"
@@ -15,27 +15,27 @@
 
 constexpr std::size_t MaxAnnouncementBytes = 64U << 10U;
 
-/// Reads members of one object and remembers the first that is wrong.
+/// Reads the members of one JSON object and records the first invalid one.
 class member_reader {
 public:
-  member_reader(const json::object &Source, std::string Place,
-                std::optional<announcement_fault> &At)
-      : Object(Source), Prefix(std::move(Place)), Fault(At) {}
+  member_reader(const json::object &Source, std::string FieldPrefix,
+                std::optional<announcement_fault> &FirstFault)
+      : Object(Source), Prefix(std::move(FieldPrefix)), Fault(FirstFault) {}
 
   std::string text(std::string_view Name) {
     const json::value *Value = Object.if_contains(Name);
     if (Value && Value->is_string())
       return std::string(Value->get_string());
-    refuse(Name, "must be a text");
+    refuse(Name, "must be a string");
     return {};
   }
 
-  std::string textOf(std::string_view Name, std::initializer_list<std::string_view> Allowed) {
+  std::string choice(std::string_view Name, std::initializer_list<std::string_view> Allowed) {
     std::string Text = text(Name);
-    for (const std::string_view Known : Allowed)
-      if (Known == Text)
+    for (const std::string_view AllowedValue : Allowed)
+      if (AllowedValue == Text)
         return Text;
-    refuse(Name, "is not one of the allowed texts");
+    refuse(Name, "is not one of the allowed values");
     return Text;
   }
 
@@ -84,22 +84,22 @@
       refuse(Name, "must be a list of texts");
       return Texts;
     }
-    for (const json::value &Item : Value->get_array())
-      if (Item.is_string())
-        Texts.emplace_back(Item.get_string());
+    for (const json::value &Element : Value->get_array())
+      if (Element.is_string())
+        Texts.emplace_back(Element.get_string());
       else
         refuse(Name, "must be a list of texts");
     return Texts;
   }
 
-  /// @return The members of an object; an absent one reads as empty.
+  /// Returns a reader for a member object; an absent member reads as an empty object.
   member_reader object(std::string_view Name) {
     static const json::object Empty;
     const json::value *Value = Object.if_contains(Name);
     if (Value && !Value->is_object())
       refuse(Name, "must be an object");
-    const bool Usable = Value && Value->is_object();
-    return {Usable ? Value->get_object() : Empty, Prefix + std::string(Name) + ".", Fault};
+    const bool IsObject = Value && Value->is_object();
+    return {IsObject ? Value->get_object() : Empty, Prefix + std::string(Name) + ".", Fault};
   }
 
   [[nodiscard]] bool has(std::string_view Name) const { return Object.contains(Name); }
@@ -116,67 +116,67 @@
   std::optional<announcement_fault> &Fault;
 };
 
-order_check orderCheckOf(const std::string &Text) {
+order_check parseOrderCheck(const std::string &Text) {
   if (Text == "fenced")
     return order_check::Fenced;
   return Text == "unfenced" ? order_check::Unfenced : order_check::None;
 }
 
-backend_capabilities readCapabilities(member_reader From, bool Model) {
+backend_capabilities readCapabilities(member_reader Reader, bool Model) {
   backend_capabilities Capabilities;
   Capabilities.Model = Model;
-  Capabilities.Priorities = From.flag("priorities");
-  Capabilities.Cancels = From.flag("cancels");
-  Capabilities.Resumes = From.flag("resumes");
-  Capabilities.MovesCache = From.flag("moves_cache");
-  if (From.has("orders"))
-    Capabilities.Orders = orderCheckOf(From.textOf("orders", {"none", "unfenced", "fenced"}));
+  Capabilities.Priorities = Reader.flag("priorities");
+  Capabilities.Cancels = Reader.flag("cancels");
+  Capabilities.Resumes = Reader.flag("resumes");
+  Capabilities.MovesCache = Reader.flag("moves_cache");
+  if (Reader.has("orders"))
+    Capabilities.Orders = parseOrderCheck(Reader.choice("orders", {"none", "unfenced", "fenced"}));
   return Capabilities;
 }
 
-void readLabels(member_reader From, std::map<std::string, std::string> &Into) {
-  for (const auto &Member : From.members())
-    Into.emplace(Member.key(), From.text({Member.key().data(), Member.key().size()}));
+void readLabels(member_reader Reader, std::map<std::string, std::string> &Target) {
+  for (const auto &Member : Reader.members())
+    Target.emplace(Member.key(), Reader.text({Member.key().data(), Member.key().size()}));
 }
 
-void readMemory(member_reader From, backend_announcement &Into) {
-  if (!From.has("blocks"))
+void readMemory(member_reader Reader, backend_announcement &Target) {
+  if (!Reader.has("blocks"))
     return;
-  Into.Memory = memory_blocks(From.amount("blocks"));
-  Into.BlockTokens = tokens(From.amount("block_tokens"));
+  Target.Memory = memory_blocks(Reader.amount("blocks"));
+  Target.BlockTokens = tokens(Reader.amount("block_tokens"));
 }
 
-backend_load readLoad(member_reader From) {
+backend_load readLoad(member_reader Reader) {
   backend_load Load;
-  Load.Sequence = From.number("sequence");
-  Load.Running = From.count("running");
-  Load.Waiting = From.count("waiting");
-  Load.WaitingPrefill = tokens(From.amount("waiting_prefill_tokens"));
-  Load.UsedBlocks = memory_blocks(From.amount("used_blocks"));
-  Load.CachedBlocks = memory_blocks(From.amount("cached_blocks"));
+  Load.Sequence = Reader.number("sequence");
+  Load.Running = Reader.count("running");
+  Load.Waiting = Reader.count("waiting");
+  Load.WaitingPrefill = tokens(Reader.amount("waiting_prefill_tokens"));
+  Load.UsedBlocks = memory_blocks(Reader.amount("used_blocks"));
+  Load.CachedBlocks = memory_blocks(Reader.amount("cached_blocks"));
   return Load;
 }
 
-heard_announcement readMembers(member_reader &From) {
-  heard_announcement Read;
-  backend_announcement &Into = Read.Announcement;
-  Into.Key.Address = backend_address(From.text("address"));
-  if (checkAddress(Into.Key.Address.str()))
-    From.refuse("address", "must be IP:port");
-  Into.Key.Incarnation = incarnation(From.number("incarnation"));
-  Into.Domain = failure_domain_name(From.text("failure_domain"));
-  Into.Service = service_name(From.text("service"));
-  const bool Model = From.textOf("kind", {"model", "plain"}) == "model";
-  readLabels(From.object("labels"), Into.Labels);
-  for (std::string &Name : From.texts("models"))
-    Into.Models.emplace_back(std::move(Name));
-  Into.Capabilities = readCapabilities(From.object("capabilities"), Model);
-  readMemory(From.object("memory"), Into);
-  Into.Leaving = From.textOf("standing", {"active", "leaving"}) == "leaving";
-  if (From.has("load"))
-    Read.Load = readLoad(From.object("load"));
-  Read.Load.Sequence = From.number("sequence");
-  return Read;
+heard_announcement readMembers(member_reader &Reader) {
+  heard_announcement Result;
+  backend_announcement &Target = Result.Announcement;
+  Target.Key.Address = backend_address(Reader.text("address"));
+  if (checkAddress(Target.Key.Address.str()))
+    Reader.refuse("address", "must be IP:port");
+  Target.Key.Incarnation = incarnation(Reader.number("incarnation"));
+  Target.Domain = failure_domain_name(Reader.text("failure_domain"));
+  Target.Service = service_name(Reader.text("service"));
+  const bool Model = Reader.choice("kind", {"model", "plain"}) == "model";
+  readLabels(Reader.object("labels"), Target.Labels);
+  for (std::string &Name : Reader.texts("models"))
+    Target.Models.emplace_back(std::move(Name));
+  Target.Capabilities = readCapabilities(Reader.object("capabilities"), Model);
+  readMemory(Reader.object("memory"), Target);
+  Target.Leaving = Reader.choice("standing", {"active", "leaving"}) == "leaving";
+  if (Reader.has("load"))
+    Result.Load = readLoad(Reader.object("load"));
+  Result.Load.Sequence = Reader.number("sequence");
+  return Result;
 }
 
 } // namespace
@@ -190,13 +190,13 @@
   if (Code || !Parsed.is_object())
     return announcement_fault{"body", "must be a JSON object"};
   std::optional<announcement_fault> Fault;
-  member_reader From(Parsed.get_object(), "", Fault);
-  heard_announcement Read = readMembers(From);
-  if (From.text("fleet") != Fleet)
-    From.refuse("fleet", "names another fleet");
+  member_reader Reader(Parsed.get_object(), "", Fault);
+  heard_announcement Result = readMembers(Reader);
+  if (Reader.text("fleet") != Fleet)
+    Reader.refuse("fleet", "names another fleet");
   if (Fault)
     return *Fault;
-  return Read;
+  return Result;
 }
 
 } // namespace pollenstall
--- a/programs/pollenstall-entry/announcement_func.h
+++ b/programs/pollenstall-entry/announcement_func.h
@@ -1,4 +1,4 @@
-/** @file announcement_func.h Reads the announcements of backend servers. */
+/** @file announcement_func.h Parses the announcements of backend servers. */
 #ifndef POLLENSTALL_ENTRY_ANNOUNCEMENT_FUNC_H
 #define POLLENSTALL_ENTRY_ANNOUNCEMENT_FUNC_H
 
@@ -10,15 +10,15 @@
 
 namespace pollenstall {
 
-/// The field that is wrong.
+/// The first invalid field of an announcement and what is wrong with it.
 struct announcement_fault {
   std::string Field;
   std::string Message;
 };
 
 /**
- * Reads the JSON of docs/BACKEND-PROTOCOL.md; unknown members are ignored.
- * @param Fleet An announcement of another fleet is refused.
+ * Parses the JSON that docs/BACKEND-PROTOCOL.md describes; unknown members are ignored.
+ * @param Fleet Name of this fleet; an announcement of another fleet is refused.
  */
 result<heard_announcement, announcement_fault> readAnnouncement(std::string_view Body,
                                                                 std::string_view Fleet);
--- a/programs/pollenstall-entry/decision_seam.cpp
+++ b/programs/pollenstall-entry/decision_core.cpp
@@ -1,5 +1,5 @@
-/** @file decision_seam.cpp What dispatcher and scheduler tell each other. */
-#include "decision_seam_base.h"
+/** @file decision_core.cpp Forwards events and decisions between dispatcher and scheduler. */
+#include "decision_core_base.h"
 
 #include "dispatch_dump_func.h"
 
@@ -9,18 +9,19 @@
 
 namespace {
 
-dispatcher buildDispatcher(process_key Self, std::uint64_t Seed, dispatcher_callbacks Hooks) {
+dispatcher buildDispatcher(process_key Self, std::uint64_t Seed, dispatcher_callbacks Callbacks) {
   auto Built = dispatcher_builder()
                    .process(std::move(Self))
                    .limits({})
                    .seed(Seed)
-                   .callbacks(std::move(Hooks))
+                   .callbacks(std::move(Callbacks))
                    .build();
-  requireInvariant(succeeded(Built), "the dispatcher has all it needs");
+  requireInvariant(succeeded(Built), "the dispatcher builder has every required part");
   return valueOf(std::move(Built));
 }
 
-/// Backend servers announce themselves about once a second: a new leader has heard of all by then.
+/// Backend servers announce themselves about once a second, so that a new leader has received an
+/// announcement of each of them within this time.
 constexpr mono_duration NewLeaderGrace = std::chrono::milliseconds(3000);
 
 attempt_report reportOf(const attempt_result &Ending) {
@@ -36,59 +37,63 @@
 
 } // namespace
 
-decision_seam::decision_seam(const process_key &Self, std::uint64_t Seed, backend_source Known)
-    : Source(Known), Patrol(Self, {}),
+decision_core::decision_core(const process_key &Self, std::uint64_t Seed,
+                             backend_source ConfiguredSource)
+    : Source(ConfiguredSource), Reaper(Self, {}),
       Scheduler(scheduler_builder().seed(Seed).host(Self.Host).build()), Placer(Self.Host, Seed),
-      Directory(NewLeaderGrace), Dispatcher(buildDispatcher(Self, Seed, hooks())) {}
-
-dispatcher_callbacks decision_seam::hooks() {
-  dispatcher_callbacks Hooks;
-  Hooks.Submit = [this](const work_item &Item, mono_time Now) { return submit(Item, Now); };
-  Hooks.Withdraw = [this](request_number Request) { withdraw(Request); };
-  Hooks.AttemptStarted = [this](const started_attempt &Start, mono_time Now) {
-    noteStart(Start, Now);
+      Directory(NewLeaderGrace), Dispatcher(buildDispatcher(Self, Seed, makeCallbacks())) {}
+
+dispatcher_callbacks decision_core::makeCallbacks() {
+  dispatcher_callbacks Callbacks;
+  Callbacks.Submit = [this](const work_item &WorkItem, mono_time Now) {
+    return submit(WorkItem, Now);
+  };
+  Callbacks.Withdraw = [this](request_number Request) { withdraw(Request); };
+  Callbacks.AttemptStarted = [this](const started_attempt &Start, mono_time Now) {
+    onAttemptStarted(Start, Now);
   };
-  Hooks.AttemptAnswering = [this](const attempt_id &Attempt, mono_time Now) {
-    noteAnswering(Attempt, Now);
+  Callbacks.AttemptAnswering = [this](const attempt_id &Attempt, mono_time Now) {
+    onAttemptAnswering(Attempt, Now);
   };
-  Hooks.AttemptAdvanced = [this](const attempt_id &Attempt, std::uint64_t Events, mono_time Now) {
+  Callbacks.AttemptAdvanced = [this](const attempt_id &Attempt, std::uint64_t Events,
+                                     mono_time Now) {
     Scheduler.attemptProgressed(Attempt, Events, Now);
   };
-  Hooks.AttemptAbandoned = [this](const attempt_id &Attempt, std::optional<attempt_failure> Failure,
-                                  mono_time Now) {
+  Callbacks.AttemptAbandoned = [this](const attempt_id &Attempt,
+                                      std::optional<attempt_failure> Failure, mono_time Now) {
     if (Failure)
       withPolicy([&](auto &Policy) { Policy.attemptFailed(Attempt, *Failure, Now); });
   };
-  Hooks.AttemptEnded = [this](const attempt_result &Ending, mono_time Now) {
-    noteEnd(Ending, Now);
+  Callbacks.AttemptEnded = [this](const attempt_result &Ending, mono_time Now) {
+    onAttemptEnded(Ending, Now);
   };
-  Hooks.GroupsFor = [this](const request_facts &Facts) { return groupsFor(Facts); };
-  Hooks.Resumes = [this](const backend_key &Backend) {
+  Callbacks.GroupsFor = [this](const request_facts &Facts) { return groupsFor(Facts); };
+  Callbacks.Resumes = [this](const backend_key &Backend) {
     const auto Found = Backends.find(Backend);
     return Found != Backends.end() && Found->second.Announcement.Capabilities.Resumes;
   };
-  return Hooks;
+  return Callbacks;
 }
 
-std::variant<done, work_refusal> decision_seam::submit(const work_item &Item, mono_time Now) {
-  PollDue = true;
-  auto Taken = withPolicy([&](auto &Policy) { return Policy.submit(Item, Now); });
-  if (succeeded(Taken))
-    Waiting.insert_or_assign(Item.Request, Item);
-  return Taken;
+std::variant<done, work_refusal> decision_core::submit(const work_item &WorkItem, mono_time Now) {
+  PollPending = true;
+  auto Submitted = withPolicy([&](auto &Policy) { return Policy.submit(WorkItem, Now); });
+  if (succeeded(Submitted))
+    Waiting.insert_or_assign(WorkItem.Request, WorkItem);
+  return Submitted;
 }
 
-void decision_seam::withdraw(request_number Request) {
+void decision_core::withdraw(request_number Request) {
   Waiting.erase(Request);
   withPolicy([&](auto &Policy) { Policy.withdraw(Request); });
 }
 
-void decision_seam::noteAnswering(const attempt_id &Attempt, mono_time Now) {
-  PollDue = true;
+void decision_core::onAttemptAnswering(const attempt_id &Attempt, mono_time Now) {
+  PollPending = true;
   withPolicy([&](auto &Policy) { Policy.attemptAnswering(Attempt, Now); });
 }
 
-std::vector<candidate_group> decision_seam::groupsFor(const request_facts &Facts) const {
+std::vector<candidate_group> decision_core::groupsFor(const request_facts &Facts) const {
   if (!Declaration)
     return {};
   if (!Facts.Services.empty()) {
@@ -106,87 +111,88 @@
   return Groups;
 }
 
-void decision_seam::noteStart(const started_attempt &Start, mono_time Now) {
+void decision_core::onAttemptStarted(const started_attempt &Start, mono_time Now) {
   const auto Found = Waiting.find(Start.Request);
-  requireInvariant(Found != Waiting.end(), "an attempt starts for work that was submitted");
-  const work_item Item = std::move(Found->second);
+  requireInvariant(Found != Waiting.end(), "an attempt starts only for submitted work");
+  const work_item WorkItem = std::move(Found->second);
   Waiting.erase(Found);
-  withPolicy([&](auto &Policy) { Policy.attemptStarted(Start.Attempt, Item, Start.Backend, Now); });
+  withPolicy(
+      [&](auto &Policy) { Policy.attemptStarted(Start.Attempt, WorkItem, Start.Backend, Now); });
 }
 
-void decision_seam::noteEnd(const attempt_result &Ending, mono_time Now) {
-  PollDue = true;
+void decision_core::onAttemptEnded(const attempt_result &Ending, mono_time Now) {
+  PollPending = true;
   withPolicy([&](auto &Policy) { Policy.attemptEnded(Ending.Attempt, reportOf(Ending), Now); });
 }
 
-void decision_seam::useDeclaration(declaration_view View) {
+void decision_core::useDeclaration(declaration_view View) {
   Declaration = std::move(View);
   withPolicy([&](auto &Policy) { Policy.applyDeclaration(Declaration->declaration()); });
   Dispatcher.applyLimits(Declaration->declaration().Limits);
-  PollDue = true;
+  PollPending = true;
 }
 
-backend_view decision_seam::withDrain(backend_view View) const {
+backend_view decision_core::withDrain(backend_view View) const {
   const bool Drains = Drained.contains(View.Announcement.Key.Address);
   if (Drains && View.Standing == backend_standing::Active)
     View.Standing = backend_standing::Leaving;
   return View;
 }
 
-void decision_seam::useDrains(const std::vector<backend_address> &Addresses, mono_time Now) {
+void decision_core::setDrains(const std::vector<backend_address> &Addresses, mono_time Now) {
   Drained = std::set<backend_address>(Addresses.begin(), Addresses.end());
   for (const auto &[Key, View] : Backends)
     Scheduler.updateBackend(withDrain(View), Now);
-  PollDue = true;
+  PollPending = true;
 }
 
-void decision_seam::noteBackend(const backend_view &View, mono_time Now) {
+void decision_core::onBackendChanged(const backend_view &View, mono_time Now) {
   const backend_key &Key = View.Announcement.Key;
-  const auto Before = Backends.find(Key);
-  const bool WasLost =
-      Before != Backends.end() && Before->second.Standing == backend_standing::Lost;
+  const auto Previous = Backends.find(Key);
+  const bool WasAlreadyLost =
+      Previous != Backends.end() && Previous->second.Standing == backend_standing::Lost;
   Backends.insert_or_assign(Key, View);
   Scheduler.updateBackend(withDrain(View), Now);
-  Patrol.addEngine(View.Announcement);
-  if (View.Standing == backend_standing::Lost && !WasLost)
+  Reaper.addEngine(View.Announcement);
+  if (View.Standing == backend_standing::Lost && !WasAlreadyLost)
     Dispatcher.backendLost(Key, Now);
-  PollDue = true;
+  PollPending = true;
 }
 
-void decision_seam::noteGone(const backend_key &Backend, mono_time Now) {
+void decision_core::onBackendRemoved(const backend_key &Backend, mono_time Now) {
   Dispatcher.backendGone(Backend, Now);
   Scheduler.removeBackend(Backend, Now);
-  Patrol.removeEngine(Backend);
+  Reaper.removeEngine(Backend);
   Backends.erase(Backend);
-  PollDue = true;
+  PollPending = true;
 }
 
-void decision_seam::take(const membership_event &Event, mono_time Now) {
+void decision_core::handleEvent(const membership_event &Event, mono_time Now) {
   std::visit(
-      overloaded{[this, Now](const backend_changed &Change) { noteBackend(Change.View, Now); },
-                 [this, Now](const backend_gone &Gone) { noteGone(Gone.Key, Now); },
+      overloaded{[this, Now](const backend_changed &Change) { onBackendChanged(Change.View, Now); },
+                 [this, Now](const backend_gone &Gone) { onBackendRemoved(Gone.Key, Now); },
                  [this](const views_fresh &Fresh) { FreshUntil = Fresh.Until; },
                  [this](const superseded &) { Superseded = true; },
-                 [this, Now](const host_changed &Change) { Patrol.updateHost(Change.View, Now); }},
+                 [this, Now](const host_changed &Change) { Reaper.updateHost(Change.View, Now); }},
       Event);
 }
 
-void decision_seam::take(const backends_listed &Listed, mono_time Now) {
+void decision_core::handleEvent(const backends_listed &Listed, mono_time Now) {
   const std::vector<backend_listing> Changes =
       Listed.Whole ? Directory.takeAll(Listed.Listings, Now) : Directory.take(Listed.Listings);
   for (const backend_listing &Listing : Changes)
-    noteListing(Listing, Now);
+    onListingChanged(Listing, Now);
 }
 
-void decision_seam::noteListing(const backend_listing &Listing, mono_time Now) {
-  PollDue = true;
+void decision_core::onListingChanged(const backend_listing &Listing, mono_time Now) {
+  PollPending = true;
   if (Listing.State != listing_state::Gone)
     return Placer.updateBackend(Listing);
   Dispatcher.backendGone(Listing.Key, Now);
   Placer.removeBackend(Listing.Key);
 }
 
-bool decision_seam::isLeaving(const backend_key &Backend) const {
+bool decision_core::isLeaving(const backend_key &Backend) const {
   if (usesPlacer()) {
     const backend_listing *Listing = Directory.find(Backend);
     return Listing && Listing->State == listing_state::Leaving;
@@ -195,38 +201,39 @@
   return Found != Backends.end() && Found->second.Standing == backend_standing::Leaving;
 }
 
-std::string decision_seam::instanceOf(const backend_key &Backend) const {
+std::string decision_core::instanceOf(const backend_key &Backend) const {
   const backend_listing *Listing = Directory.find(Backend);
   return Listing ? Listing->Instance.str() : std::string();
 }
 
-mono_time decision_seam::viewsUsableUntil() const {
-  // On old views a server that has said it leaves could still be given work.
+mono_time decision_core::viewsValidUntil() const {
+  // With stale views, new work could go to a backend server that has announced that it is leaving.
   if (usesPlacer())
     return Directory.told() ? mono_time::max() : mono_time::min();
   return FreshUntil;
 }
 
-void decision_seam::take(const dispatch_event &Event, mono_time Now) {
+void decision_core::handleEvent(const dispatch_event &Event, mono_time Now) {
   Dispatcher.handle(Event, Now);
 }
 
-std::vector<cancel_attempt> decision_seam::orphansIn(const attempts_listed &Listed, mono_time Now) {
+std::vector<cancel_attempt> decision_core::findOrphans(const attempts_listed &Listed,
+                                                       mono_time Now) {
   std::vector<cancel_attempt> Orphans;
   for (const attempt_id &Attempt : Listed.Attempts)
-    if (Patrol.isOrphan(Attempt, Now))
+    if (Reaper.isOrphan(Attempt, Now))
       Orphans.push_back({Attempt, Listed.Backend});
   return Orphans;
 }
 
-void decision_seam::setReady(bool Ready) { Dispatcher.setReady(Ready); }
+void decision_core::setReady(bool Ready) { Dispatcher.setReady(Ready); }
 
-void decision_seam::beginShutdown(mono_time Now, mono_duration Limit) {
+void decision_core::beginShutdown(mono_time Now, mono_duration Limit) {
   Dispatcher.beginShutdown(Now, Limit);
 }
 
-void decision_seam::place(mono_time Now) {
-  PollDue = false;
+void decision_core::place(mono_time Now) {
+  PollPending = false;
   const poll_outcome Outcome = withPolicy([&](auto &Policy) { return Policy.poll(Now); });
   for (const work_placement &Placement : Outcome.Placements)
     Dispatcher.place(Placement, Now);
@@ -236,25 +243,25 @@
   }
 }
 
-std::vector<dispatch_action> decision_seam::step(mono_time Now) {
+std::vector<dispatch_action> decision_core::step(mono_time Now) {
   for (const backend_listing &Listing : Directory.advance(Now))
-    noteListing(Listing, Now);
+    onListingChanged(Listing, Now);
   Dispatcher.advance(Now);
   const auto Wake = nextPoll();
-  if (Now <= viewsUsableUntil() && (PollDue || (Wake && *Wake <= Now)))
+  if (Now <= viewsValidUntil() && (PollPending || (Wake && *Wake <= Now)))
     place(Now);
   return Dispatcher.takeActions();
 }
 
-std::size_t decision_seam::queued() const {
+std::size_t decision_core::queued() const {
   return withPolicy([](auto &Policy) { return Policy.queued(); });
 }
 
-std::optional<mono_time> decision_seam::nextPoll() const {
+std::optional<mono_time> decision_core::nextPoll() const {
   return withPolicy([&](auto &Policy) { return Policy.nextWake(); });
 }
 
-std::optional<mono_time> decision_seam::nextWake() const {
+std::optional<mono_time> decision_core::nextWake() const {
   std::optional<mono_time> Next = Dispatcher.nextWake();
   const auto Poll = nextPoll();
   if (Poll && (!Next || *Poll < *Next))
@@ -262,15 +269,15 @@
   return Next;
 }
 
-bool decision_seam::takesCancels(const backend_key &Backend) const {
-  // Servers of the directory end what they run when its connection closes.
+bool decision_core::supportsCancel(const backend_key &Backend) const {
+  // Backend servers of the directory end an attempt when its connection closes.
   if (usesPlacer())
     return false;
   const auto Found = Backends.find(Backend);
   return Found == Backends.end() || Found->second.Announcement.Capabilities.Model;
 }
 
-std::string decision_seam::dump(mono_time Now) const {
+std::string decision_core::dump(mono_time Now) const {
   return R"({"dispatch":)" + dumpText(Dispatcher.dump(Now)) + R"(,"scheduling":)" +
          (usesPlacer() ? Placer.dump(Now) : Scheduler.dump()) + "}";
 }
--- /dev/null
+++ b/programs/pollenstall-entry/decision_core_base.h
@@ -0,0 +1,125 @@
+/** @file decision_core_base.h Combines dispatcher, scheduler and selectors, without a thread or a
+ * clock. */
+#ifndef POLLENSTALL_ENTRY_DECISION_CORE_BASE_H
+#define POLLENSTALL_ENTRY_DECISION_CORE_BASE_H
+
+#include "control_link/control_link.h"
+#include "declaration/declaration.h"
+#include "directory/directory.h"
+#include "dispatch/dispatch.h"
+#include "gossip/gossip.h"
+#include "orphan/orphan.h"
+#include "placement/placement.h"
+#include "relay/relay.h"
+#include "scheduling/scheduling.h"
+#include "work_exchange/work_exchange.h"
+
+#include <map>
+#include <optional>
+#include <set>
+#include <string>
+#include <vector>
+
+namespace pollenstall {
+
+/// Where the list of backend servers comes from; it also decides which policy places work on them.
+enum class backend_source : std::uint8_t {
+  Gossip,  ///< Announcements that the entries gossip; engine performance is learned.
+  Control, ///< Directory of the control leader; engine performance is declared.
+};
+
+/// Makes the dispatching decisions of one entry; decision_thread drives it.
+class decision_core {
+public:
+  decision_core(const process_key &Self, std::uint64_t Seed, backend_source ConfiguredSource);
+  decision_core(const decision_core &) = delete;
+  decision_core &operator=(const decision_core &) = delete;
+
+  void useDeclaration(declaration_view View);
+  /// Sets the backend servers that operators drain; they get no new work.
+  void setDrains(const std::vector<backend_address> &Backends, mono_time Now);
+  void handleEvent(const membership_event &Event, mono_time Now);
+  void handleEvent(const dispatch_event &Event, mono_time Now);
+  void handleEvent(const backends_listed &Listed, mono_time Now);
+  /// Updates the work in flight at other entries where it changed, and the facts of the exchange.
+  void updatePeerLoads(const peer_work_update &Others, mono_time Now) {
+    Placer.updateExchange(Others.Facts);
+    Placer.updateOthersLoads(Others.ChangedLoads, Now);
+  }
+  [[nodiscard]] std::vector<work_load> ownLoads(mono_time Now) const {
+    return Placer.ownLoads(Now);
+  }
+  /// @return Whether the backend server has announced that it accepts no new work.
+  [[nodiscard]] bool isLeaving(const backend_key &Backend) const;
+  /// @return The instance name of the backend server; empty if it has none.
+  [[nodiscard]] std::string instanceOf(const backend_key &Backend) const;
+  void setRetryAllowance(const retry_allowance &Value) { Dispatcher.setRetryAllowance(Value); }
+  /// Checks the attempts that an engine has listed. @return Cancels for those without a live owner.
+  std::vector<cancel_attempt> findOrphans(const attempts_listed &Listed, mono_time Now);
+  /// Takes the engines whose attempts are due to be listed.
+  std::vector<backend_key> takeEnginesToList(mono_time Now) { return Reaper.takeDueEngines(Now); }
+  /// Sets whether new requests are admitted.
+  void setReady(bool Ready);
+  void beginShutdown(mono_time Now, mono_duration Limit);
+
+  /// Advances the time and places queued work. @return The actions to execute.
+  std::vector<dispatch_action> step(mono_time Now);
+  /// @return The time by which step() must be called again.
+  [[nodiscard]] std::optional<mono_time> nextWake() const;
+
+  /// @return Whether the backend server ends an attempt on a cancel request.
+  [[nodiscard]] bool supportsCancel(const backend_key &Backend) const;
+  /// @return The time until which the backend views are fresh enough to place work.
+  [[nodiscard]] mono_time viewsValidUntil() const;
+  /// @return Whether a newer incarnation of this host exists, so that this process must stop.
+  [[nodiscard]] bool isSuperseded() const { return Superseded; }
+  [[nodiscard]] std::size_t liveRequests() const { return Dispatcher.liveRequests(); }
+  [[nodiscard]] std::size_t abandonedAttempts() const { return Dispatcher.abandonedAttempts(); }
+  [[nodiscard]] bool reachesNoBackend() const { return usesPlacer() && Placer.reachesNoBackend(); }
+  [[nodiscard]] std::uint64_t claimsMade() const { return Placer.claimsMade(); }
+  [[nodiscard]] std::size_t queued() const;
+  /// @return JSON of requests, queue and backend servers, without prompts or keys.
+  [[nodiscard]] std::string dump(mono_time Now) const;
+
+private:
+  [[nodiscard]] bool usesPlacer() const { return Source == backend_source::Control; }
+  /// Calls the policy in use. Both have the same functions: the placer serves backend servers from
+  /// the control directory, the scheduler those from gossip.
+  template <typename Callback> auto withPolicy(Callback &&Call) {
+    return usesPlacer() ? Call(Placer) : Call(Scheduler);
+  }
+  template <typename Callback> [[nodiscard]] auto withPolicy(Callback &&Call) const {
+    return usesPlacer() ? Call(Placer) : Call(Scheduler);
+  }
+  dispatcher_callbacks makeCallbacks();
+  std::variant<done, work_refusal> submit(const work_item &WorkItem, mono_time Now);
+  void withdraw(request_number Request);
+  void onAttemptAnswering(const attempt_id &Attempt, mono_time Now);
+  void onListingChanged(const backend_listing &Listing, mono_time Now);
+  [[nodiscard]] std::optional<mono_time> nextPoll() const;
+  std::vector<candidate_group> groupsFor(const request_facts &Facts) const;
+  void onAttemptStarted(const started_attempt &Start, mono_time Now);
+  void onAttemptEnded(const attempt_result &Ending, mono_time Now);
+  void onBackendChanged(const backend_view &View, mono_time Now);
+  void onBackendRemoved(const backend_key &Backend, mono_time Now);
+  void place(mono_time Now);
+  [[nodiscard]] backend_view withDrain(backend_view View) const;
+
+  backend_source Source;
+  declaration_view Declaration;
+  orphan_reaper Reaper;
+  scheduler Scheduler;
+  placer Placer;
+  directory_follower Directory;
+  std::map<request_number, work_item> Waiting; ///< Submitted work that has no attempt yet.
+  std::map<backend_key, backend_view> Backends;
+  std::set<backend_address> Drained;
+  mono_time FreshUntil;
+  bool PollPending{false};
+  bool Superseded{false};
+  dispatcher Dispatcher; ///< Its callbacks use the members above.
+};
+
+} // namespace pollenstall
+
+#endif // POLLENSTALL_ENTRY_DECISION_CORE_BASE_H
--- a/programs/pollenstall-entry/decision_thread.cpp
+++ b/programs/pollenstall-entry/decision_thread.cpp
@@ -1,4 +1,4 @@
-/** @file decision_thread.cpp The loop over the rings. */
+/** @file decision_thread.cpp Event loop of the decision thread. */
 #include "decision_thread_base.h"
 
 #include "program/program.h"
@@ -11,24 +11,25 @@
 namespace {
 
 constexpr std::size_t ListCapacity = 256;
-constexpr mono_duration LongestSleep = std::chrono::milliseconds(100);
-/// Sleep while orders wait for room in the ring.
+constexpr mono_duration MaxSleep = std::chrono::milliseconds(100);
+/// Sleep while the ring of orders is full.
 constexpr mono_duration FullRingSleep = std::chrono::milliseconds(1);
 
-/// Between two looks at what this entry has under way: what is placed in between by two entries can
-/// meet on one engine.
-constexpr mono_duration LoadInterval = std::chrono::milliseconds(10);
-/// Where nothing changes; well within the silence after which what was told counts no longer.
-constexpr mono_duration LoadRepeat = std::chrono::milliseconds(250);
+/// Minimum interval between checks of the work in flight at this entry. Within it two entries may
+/// place work on the same engine without knowing of each other.
+constexpr mono_duration LoadPublishInterval = std::chrono::milliseconds(10);
+/// Interval between updates while nothing changes; well below the time after which peers ignore a
+/// stale report.
+constexpr mono_duration LoadRepublishInterval = std::chrono::milliseconds(250);
 
-result<fleet_declaration, std::string> readOwnFormat(const std::string &Text) {
+result<fleet_declaration, std::string> readTomlDeclaration(const std::string &Text) {
   auto Parsed = parseDeclaration(Text, "declaration");
   if (!succeeded(Parsed))
     return toText(errorOf(Parsed));
   return valueOf(std::move(Parsed));
 }
 
-std::int64_t wholeMillis(mono_duration Span) {
+std::int64_t toMillis(mono_duration Span) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(Span).count();
 }
 
@@ -39,7 +40,7 @@
             {"at_fault", Failed.AtFault.str()}});
 }
 
-void logLoss(const control_lost &Lost) {
+void logControlLost(const control_lost &Lost) {
   logEvent(log_level::Warning, "control_lost",
            {{"why", std::string(controlLossText(Lost.Why))},
             {"part_bytes", static_cast<std::int64_t>(Lost.PartBytes)},
@@ -55,7 +56,7 @@
             {"backend", Start.Backend.Address.str()},
             {"instance", Start.Instance},
             {"helpers", Helpers},
-            {"expected_ms", wholeMillis(Start.ExpectedFirstToken)}});
+            {"expected_ms", toMillis(Start.ExpectedFirstToken)}});
 }
 
 prometheus::Gauge &gauge(prometheus::Registry &Registry, const char *Name, const char *Help) {
@@ -64,35 +65,37 @@
 
 } // namespace
 
-decision_thread::decision_thread(decision_plan Wanted)
-    : Plan(std::move(Wanted)), Events(Plan.RingCapacity), Lists(ListCapacity),
-      CrashNews(ListCapacity), Orders(Plan.RingCapacity), Outbox(Orders),
-      Seam(Plan.Self, Plan.Self.Incarnation.value(), Plan.Backends),
+decision_thread::decision_thread(decision_options Requested)
+    : DecisionOptions(std::move(Requested)), Events(DecisionOptions.RingCapacity),
+      Lists(ListCapacity), CrashNews(ListCapacity), Orders(DecisionOptions.RingCapacity),
+      Outbox(Orders), Core(DecisionOptions.Self, DecisionOptions.Self.Incarnation.value(),
+                           DecisionOptions.Backends),
       OrphanCounter(prometheus::BuildCounter()
                         .Name("pollenstall_orphans_cancelled_total")
-                        .Help("Attempts of dead owners that this entry asked engines to end")
-                        .Register(*Plan.Registry)
+                        .Help("Attempts without a live owner that this entry asked engines to end")
+                        .Register(*DecisionOptions.Registry)
                         .Add({})),
-      QueueGauge(gauge(*Plan.Registry, "pollenstall_queued_requests",
+      QueueGauge(gauge(*DecisionOptions.Registry, "pollenstall_queued_requests",
                        "Requests that wait for a backend server")),
-      LiveGauge(
-          gauge(*Plan.Registry, "pollenstall_live_requests", "Requests that the dispatcher holds")),
-      AbandonedGauge(gauge(*Plan.Registry, "pollenstall_abandoned_attempts",
-                           "Attempts given up and not confirmed as ended")),
-      ReadyGauge(gauge(*Plan.Registry, "pollenstall_ready", "1 where new requests are admitted")),
-      RevisionGauge(gauge(*Plan.Registry, "pollenstall_declaration_revision",
+      LiveGauge(gauge(*DecisionOptions.Registry, "pollenstall_live_requests",
+                      "Requests that the dispatcher holds")),
+      AbandonedGauge(gauge(*DecisionOptions.Registry, "pollenstall_abandoned_attempts",
+                           "Abandoned attempts that are not confirmed as ended")),
+      ReadyGauge(gauge(*DecisionOptions.Registry, "pollenstall_ready",
+                       "1 if new requests are admitted, else 0")),
+      RevisionGauge(gauge(*DecisionOptions.Registry, "pollenstall_declaration_revision",
                           "Revision of the declaration in use")),
-      OutOfReachGauge(gauge(*Plan.Registry, "pollenstall_backends_out_of_reach",
-                            "1 where this entry connects to no backend server")),
-      WorkDatagramsGauge(gauge(*Plan.Registry, "pollenstall_work_datagrams_sent",
-                               "Reports of work sent to other entries since the start")),
-      WorkBytesGauge(gauge(*Plan.Registry, "pollenstall_work_bytes_sent",
-                           "Their bytes, without the heads of UDP and IP")) {
-  Events.onWake([this] { Gate.wake(); });
-  Lists.onWake([this] { Gate.wake(); });
-  CrashNews.onWake([this] { Gate.wake(); });
-  if (!Plan.ReadDeclaration)
-    Plan.ReadDeclaration = readOwnFormat;
+      OutOfReachGauge(gauge(*DecisionOptions.Registry, "pollenstall_backends_out_of_reach",
+                            "1 if this entry can connect to no backend server, else 0")),
+      WorkDatagramsGauge(gauge(*DecisionOptions.Registry, "pollenstall_work_datagrams_sent",
+                               "Work report datagrams sent to other entries since the start")),
+      WorkBytesGauge(gauge(*DecisionOptions.Registry, "pollenstall_work_bytes_sent",
+                           "Bytes of the work report datagrams sent, without UDP and IP headers")) {
+  Events.onWake([this] { WakeEvent.wake(); });
+  Lists.onWake([this] { WakeEvent.wake(); });
+  CrashNews.onWake([this] { WakeEvent.wake(); });
+  if (!DecisionOptions.ReadDeclaration)
+    DecisionOptions.ReadDeclaration = readTomlDeclaration;
 }
 
 decision_thread::~decision_thread() { stop(); }
@@ -103,7 +106,7 @@
 
 void decision_thread::stop() {
   Stopping = true;
-  Gate.wake();
+  WakeEvent.wake();
   if (Thread.joinable())
     Thread.join();
 }
@@ -111,217 +114,229 @@
 void decision_thread::beginShutdown(mono_duration Limit) {
   {
     const std::lock_guard<std::mutex> Lock(Guard);
-    ShutdownWanted = Limit;
+    PendingShutdown = Limit;
   }
-  Gate.wake();
+  WakeEvent.wake();
 }
 
 void decision_thread::run() {
-  if (Plan.Fixed)
-    useIndex(std::make_shared<const declaration_index>(*Plan.Fixed));
+  if (DecisionOptions.FixedDeclaration)
+    installDeclaration(
+        std::make_shared<const declaration_index>(*DecisionOptions.FixedDeclaration));
   while (!Stopping) {
-    turn();
-    Gate.sleepFor(untilNextWake(boot_clock::now()));
+    runOnce();
+    WakeEvent.sleepFor(sleepDuration(boot_clock::now()));
   }
 }
 
-void decision_thread::turn() {
-  drainNews(boot_clock::now());
-  // The clock is read after the requests were taken. Were it the other way round, those that waited
-  // while the process was frozen would be admitted under a declaration whose lease is over, since
-  // they come before the look at the lease. What is taken later waits for the next look.
+void decision_thread::runOnce() {
+  drainInputs(boot_clock::now());
+  // The clock is read after the requests are read from the ring. In the other order, requests that
+  // waited while the process was frozen would be admitted under a declaration whose lease has
+  // expired. Requests that arrive later wait for the next check of the lease.
   Events.drain([this](dispatch_event &&Event) { Batch.push_back(std::move(Event)); });
   const mono_time Now = boot_clock::now();
   updateReadiness(Now);
   for (const dispatch_event &Event : std::exchange(Batch, {})) {
     if (const auto *Failed = std::get_if<attempt_failed>(&Event))
       logFailure(*Failed);
-    Seam.take(Event, Now);
+    Core.handleEvent(Event, Now);
   }
-  for (dispatch_action &Action : Seam.step(Now))
-    carryOut(std::move(Action));
-  for (const backend_key &Engine : Seam.enginesToList(Now))
+  for (dispatch_action &Action : Core.step(Now))
+    execute(std::move(Action));
+  for (const backend_key &Engine : Core.takeEnginesToList(Now))
     Outbox.push(list_attempts{Engine});
   Outbox.flush();
-  tellLoads(Now);
-  logReach();
+  publishLoads(Now);
+  logReachability();
   publishGauges();
-  answerDumps(Now);
+  fulfilDumps(Now);
 }
 
-void decision_thread::drainNews(mono_time Now) {
-  if (Views)
-    Views->drain([this, Now](membership_event &&Event) { Seam.take(Event, Now); });
+void decision_thread::drainInputs(mono_time Now) {
+  if (MembershipEvents)
+    MembershipEvents->drain(
+        [this, Now](membership_event &&Event) { Core.handleEvent(Event, Now); });
   if (Share)
     Share->peerUpdates().drain(
-        [this, Now](peer_work_update &&Others) { Seam.takeOthers(Others, Now); });
-  Superseded = Seam.isSuperseded();
+        [this, Now](peer_work_update &&Others) { Core.updatePeerLoads(Others, Now); });
+  Superseded = Core.isSuperseded();
   if (Control)
     Control->drainEvents(
-        [this, Now](control_link_event &&Event) { takeControlEvent(std::move(Event), Now); });
-  Lists.drain([this, Now](attempts_listed &&Listed) { endOrphans(Listed, Now); });
+        [this, Now](control_link_event &&Event) { handleControlEvent(std::move(Event), Now); });
+  Lists.drain([this, Now](attempts_listed &&Listed) { cancelOrphans(Listed, Now); });
   CrashNews.drain([this](crash_news &&News) {
-    std::visit([this](auto &&One) { tellOfCrash(std::forward<decltype(One)>(One)); },
-               std::move(News));
+    std::visit(
+        [this](auto &&CrashUpdate) {
+          reportCrash(std::forward<decltype(CrashUpdate)>(CrashUpdate));
+        },
+        std::move(News));
   });
   const std::lock_guard<std::mutex> Lock(Guard);
-  if (ShutdownWanted)
-    Seam.beginShutdown(Now, *std::exchange(ShutdownWanted, std::nullopt));
+  if (PendingShutdown)
+    Core.beginShutdown(Now, *std::exchange(PendingShutdown, std::nullopt));
 }
 
-void decision_thread::takeControlEvent(control_link_event &&Event, mono_time Now) {
+void decision_thread::handleControlEvent(control_link_event &&Event, mono_time Now) {
   std::visit(
       overloaded{
-          [this](const declaration_received &Received) { takeDeclaration(Received); },
+          [this](const declaration_received &Received) { handleDeclaration(Received); },
           [this](const declaration_announced &Newer) { Freshness.announced(Newer.Revision); },
           [this](const lease_extended &Lease) { Freshness.extend(Lease.Revision, Lease.Until); },
-          [this, Now](const claim_answered &Answer) { Seam.take(dispatch_event(Answer), Now); },
-          [this, Now](const drains_changed &Drains) { Seam.useDrains(Drains.Backends, Now); },
-          [this, Now](const backends_listed &Listed) { Seam.take(Listed, Now); },
-          [this](const entries_listed &Listed) { takeEntries(Listed); },
+          [this, Now](const claim_answered &Answer) {
+            Core.handleEvent(dispatch_event(Answer), Now);
+          },
+          [this, Now](const drains_changed &Drains) { Core.setDrains(Drains.Backends, Now); },
+          [this, Now](const backends_listed &Listed) { Core.handleEvent(Listed, Now); },
+          [this](const entries_listed &Listed) { handleEntries(Listed); },
           [this, Now](const suspects_listed &Listed) {
             Outbox.push(suspects_known{std::make_shared<const suspect_list>(Listed.Suspects, Now)});
           },
-          [](const control_lost &Lost) { logLoss(Lost); }},
+          [](const control_lost &Lost) { logControlLost(Lost); }},
       Event);
 }
 
-void decision_thread::takeDeclaration(const declaration_received &Received) {
+void decision_thread::handleDeclaration(const declaration_received &Received) {
   const offer_verdict Verdict = Freshness.offer(Received.Revision);
   if (Verdict == offer_verdict::Stale)
     return;
   if (Verdict == offer_verdict::Take) {
-    const mono_time Begun = boot_clock::now();
-    auto Parsed = Plan.ReadDeclaration(Received.Text);
+    const mono_time ParseStart = boot_clock::now();
+    auto Parsed = DecisionOptions.ReadDeclaration(Received.Text);
     if (!succeeded(Parsed)) {
-      // Not confirmed, so that the lease runs out: better unready than on an older declaration.
-      ++BadDeclarations;
+      // Without a confirmation the lease expires: an unready entry is safer than one that uses an
+      // older declaration.
+      ++RejectedDeclarations;
       logEvent(log_level::Error, "declaration_refused",
                {{"revision", static_cast<std::int64_t>(Received.Revision.value())},
                 {"error", errorOf(Parsed)}});
       return;
     }
-    if (Plan.RetryShare)
+    if (DecisionOptions.RetryShare)
       valueOf(Parsed).Limits.RetryPercent =
-          static_cast<std::uint32_t>(std::lround(*Plan.RetryShare * 100));
-    useIndex(std::make_shared<const declaration_index>(valueOf(std::move(Parsed))));
+          static_cast<std::uint32_t>(std::lround(*DecisionOptions.RetryShare * 100));
+    installDeclaration(std::make_shared<const declaration_index>(valueOf(std::move(Parsed))));
     Freshness.inUse(Received.Revision);
     RevisionGauge.Set(static_cast<double>(Received.Revision.value()));
     logEvent(log_level::Info, "declaration_in_use",
              {{"revision", static_cast<std::int64_t>(Received.Revision.value())},
               {"bytes", static_cast<std::int64_t>(Received.Text.size())},
-              {"reading_ms", wholeMillis(boot_clock::now() - Begun)}});
+              {"reading_ms", toMillis(boot_clock::now() - ParseStart)}});
   }
   Control->request(revision_confirmed{Received.Revision});
 }
 
-void decision_thread::takeEntries(const entries_listed &Listed) {
+void decision_thread::handleEntries(const entries_listed &Listed) {
   if (Share) {
-    entries_update Known;
+    entries_update PeerEntries;
     for (const served_entry &Entry : Listed.Entries)
-      Known.Entries.push_back({Entry.WorkAddress, Entry.Domain});
-    Share->commands().push(std::move(Known));
+      PeerEntries.Entries.push_back({Entry.WorkAddress, Entry.Domain});
+    Share->commands().push(std::move(PeerEntries));
   }
-  if (!Plan.RetryReserve)
+  if (!DecisionOptions.RetryReserve)
     return;
-  // Shared out evenly. A tenth stays back: for entries that restart and have forgotten what they
-  // spent, and for requests that are counted here a moment before their caller counts them.
-  constexpr double Used = 0.9;
+  // The reserve is divided evenly. A tenth is held back for entries that restart and lose their
+  // count of spent retries, and for requests that are counted here slightly before their caller
+  // counts them.
+  constexpr double UsableShare = 0.9;
   const double Entries = std::max<double>(1.0, static_cast<double>(Listed.Entries.size()));
-  Seam.setRetryAllowance({*Plan.RetryReserve * Used / Entries, Plan.RetryWindow});
+  Core.setRetryAllowance(
+      {*DecisionOptions.RetryReserve * UsableShare / Entries, DecisionOptions.RetryWindow});
 }
 
-void decision_thread::tellOfCrash(crash_report &&Crash) {
-  std::string Marks;
-  for (const request_fingerprint &Mark : Crash.Fingerprints)
-    Marks += (Marks.empty() ? "" : ",") + toText(Mark);
+void decision_thread::reportCrash(crash_report &&Crash) {
+  std::string FingerprintList;
+  for (const request_fingerprint &RequestFingerprint : Crash.Fingerprints)
+    FingerprintList += (FingerprintList.empty() ? "" : ",") + toText(RequestFingerprint);
   logEvent(log_level::Warning, "backend_crashed",
-           {{"backend", toText(Crash.Backend)}, {"requests", Marks}});
-  // A server that has said that it leaves ends with what it has not finished.
-  if (Control && !Seam.isLeaving(Crash.Backend))
+           {{"backend", toText(Crash.Backend)}, {"requests", FingerprintList}});
+  // A backend server that is leaving may end with unfinished work, which is no crash.
+  if (Control && !Core.isLeaving(Crash.Backend))
     Control->request(std::move(Crash));
 }
 
-void decision_thread::tellOfCrash(suspect_cleared &&Cleared) {
+void decision_thread::reportCrash(suspect_cleared &&Cleared) {
   logEvent(log_level::Info, "suspect_cleared", {{"request", toText(Cleared.Fingerprint)}});
   if (Control)
     Control->request(Cleared);
 }
 
-void decision_thread::tellLoads(mono_time Now) {
-  // A claim is told before it is acted upon, whatever was told a moment ago.
-  const bool Claimed = Seam.claimsMade() != ToldClaims;
-  if (!Share || (Now - LoadsToldAt < LoadInterval && !Claimed))
+void decision_thread::publishLoads(mono_time Now) {
+  // A claim is published before it is used, however recent the last update is.
+  const bool Claimed = Core.claimsMade() != PublishedClaims;
+  if (!Share || (Now - LoadsPublishedAt < LoadPublishInterval && !Claimed))
     return;
-  ToldClaims = Seam.claimsMade();
-  std::vector<work_load> Loads = Seam.ownLoads(Now);
-  const bool Due = Now - LoadsToldAt >= LoadRepeat && !Loads.empty();
-  if (!Due && !Claimed && !toldOtherwise(Loads, Now))
+  PublishedClaims = Core.claimsMade();
+  std::vector<work_load> Loads = Core.ownLoads(Now);
+  const bool Due = Now - LoadsPublishedAt >= LoadRepublishInterval && !Loads.empty();
+  if (!Due && !Claimed && !loadsDiffer(Loads, Now))
     return;
-  LoadsToldAt = Now;
-  ToldLoads = Loads;
+  LoadsPublishedAt = Now;
+  PublishedLoads = Loads;
   Share->commands().push(own_work_update{std::move(Loads), Claimed});
 }
 
-bool decision_thread::toldOtherwise(const std::vector<work_load> &Loads, mono_time Now) const {
-  return !std::equal(Loads.begin(), Loads.end(), ToldLoads.begin(), ToldLoads.end(),
-                     [&](const work_load &Load, const work_load &Told) {
-                       return !needsUpdate(Told, LoadsToldAt, Load, Now, ShareTuning);
+bool decision_thread::loadsDiffer(const std::vector<work_load> &Loads, mono_time Now) const {
+  return !std::equal(Loads.begin(), Loads.end(), PublishedLoads.begin(), PublishedLoads.end(),
+                     [&](const work_load &Load, const work_load &Published) {
+                       return !needsUpdate(Published, LoadsPublishedAt, Load, Now, ShareTuning);
                      });
 }
 
-void decision_thread::useIndex(declaration_view View) {
+void decision_thread::installDeclaration(declaration_view View) {
   Declaration = std::move(View);
-  Seam.useDeclaration(Declaration);
-  Announced = false;
+  Core.useDeclaration(Declaration);
+  DeclarationSent = false;
 }
 
 mono_time decision_thread::declarationUsableUntil() const {
   if (!Declaration)
     return mono_time::min();
-  if (Plan.Fixed)
+  if (DecisionOptions.FixedDeclaration)
     return mono_time::max();
-  // Before the first declaration every route and key would be refused as unknown.
+  // Until the first declaration arrives every route and key would be refused as unknown.
   const bool Declared = Freshness.current() && *Freshness.current() > revision();
-  const bool Awaits = Plan.Backends == backend_source::Control && !Declared;
+  const bool Awaits = DecisionOptions.Backends == backend_source::Control && !Declared;
   return Awaits ? mono_time::min() : Freshness.leaseEnd();
 }
 
-mono_time decision_thread::usableUntil() const {
-  if (Seam.isSuperseded())
+mono_time decision_thread::admissionUntil() const {
+  if (Core.isSuperseded())
     return mono_time::min();
-  return std::min(declarationUsableUntil(), Seam.viewsUsableUntil());
+  return std::min(declarationUsableUntil(), Core.viewsValidUntil());
 }
 
 void decision_thread::updateReadiness(mono_time Now) {
-  const mono_time ReadyUntil = usableUntil();
+  const mono_time ReadyUntil = admissionUntil();
   Ready.set(ReadyUntil);
-  const bool Turned = std::exchange(Usable, Now < ReadyUntil) != (Now < ReadyUntil);
-  const mono_time Until = Plan.Fixed ? mono_time::max() : Freshness.leaseEnd();
-  const bool Changed = Turned || (Usable && !Announced);
-  const bool Extended = Usable && (Until != ToldUntil || Freshness.lags() != ToldLags);
+  const bool ReadinessChanged = std::exchange(Admitting, Now < ReadyUntil) != (Now < ReadyUntil);
+  const mono_time Until =
+      DecisionOptions.FixedDeclaration ? mono_time::max() : Freshness.leaseEnd();
+  const bool Changed = ReadinessChanged || (Admitting && !DeclarationSent);
+  const bool Extended = Admitting && (Until != SentLeaseEnd || Freshness.lags() != SentLags);
   if (!Changed && !Extended)
     return;
-  ToldUntil = Until;
-  ToldLags = Freshness.lags();
-  Outbox.push(declaration_in_force{Usable ? Declaration : nullptr, Until, ToldLags});
+  SentLeaseEnd = Until;
+  SentLags = Freshness.lags();
+  Outbox.push(declaration_in_force{Admitting ? Declaration : nullptr, Until, SentLags});
   if (!Changed)
     return;
-  Seam.setReady(Usable);
-  Announced = Usable;
-  if (Turned)
-    logEvent(log_level::Info, Usable ? "ready" : "unready");
+  Core.setReady(Admitting);
+  DeclarationSent = Admitting;
+  if (ReadinessChanged)
+    logEvent(log_level::Info, Admitting ? "ready" : "unready");
 }
 
-void decision_thread::carryOut(dispatch_action &&Action) {
+void decision_thread::execute(dispatch_action &&Action) {
   std::visit(
       overloaded{[this](acquire_claim &&Claim) {
                    const std::chrono::milliseconds Lifetime = Claim.Lifetime;
                    const request_number Request = Claim.Request;
                    if (!Control || !Control->request(claim_wanted{std::move(Claim), Lifetime}))
-                     Seam.take(dispatch_event(claim_answered{Request, claim_status::Unavailable}),
-                               boot_clock::now());
-                   Gate.wake(); // The answer may have made actions of its own.
+                     Core.handleEvent(
+                         dispatch_event(claim_answered{Request, claim_status::Unavailable}),
+                         boot_clock::now());
+                   WakeEvent.wake(); // The answer may have caused further actions.
                  },
                  [this](settle_claim &&Claim) {
                    const std::chrono::milliseconds Lifetime = Claim.Lifetime;
@@ -329,14 +344,14 @@
                      logEvent(log_level::Error, "claim_end_not_recorded");
                  },
                  [this](cancel_attempt &&Cancel) {
-                   const bool TakesCancels = Seam.takesCancels(Cancel.Backend);
+                   const bool TakesCancels = Core.supportsCancel(Cancel.Backend);
                    logEvent(log_level::Info, "attempt_cancelled",
                             {{"attempt", toText(Cancel.Attempt)},
                              {"backend", Cancel.Backend.Address.str()}});
                    Outbox.push(cancel_order{std::move(Cancel), TakesCancels});
                  },
                  [this](start_attempt &&Start) {
-                   Start.Instance = Seam.instanceOf(Start.Backend);
+                   Start.Instance = Core.instanceOf(Start.Backend);
                    logStart(Start);
                    Outbox.push(std::move(Start));
                  },
@@ -344,8 +359,8 @@
       std::move(Action));
 }
 
-void decision_thread::endOrphans(const attempts_listed &Listed, mono_time Now) {
-  for (const cancel_attempt &Orphan : Seam.orphansIn(Listed, Now)) {
+void decision_thread::cancelOrphans(const attempts_listed &Listed, mono_time Now) {
+  for (const cancel_attempt &Orphan : Core.findOrphans(Listed, Now)) {
     logEvent(log_level::Warning, "orphan_cancelled",
              {{"attempt", toText(Orphan.Attempt)}, {"backend", toText(Orphan.Backend)}});
     OrphanCounter.Increment();
@@ -353,30 +368,30 @@
   }
 }
 
-mono_duration decision_thread::untilNextWake(mono_time Now) const {
+mono_duration decision_thread::sleepDuration(mono_time Now) const {
   if (Outbox.waiting() > 0)
     return FullRingSleep;
-  mono_duration Sleep = LongestSleep;
-  if (const auto Wake = Seam.nextWake())
+  mono_duration Sleep = MaxSleep;
+  if (const auto Wake = Core.nextWake())
     Sleep = std::min(Sleep, *Wake - Now);
   return std::max(Sleep, mono_duration::zero());
 }
 
-void decision_thread::logReach() {
-  if (ReachesNobody == Seam.reachesNoBackend())
+void decision_thread::logReachability() {
+  if (NoBackendReachable == Core.reachesNoBackend())
     return;
-  ReachesNobody = !ReachesNobody;
-  OutOfReachGauge.Set(ReachesNobody ? 1.0 : 0.0);
-  logEvent(log_level::Warning, ReachesNobody ? "backends_out_of_reach" : "backends_reached",
-           {{"queued", static_cast<std::int64_t>(Seam.queued())}});
+  NoBackendReachable = !NoBackendReachable;
+  OutOfReachGauge.Set(NoBackendReachable ? 1.0 : 0.0);
+  logEvent(log_level::Warning, NoBackendReachable ? "backends_out_of_reach" : "backends_reached",
+           {{"queued", static_cast<std::int64_t>(Core.queued())}});
 }
 
 void decision_thread::publishGauges() {
-  Abandoned = Seam.abandonedAttempts();
-  QueueGauge.Set(static_cast<double>(Seam.queued()));
-  LiveGauge.Set(static_cast<double>(Seam.liveRequests()));
-  AbandonedGauge.Set(static_cast<double>(Seam.abandonedAttempts()));
-  ReadyGauge.Set(Usable ? 1.0 : 0.0);
+  Abandoned = Core.abandonedAttempts();
+  QueueGauge.Set(static_cast<double>(Core.queued()));
+  LiveGauge.Set(static_cast<double>(Core.liveRequests()));
+  AbandonedGauge.Set(static_cast<double>(Core.abandonedAttempts()));
+  ReadyGauge.Set(Admitting ? 1.0 : 0.0);
   if (!Share)
     return;
   const work_share_counts Counts = Share->counts();
@@ -384,14 +399,14 @@
   WorkBytesGauge.Set(static_cast<double>(Counts.SentBytes));
 }
 
-void decision_thread::answerDumps(mono_time Now) {
-  std::vector<std::promise<std::string>> Wanted;
+void decision_thread::fulfilDumps(mono_time Now) {
+  std::vector<std::promise<std::string>> Requested;
   {
     const std::lock_guard<std::mutex> Lock(Guard);
-    Wanted.swap(DumpsWanted);
+    Requested.swap(PendingDumps);
   }
-  for (std::promise<std::string> &Answer : Wanted)
-    Answer.set_value(Seam.dump(Now));
+  for (std::promise<std::string> &Answer : Requested)
+    Answer.set_value(Core.dump(Now));
 }
 
 std::optional<std::string> decision_thread::dump(std::chrono::milliseconds Limit) {
@@ -399,9 +414,9 @@
   std::future<std::string> Waiting = Answer.get_future();
   {
     const std::lock_guard<std::mutex> Lock(Guard);
-    DumpsWanted.push_back(std::move(Answer));
+    PendingDumps.push_back(std::move(Answer));
   }
-  Gate.wake();
+  WakeEvent.wake();
   if (Waiting.wait_for(Limit) != std::future_status::ready)
     return std::nullopt;
   return Waiting.get();
--- a/programs/pollenstall-entry/decision_thread_base.h
+++ b/programs/pollenstall-entry/decision_thread_base.h
@@ -1,11 +1,12 @@
-/** @file decision_thread_base.h The thread that decides: events come in by rings, orders go out. */
+/** @file decision_thread_base.h Thread that reads events from rings, makes decisions and sends
+ * orders. */
 #ifndef POLLENSTALL_ENTRY_DECISION_THREAD_BASE_H
 #define POLLENSTALL_ENTRY_DECISION_THREAD_BASE_H
 
 #include "control_link/control_link.h"
-#include "decision_seam_base.h"
+#include "decision_core_base.h"
 #include "relay/relay.h"
-#include "wake_gate_base.h"
+#include "wakeup_event_base.h"
 #include "work_exchange/work_exchange.h"
 #include "work_share/work_share.h"
 
@@ -24,30 +25,31 @@
 
 namespace pollenstall {
 
-/// What the decision thread is built from.
-struct decision_plan {
+/// Options of the decision thread.
+struct decision_options {
   process_key Self;
-  /// A fixed declaration; with it no lease is asked for. Empty where control hosts declare.
-  std::optional<fleet_declaration> Fixed;
+  /// A fixed declaration, for which no lease is requested; empty if control hosts supply it.
+  std::optional<fleet_declaration> FixedDeclaration;
   backend_source Backends{backend_source::Gossip};
-  /// Reads a declaration's text; empty: the TOML format.
+  /// Parses the text of a declaration; if empty, the text is parsed as TOML.
   declaration_reader ReadDeclaration;
-  std::optional<double> RetryShare;   ///< Of first attempts; none: as declared.
-  std::optional<double> RetryReserve; ///< Of all entries, in the window; none: a fixed one here.
+  std::optional<double> RetryShare; ///< Retries per first attempt; empty: as declared.
+  std::optional<double>
+      RetryReserve; ///< Retries of all entries per window; empty: a fixed reserve for each.
   mono_duration RetryWindow{std::chrono::seconds(10)};
   std::size_t RingCapacity{1U << 16U};
   std::shared_ptr<prometheus::Registry> Registry;
 };
 
 /**
- * Owns the dispatcher, the scheduler and the declaration in use; nothing else touches them.
- * Rings: callers' events from the relay thread, membership from the gossip thread, declarations,
- * leases and claims from the control link. The thread sleeps until one of them has something or the
- * next timeout is due.
+ * Owns the dispatcher, the scheduler and the declaration in use; no other thread accesses them.
+ * Input rings: callers' events from the relay thread, membership events from the gossip thread, and
+ * declarations, leases and claims from the control link. The thread sleeps until a ring has an
+ * element or the next timeout is due.
  */
 class decision_thread {
 public:
-  explicit decision_thread(decision_plan Wanted);
+  explicit decision_thread(decision_options Requested);
   ~decision_thread();
   decision_thread(const decision_thread &) = delete;
   decision_thread &operator=(const decision_thread &) = delete;
@@ -61,85 +63,86 @@
   /// Emptied by the relay thread.
   [[nodiscard]] bounded_ring<relay_order> &orders() { return Orders; }
   /// Wakes the thread; for the gossip thread and the control link.
-  void wake() { Gate.wake(); }
+  void wake() { WakeEvent.wake(); }
 
-  /// Sets the control link; before start().
-  void useControl(std::unique_ptr<control_link> Link) { Control = std::move(Link); }
-  /// Sets the thread that carries work reports; before start().
-  void useShare(work_share &Used) { Share = &Used; }
-  /// Sets the ring of the gossip thread; before start().
-  void useViews(bounded_ring<membership_event> &Source) { Views = &Source; }
+  /// Sets the control link; call before start().
+  void setControlLink(std::unique_ptr<control_link> Link) { Control = std::move(Link); }
+  /// Sets the thread that exchanges work reports with other entries; call before start().
+  void setWorkShare(work_share &NewShare) { Share = &NewShare; }
+  /// Sets the ring of the gossip thread; call before start().
+  void setMembershipEvents(bounded_ring<membership_event> &Source) { MembershipEvents = &Source; }
   void start();
-  /// Refuses new requests; those admitted end by themselves or at the limit.
+  /// Refuses new requests; admitted ones run to their end or are ended at the limit.
   void beginShutdown(mono_duration Limit);
-  /// Ends the thread.
+  /// Stops and joins the thread.
   void stop();
 
   /// @return Whether new requests are admitted; from any thread.
   [[nodiscard]] bool ready() const { return Ready.holds(boot_clock::now()); }
-  /// @return Whether a newer life of this host runs; from any thread.
+  /// @return Whether a newer incarnation of this host runs; from any thread.
   [[nodiscard]] bool superseded() const { return Superseded.load(std::memory_order_relaxed); }
-  /// @return Attempts given up whose end the backend server has not confirmed; from any thread.
+  /// @return Number of abandoned attempts whose end the backend server has not confirmed; from any
+  /// thread.
   [[nodiscard]] std::size_t abandoned() const { return Abandoned.load(std::memory_order_relaxed); }
-  /// @return JSON of the decisions' state, or nothing where the thread did not answer in time.
+  /// @return State as JSON, or nothing if the thread did not answer within the limit.
   [[nodiscard]] std::optional<std::string> dump(std::chrono::milliseconds Limit);
 
 private:
   void run();
-  void turn();
-  void drainNews(mono_time Now);
-  void takeControlEvent(control_link_event &&Event, mono_time Now);
-  void takeDeclaration(const declaration_received &Received);
-  void tellOfCrash(crash_report &&Crash);
-  void tellOfCrash(suspect_cleared &&Cleared);
-  void takeEntries(const entries_listed &Listed);
-  void tellLoads(mono_time Now);
-  [[nodiscard]] bool toldOtherwise(const std::vector<work_load> &Loads, mono_time Now) const;
-  void useIndex(declaration_view View);
+  void runOnce();
+  void drainInputs(mono_time Now);
+  void handleControlEvent(control_link_event &&Event, mono_time Now);
+  void handleDeclaration(const declaration_received &Received);
+  void reportCrash(crash_report &&Crash);
+  void reportCrash(suspect_cleared &&Cleared);
+  void handleEntries(const entries_listed &Listed);
+  void publishLoads(mono_time Now);
+  [[nodiscard]] bool loadsDiffer(const std::vector<work_load> &Loads, mono_time Now) const;
+  void installDeclaration(declaration_view View);
   void updateReadiness(mono_time Now);
-  void carryOut(dispatch_action &&Action);
-  void endOrphans(const attempts_listed &Listed, mono_time Now);
-  void answerDumps(mono_time Now);
+  void execute(dispatch_action &&Action);
+  void cancelOrphans(const attempts_listed &Listed, mono_time Now);
+  void fulfilDumps(mono_time Now);
   void publishGauges();
-  void logReach();
-  [[nodiscard]] mono_duration untilNextWake(mono_time Now) const;
-  /// @return Until when the declaration may be acted upon.
+  void logReachability();
+  [[nodiscard]] mono_duration sleepDuration(mono_time Now) const;
+  /// @return Time until which the declaration may be used.
   [[nodiscard]] mono_time declarationUsableUntil() const;
-  /// @return Until when new requests may be admitted, as far as is known.
-  [[nodiscard]] mono_time usableUntil() const;
+  /// @return Time until which new requests may be admitted, without further renewals.
+  [[nodiscard]] mono_time admissionUntil() const;
 
-  decision_plan Plan;
+  decision_options DecisionOptions;
   bounded_ring<dispatch_event> Events;
-  std::vector<dispatch_event> Batch; ///< Taken from the ring in this turn.
+  std::vector<dispatch_event> Batch; ///< Events that this iteration has read from the ring.
   bounded_ring<attempts_listed> Lists;
   bounded_ring<crash_news> CrashNews;
   bounded_ring<relay_order> Orders;
   event_outbox<relay_order> Outbox;
-  bounded_ring<membership_event> *Views{nullptr};
+  bounded_ring<membership_event> *MembershipEvents{nullptr};
   work_share *Share{nullptr};
   const work_share_tuning ShareTuning;
-  std::vector<work_load> ToldLoads;
-  std::uint64_t ToldClaims{0}; ///< Of placer::claimsMade().
-  mono_time LoadsToldAt{};
-  wake_gate Gate;
+  std::vector<work_load> PublishedLoads;
+  std::uint64_t PublishedClaims{0}; ///< Value of placer::claimsMade() at the last update.
+  mono_time LoadsPublishedAt{};
+  wakeup_event WakeEvent;
   std::unique_ptr<control_link> Control;
   entry_freshness Freshness;
   declaration_view Declaration;
-  decision_seam Seam;
-  bool Usable{false};        ///< New requests were admitted at the last look.
-  bool ReachesNobody{false}; ///< No backend server answers, as far as the log says.
-  bool Announced{false};     ///< The relay was told of the declaration.
-  mono_time ToldUntil{};     ///< End of the lease that the relay was told of.
-  bool ToldLags{false};      ///< The relay was told that a newer declaration is on its way.
-  std::uint64_t BadDeclarations{0};
+  decision_core Core;
+  bool Admitting{false};          ///< Whether new requests were admitted at the last check.
+  bool NoBackendReachable{false}; ///< Last state of reachability that was logged.
+  bool DeclarationSent{false};    ///< Whether the relay has the current declaration.
+  mono_time SentLeaseEnd{};       ///< Lease end last sent to the relay.
+  bool SentLags{false}; ///< Last value sent to the relay of whether a newer declaration is pending.
+  std::uint64_t RejectedDeclarations{0};
 
   ready_span Ready;
   std::atomic<std::size_t> Abandoned{0};
   std::atomic<bool> Superseded{false};
   std::atomic<bool> Stopping{false};
-  std::mutex Guard; ///< Of the two below, which other threads set.
-  std::vector<std::promise<std::string>> DumpsWanted;
-  std::optional<mono_duration> ShutdownWanted;
+  std::mutex Guard; ///< Guards the two members below, which other threads set.
+  std::vector<std::promise<std::string>> PendingDumps;
+  std::optional<mono_duration> PendingShutdown;
   prometheus::Counter &OrphanCounter;
   prometheus::Gauge &QueueGauge;
   prometheus::Gauge &LiveGauge;
--- a/programs/pollenstall-entry/dispatch_dump.cpp
+++ b/programs/pollenstall-entry/dispatch_dump.cpp
@@ -1,4 +1,4 @@
-/** @file dispatch_dump.cpp Names of states, and the members of the dump. */
+/** @file dispatch_dump.cpp Serializes the dispatcher state as JSON. */
 #include "dispatch_dump_func.h"
 
 #include <boost/json.hpp>
--- a/programs/pollenstall-entry/dispatch_dump_func.h
+++ b/programs/pollenstall-entry/dispatch_dump_func.h
@@ -1,4 +1,4 @@
-/** @file dispatch_dump_func.h The dispatcher's state as JSON. */
+/** @file dispatch_dump_func.h Converts the dispatcher state to JSON. */
 #ifndef POLLENSTALL_ENTRY_DISPATCH_DUMP_FUNC_H
 #define POLLENSTALL_ENTRY_DISPATCH_DUMP_FUNC_H
 
@@ -8,7 +8,7 @@
 
 namespace pollenstall {
 
-/// @return One JSON object.
+/// @return The state as one JSON object.
 std::string dumpText(const dispatch_dump &Dump);
 
 } // namespace pollenstall
--- a/programs/pollenstall-entry/entry.cpp
+++ b/programs/pollenstall-entry/entry.cpp
@@ -1,4 +1,4 @@
-/** @file entry.cpp Builds the threads and joins them by rings. */
+/** @file entry.cpp Creates the threads of an entry and connects them by rings. */
 #include "entry_base.h"
 
 #include "address/address.h"
@@ -16,7 +16,7 @@
 
 namespace {
 
-process_key newProcessKey(const std::string &Host) {
+process_key makeProcessKey(const std::string &Host) {
   const auto Wall = std::chrono::system_clock::now().time_since_epoch();
   const auto Nanos = std::chrono::duration_cast<std::chrono::nanoseconds>(Wall).count();
   return {host_name(Host), incarnation(static_cast<std::uint64_t>(Nanos))};
@@ -24,9 +24,9 @@
 
 } // namespace
 
-entry::entry(entry_settings Wanted)
-    : Settings(std::move(Wanted)), Self(newProcessKey(Settings.Host)),
-      Registry(std::make_shared<prometheus::Registry>()), Work(asio::make_work_guard(Io)) {}
+entry::entry(entry_settings InitialSettings)
+    : Settings(std::move(InitialSettings)), Self(makeProcessKey(Settings.Host)),
+      Registry(std::make_shared<prometheus::Registry>()), IoWorkGuard(asio::make_work_guard(Io)) {}
 
 entry::~entry() {
   Announcements.reset();
@@ -38,7 +38,8 @@
   stopRelay();
 }
 
-result<done, entry_error> entry::loadDeclaration(std::optional<fleet_declaration> &Into) const {
+result<done, entry_error>
+entry::loadDeclaration(std::optional<fleet_declaration> &Declaration) const {
   if (Settings.DeclarationFile.empty())
     return done{};
   const auto Text = readFile(Settings.DeclarationFile);
@@ -47,7 +48,7 @@
   auto Parsed = parseDeclaration(*Text, Settings.DeclarationFile);
   if (!succeeded(Parsed))
     return entry_error{toText(errorOf(Parsed))};
-  Into = valueOf(std::move(Parsed));
+  Declaration = valueOf(std::move(Parsed));
   return done{};
 }
 
@@ -65,21 +66,21 @@
 
 result<done, entry_error> entry::start() {
   if (const auto Missing = missingSetting())
-    return entry_error{"the settings lack " + *Missing};
-  decision_plan Plan;
-  Plan.Backends = usesDirectory() ? backend_source::Control : backend_source::Gossip;
+    return entry_error{"missing setting: " + *Missing};
+  decision_options DecisionOptions;
+  DecisionOptions.Backends = usesDirectory() ? backend_source::Control : backend_source::Gossip;
   if (usesPlatform())
-    Plan.ReadDeclaration = platformDeclarationReader();
-  Plan.RetryShare = Settings.RetryShare;
-  Plan.RetryReserve = Settings.RetryReserve;
-  Plan.RetryWindow = Settings.RetryWindow;
-  Plan.Self = Self;
-  Plan.Registry = Registry;
-  auto Declared = loadDeclaration(Plan.Fixed);
+    DecisionOptions.ReadDeclaration = platformDeclarationReader();
+  DecisionOptions.RetryShare = Settings.RetryShare;
+  DecisionOptions.RetryReserve = Settings.RetryReserve;
+  DecisionOptions.RetryWindow = Settings.RetryWindow;
+  DecisionOptions.Self = Self;
+  DecisionOptions.Registry = Registry;
+  auto Declared = loadDeclaration(DecisionOptions.FixedDeclaration);
   if (!succeeded(Declared))
     return Declared;
-  const bool UsesControl = !Plan.Fixed;
-  Decision = std::make_unique<decision_thread>(std::move(Plan));
+  const bool UsesControl = !DecisionOptions.FixedDeclaration;
+  Decision = std::make_unique<decision_thread>(std::move(DecisionOptions));
   for (const auto Step : {&entry::startGossip, &entry::startWorkShare, &entry::startRelay,
                           &entry::startOperators, &entry::startAnnouncements}) {
     auto Started = (this->*Step)();
@@ -98,7 +99,7 @@
 }
 
 void entry::startControl() {
-  Decision->useControl(
+  Decision->setControlLink(
       control_link_builder(withPort(Settings.ControlAddresses, Settings.ControlPort),
                            Settings.Fleet)
           .process(Self, failure_domain_name(Settings.FailureDomain))
@@ -117,7 +118,7 @@
   if (!succeeded(Created))
     return entry_error{errorOf(Created).Text};
   Share = std::move(valueOf(Created));
-  Decision->useShare(*Share);
+  Decision->setWorkShare(*Share);
   logListening("work", Share->address());
   return done{};
 }
@@ -131,7 +132,7 @@
     const auto Key = readFile(Settings.GossipKeyFile);
     if (!Key)
       return entry_error{"cannot read " + Settings.GossipKeyFile};
-    Options.Secret.Key = withoutLineEnd(*Key);
+    Options.Secret.Key = trimLineEndings(*Key);
   }
   Options.Bind = peer_address(Settings.GossipAddress);
   Options.Identity.Self = Self;
@@ -144,7 +145,7 @@
     return entry_error{"cannot listen for gossip on " + Settings.GossipAddress};
   Gossip = std::move(valueOf(Created));
   Gossip->changes().onWake([this] { Decision->wake(); });
-  Decision->useViews(Gossip->changes());
+  Decision->setMembershipEvents(Gossip->changes());
   logListening("gossip", Gossip->address().str());
   return done{};
 }
@@ -157,7 +158,7 @@
               .limits(limitsOf(Settings))
               .metrics(Registry)
               .interface(usesPlatform() ? platformCalls() : call_interface())
-              .onCallEnd([this](const call_record &Record) { noteCallEnd(Record); })
+              .onCallEnd([this](const call_record &Record) { handleCallEnd(Record); })
               .build();
   Decision->orders().onWake([this] {
     asio::post(Io, [this] {
@@ -196,15 +197,15 @@
     Addresses["gossip"] = Gossip->address().str();
   if (Share)
     Addresses["work"] = Share->address();
-  // Renamed into place, so that whoever waits for the file never reads half of it.
-  const std::string Draft = Settings.AddressFile + ".new";
+  // The file is renamed into place, so that a process that waits for it never reads a partial one.
+  const std::string TempPath = Settings.AddressFile + ".new";
   {
-    std::ofstream File(Draft, std::ios::binary);
+    std::ofstream File(TempPath, std::ios::binary);
     File << boost::json::serialize(Addresses) << "\n";
     if (!File.flush())
-      return entry_error{"cannot write " + Draft};
+      return entry_error{"cannot write " + TempPath};
   }
-  if (std::rename(Draft.c_str(), Settings.AddressFile.c_str()) != 0)
+  if (std::rename(TempPath.c_str(), Settings.AddressFile.c_str()) != 0)
     return entry_error{"cannot write " + Settings.AddressFile};
   return done{};
 }
--- a/programs/pollenstall-entry/entry_announcements.cpp
+++ b/programs/pollenstall-entry/entry_announcements.cpp
@@ -1,4 +1,4 @@
-/** @file entry_announcements.cpp The address on which backend servers announce themselves. */
+/** @file entry_announcements.cpp HTTP server that receives the announcements of backend servers. */
 #include "announcement_func.h"
 #include "entry_base.h"
 #include "entry_file_func.h"
@@ -22,11 +22,11 @@
     const auto Key = readFile(Settings.FleetKeyFile);
     if (!Key)
       return entry_error{"cannot read " + Settings.FleetKeyFile};
-    Hash = keyHash(withoutLineEnd(*Key));
+    Hash = keyHash(trimLineEndings(*Key));
   }
   auto Started = operator_server_builder(Settings.AnnouncementsAddress, Hash)
                      .route("POST", "/v1/announcements", operator_access::KeyNeeded,
-                            [this](const operator_call &Call) { return takeAnnouncement(Call); })
+                            [this](const operator_call &Call) { return handleAnnouncement(Call); })
                      .start();
   if (!succeeded(Started))
     return entry_error{errorOf(Started).Text};
@@ -39,7 +39,7 @@
   return done{};
 }
 
-operator_reply entry::takeAnnouncement(const operator_call &Call) {
+operator_reply entry::handleAnnouncement(const operator_call &Call) {
   auto Read = readAnnouncement(Call.Body, Settings.Fleet);
   if (!succeeded(Read)) {
     const announcement_fault &Fault = errorOf(Read);
@@ -49,10 +49,10 @@
   const std::lock_guard<std::mutex> Lock(AnnouncementGuard);
   if (!Gossip->announcements().push(valueOf(std::move(Read))))
     return {Unavailable, "application/json", "{}"};
-  return {200, "application/json", announceTo()};
+  return {200, "application/json", announceToJson()};
 }
 
-std::string entry::announceTo() const {
+std::string entry::announceToJson() const {
   boost::json::array Addresses;
   if (!AnnounceAddress.empty())
     Addresses.emplace_back(AnnounceAddress);
--- a/programs/pollenstall-entry/entry_base.h
+++ b/programs/pollenstall-entry/entry_base.h
@@ -1,4 +1,4 @@
-/** @file entry_base.h The threads of an entry, started and stopped in order. */
+/** @file entry_base.h An entry process: starts and stops its threads in order. */
 #ifndef POLLENSTALL_ENTRY_ENTRY_BASE_H
 #define POLLENSTALL_ENTRY_ENTRY_BASE_H
 
@@ -19,28 +19,28 @@
 
 namespace pollenstall {
 
-/// Why an entry could not start; already in words for the log.
+/// Why an entry could not start, as a message for the log.
 struct entry_error {
   std::string Text;
 };
 
-/// One entry: relay thread, decision thread, membership thread, control link, operators' servers.
+/// One entry: relay thread, decision thread, gossip thread, control link and operator servers.
 class entry {
 public:
-  explicit entry(entry_settings Wanted);
+  explicit entry(entry_settings InitialSettings);
   ~entry();
   entry(const entry &) = delete;
   entry &operator=(const entry &) = delete;
 
-  /// Binds every address and starts every thread.
+  /// Binds all addresses and starts all threads.
   result<done, entry_error> start();
-  /// @return Whether a newer life of this host runs, so that this one must stop.
+  /// @return Whether a newer incarnation of this host runs, so that this process must stop.
   [[nodiscard]] bool superseded() const { return Decision->superseded(); }
-  /// Refuses new work, lets admitted work end up to the limit, then stops.
+  /// Refuses new work, waits for admitted work up to the limit, then stops.
   exit_code shutDown();
 
 private:
-  result<done, entry_error> loadDeclaration(std::optional<fleet_declaration> &Into) const;
+  result<done, entry_error> loadDeclaration(std::optional<fleet_declaration> &Declaration) const;
   result<done, entry_error> startRelay();
   result<done, entry_error> startOperators();
   result<done, entry_error> startAnnouncements();
@@ -52,26 +52,26 @@
   [[nodiscard]] bool usesDirectory() const { return Settings.BackendSource == "control"; }
   [[nodiscard]] bool usesPlatform() const { return Settings.Interface == "platform"; }
   void stopRelay();
-  [[nodiscard]] operator_reply takeAnnouncement(const operator_call &Call);
-  [[nodiscard]] std::string announceTo() const;
+  [[nodiscard]] operator_reply handleAnnouncement(const operator_call &Call);
+  [[nodiscard]] std::string announceToJson() const;
   [[nodiscard]] std::string dump();
   [[nodiscard]] std::optional<std::string> dumpRelay(std::chrono::milliseconds Limit);
   [[nodiscard]] std::size_t openCalls();
-  /// Logs that a port is open. @param What Whom it is for.
-  static void logListening(const char *What, const std::string &Address);
-  void noteCallEnd(const call_record &Record);
-  void waitForCalls(mono_time Until, const std::function<std::size_t()> &Count);
+  /// Logs that a port is open. @param Listener Who connects to it.
+  static void logListening(const char *Listener, const std::string &Address);
+  void handleCallEnd(const call_record &Record);
+  void waitForZero(mono_time Deadline, const std::function<std::size_t()> &Count);
 
   entry_settings Settings;
   process_key Self;
   std::shared_ptr<prometheus::Registry> Registry;
-  /// One thread does all I/O, others only post: the reactor needs no locks of its own.
+  /// One thread does all I/O and others only post, so that the reactor needs no internal locks.
   boost::asio::io_context Io{BOOST_ASIO_CONCURRENCY_HINT_UNSAFE_IO};
-  boost::asio::executor_work_guard<boost::asio::io_context::executor_type> Work;
+  boost::asio::executor_work_guard<boost::asio::io_context::executor_type> IoWorkGuard;
   std::unique_ptr<decision_thread> Decision;
-  std::unique_ptr<gossip_service> Gossip; ///< Null where control hosts know the backend servers.
-  std::unique_ptr<work_share> Share;      ///< Null where gossip does.
-  /// Of AnnounceAddress and the producer's side of the ring: the server has several threads.
+  std::unique_ptr<gossip_service> Gossip; ///< Null if backend servers come from control hosts.
+  std::unique_ptr<work_share> Share;      ///< Null if backend servers come from gossip.
+  /// Guards AnnounceAddress and the producer side of the ring: the server has several threads.
   std::mutex AnnouncementGuard;
   std::string AnnounceAddress;
   std::unique_ptr<relay> Relay;
@@ -80,7 +80,8 @@
   std::unique_ptr<operator_server> Announcements;
   std::string CallersAddress;
   std::atomic<bool> Stopping{false};
-  std::atomic<bool> CutOff{false}; ///< An admitted request was ended by the shutdown limit.
+  std::atomic<bool> ShutdownEndedCall{
+      false}; ///< An admitted request was ended by the shutdown limit.
 };
 
 } // namespace pollenstall
--- a/programs/pollenstall-entry/entry_file.cpp
+++ b/programs/pollenstall-entry/entry_file.cpp
@@ -1,4 +1,4 @@
-/** @file entry_file.cpp Reads small files. */
+/** @file entry_file.cpp Reads small files into memory. */
 #include "entry_file_func.h"
 
 #include <fstream>
@@ -13,7 +13,7 @@
   return std::string(std::istreambuf_iterator<char>(File), {});
 }
 
-std::string withoutLineEnd(std::string Text) {
+std::string trimLineEndings(std::string Text) {
   while (!Text.empty() && (Text.back() == '\n' || Text.back() == '\r'))
     Text.pop_back();
   return Text;
--- a/programs/pollenstall-entry/entry_file_func.h
+++ b/programs/pollenstall-entry/entry_file_func.h
@@ -1,4 +1,4 @@
-/** @file entry_file_func.h Small files that the settings name. */
+/** @file entry_file_func.h Reads the small files that the settings name. */
 #ifndef POLLENSTALL_ENTRY_ENTRY_FILE_FUNC_H
 #define POLLENSTALL_ENTRY_ENTRY_FILE_FUNC_H
 
@@ -7,11 +7,11 @@
 
 namespace pollenstall {
 
-/// @return All of it; nothing where it can't be read.
+/// @return The whole content, or nothing if the file cannot be read.
 std::optional<std::string> readFile(const std::string &Path);
 
-/// @return The text without the line ends behind it.
-std::string withoutLineEnd(std::string Text);
+/// @return The text without trailing line endings.
+std::string trimLineEndings(std::string Text);
 
 } // namespace pollenstall
 
--- a/programs/pollenstall-entry/entry_report.cpp
+++ b/programs/pollenstall-entry/entry_report.cpp
@@ -1,5 +1,4 @@
-/** @file entry_report.cpp What an entry tells of itself: ended calls in the log, its state on
- * request. */
+/** @file entry_report.cpp Logs ended calls and dumps the state of an entry. */
 #include "entry_base.h"
 
 #include <boost/asio/post.hpp>
@@ -13,8 +12,8 @@
 constexpr std::chrono::milliseconds DumpLimit{2'000};
 
 void logCall(const call_record &Record) {
-  const bool Quiet = Record.Outcome == final_outcome::Complete;
-  logEvent(Quiet ? log_level::Info : log_level::Warning, "request_ended",
+  const bool IsComplete = Record.Outcome == final_outcome::Complete;
+  logEvent(IsComplete ? log_level::Info : log_level::Warning, "request_ended",
            {{"request", Record.RequestId},
             {"send", Record.SendName},
             {"attempt", Record.Attempt},
@@ -33,35 +32,36 @@
 
 } // namespace
 
-void entry::logListening(const char *What, const std::string &Address) {
-  logEvent(log_level::Info, "listening", {{"what", std::string(What)}, {"address", Address}});
+void entry::logListening(const char *Listener, const std::string &Address) {
+  logEvent(log_level::Info, "listening", {{"what", std::string(Listener)}, {"address", Address}});
 }
 
-void entry::noteCallEnd(const call_record &Record) {
+void entry::handleCallEnd(const call_record &Record) {
   const bool Admitted = !Record.RequestId.empty();
   if (Admitted && Record.Reason == reasonText(failure_reason::ShuttingDown))
-    CutOff = true;
+    ShutdownEndedCall = true;
   logCall(Record);
 }
 
 std::optional<std::string> entry::dumpRelay(std::chrono::milliseconds Limit) {
   auto Answer = std::make_shared<std::promise<std::string>>();
-  std::future<std::string> Waiting = Answer->get_future();
+  std::future<std::string> Future = Answer->get_future();
   asio::post(Io, [this, Answer] { Answer->set_value(Relay->dump()); });
-  if (Waiting.wait_for(Limit) != std::future_status::ready)
+  if (Future.wait_for(Limit) != std::future_status::ready)
     return std::nullopt;
-  return Waiting.get();
+  return Future.get();
 }
 
 std::string entry::dump() {
-  // A thread that does not answer is itself what the operator looks for.
-  const std::string Silent = R"("no answer")";
+  // A thread that does not answer is shown as such: it may be the fault that the operator looks
+  // for.
+  const std::string NoAnswer = R"("no answer")";
   const std::string Membership = Gossip ? Gossip->dump() : std::string("null");
   return R"({"process":{"host":")" + Self.Host.str() + R"(","incarnation":)" +
          std::to_string(Self.Incarnation.value()) + R"(},"relay":)" +
-         dumpRelay(DumpLimit).value_or(Silent) + R"(,"decisions":)" +
-         Decision->dump(DumpLimit).value_or(Silent) + R"(,"membership":)" +
-         (Membership.empty() ? Silent : Membership) + "}";
+         dumpRelay(DumpLimit).value_or(NoAnswer) + R"(,"decisions":)" +
+         Decision->dump(DumpLimit).value_or(NoAnswer) + R"(,"membership":)" +
+         (Membership.empty() ? NoAnswer : Membership) + "}";
 }
 
 } // namespace pollenstall
--- a/programs/pollenstall-entry/entry_settings.cpp
+++ b/programs/pollenstall-entry/entry_settings.cpp
@@ -1,4 +1,4 @@
-/** @file entry_settings.cpp The table of an entry's settings. */
+/** @file entry_settings.cpp The settings table of an entry. */
 #include "entry_settings_type.h"
 
 #include "program/program.h"
@@ -28,10 +28,10 @@
       .text("host.failure_domain", &entry_settings::FailureDomain, presence::Required, Name,
             checkName, "Failure domain of this host.")
       .text("fleet.name", &entry_settings::Fleet, presence::Required, Name, checkName,
-            "Messages of other fleets are dropped.")
+            "Name of the fleet; messages of other fleets are dropped.")
       .text("fleet.key_file", &entry_settings::FleetKeyFile, presence::Optional, "a path", {},
-            "File with the key that backend servers announce themselves with; without it no "
-            "announcement is taken.")
+            "File with the key that backend servers send with an announcement; without it every "
+            "announcement is refused.")
       .text("operators.key_hash", &entry_settings::OperatorKeyHash, presence::Optional,
             "a SHA-256 in 64 lower-case hex digits", checkKeyHash,
             "Hash of the operators' key; without it /dump is refused.");
@@ -41,46 +41,47 @@
   const std::string Address = "IP:port";
   Table
       .text("listen.callers", &entry_settings::CallersAddress, presence::Required, Address,
-            checkAddress, "Address for callers; port 0 takes any free one.")
+            checkAddress, "Address for callers; port 0 selects a free port.")
       .text("listen.operators", &entry_settings::OperatorsAddress, presence::Required, Address,
             checkAddress, "Address for operators, the balancer and the metrics collector.")
       .text("listen.announcements", &entry_settings::AnnouncementsAddress, presence::Optional,
             Address, checkAddress,
-            "Address that backend servers announce themselves to; needed where they are known by "
+            "Address for announcements of backend servers; required if backends.source is "
             "gossip.")
       .text("listen.gossip", &entry_settings::GossipAddress, presence::Optional, Address,
             checkAddress,
-            "UDP address for the system's other hosts; needed where backend servers are known by "
-            "gossip.")
+            "UDP address for gossip with the other hosts of the system; required if "
+            "backends.source is gossip.")
       .text("listen.work", &entry_settings::WorkAddress, presence::Optional, Address, checkAddress,
-            "UDP address at which other entries tell what they have under way; needed where "
-            "backend servers are known by control.")
+            "UDP address for reports of other entries about their work in flight; required if "
+            "backends.source is control.")
       .text("listen.address_file", &entry_settings::AddressFile, presence::Optional, "a path", {},
-            "File that the bound addresses are written to, as JSON.")
+            "File to which the bound addresses are written as JSON.")
       .texts("gossip.seeds", &entry_settings::GossipSeeds, presence::Optional, Address,
-             checkAddress, "Gossip addresses of other hosts, asked at the start.")
+             checkAddress, "Gossip addresses of other hosts, contacted at the start.")
       .text("gossip.key_file", &entry_settings::GossipKeyFile, presence::Optional, "a path", {},
-            "File with the key that the system's own hosts share; without it datagrams carry no "
-            "tag, and anyone who reaches the port can forge them.")
+            "File with the key that the hosts of the system share; without it datagrams carry no "
+            "authentication tag, and anyone who reaches the port can forge them.")
       .texts("announcements.peers", &entry_settings::AnnouncementPeers, presence::Optional, Address,
              checkAddress,
-             "Announcement addresses of other entries, told to backend servers as fall-backs.")
+             "Announcement addresses of other entries, sent to backend servers as fallbacks.")
       .texts("control.addresses", &entry_settings::ControlAddresses, presence::Optional, Address,
-             checkAddress, "Addresses of the control hosts for entries; of some of them at least.")
+             checkAddress, "Addresses of control hosts for entries; at least some of them.")
       .number("control.port", &entry_settings::ControlPort, {0U, 0U, 65'535U},
-              "Port for entries on the hosts of control.addresses; 0 takes these as they are.")
+              "Port for entries on the hosts of control.addresses; 0 uses the ports given there.")
       .span("control.renew_ms", &entry_settings::ControlRenew,
             {milliseconds(500), milliseconds(50), Minute},
-            "Between two requests for the lease on the declaration.")
+            "Interval between renewals of the declaration lease.")
       .span("control.answer_within_ms", &entry_settings::ControlAnswer,
             {milliseconds(2000), milliseconds(100), Minute},
-            "A control host that is silent for longer is given up for another one.")
+            "Response timeout of a control host; after it another one is tried.")
       .span("control.connect_within_ms", &entry_settings::ControlConnect,
             {milliseconds(1000), milliseconds(10), Minute},
-            "A control host that cannot be reached by then is given up for another one.")
+            "Connect timeout of a control host; after it another one is tried.")
       .text("declaration.file", &entry_settings::DeclarationFile, presence::Optional, "a path", {},
-            "A fixed declaration instead of control hosts, for trials: it is read once, no lease "
-            "bounds it, and calls with an idempotency key that must run once are refused.");
+            "File with a fixed declaration instead of control hosts, for trials: it is read once, "
+            "no lease limits it, and calls with an idempotency key that must run once are "
+            "refused.");
 }
 
 std::optional<std::string> checkInterface(const std::string &Text) {
@@ -97,69 +98,77 @@
   Table
       .text("interface", &entry_settings::Interface, presence::Optional, "chat or platform",
             checkInterface,
-            "What callers and backend servers speak: chat/completions, or what the platform "
-            "adapter translates.",
+            "Protocol of callers and backend servers: chat/completions, or the protocol of the "
+            "platform adapter.",
             "chat")
       .text("backends.source", &entry_settings::BackendSource, presence::Optional,
             "gossip or control", checkSource,
-            "Who knows the backend servers: the entries by gossip, or the control hosts.", "gossip")
+            "Source of the list of backend servers: gossip between entries, or the control hosts.",
+            "gossip")
       .fraction("retries.share", &entry_settings::RetryShare, 0.0, 100.0, "as declared",
-                "Retries for each first attempt, instead of what the declaration's limits say.")
+                "Retries per first attempt; overrides the limits of the declaration.")
       .fraction("retries.reserve", &entry_settings::RetryReserve, 0.0, 1e9, "a small one each",
-                "Further retries of all entries together in each window.")
+                "Additional retries per window for all entries together.")
       .span("retries.window_s", &entry_settings::RetryWindow,
-            {10 * Second, milliseconds(100), Hour}, "The window of the reserve.")
+            {10 * Second, milliseconds(100), Hour}, "Length of the window of retries.reserve.")
       .span("shutdown_drain_ms", &entry_settings::DrainTime,
             {milliseconds(0), milliseconds(0), Hour},
-            "After SIGTERM requests are still admitted for so long, until the balancer has seen "
-            "that this host is not ready.")
+            "Time after SIGTERM during which requests are still admitted, until the load balancer "
+            "has seen that this host is not ready.")
       .span("shutdown_kill_s", &entry_settings::KillAfter, {milliseconds(0), milliseconds(0), Hour},
-            "The process is killed so long after SIGTERM, so that all must end a second earlier; "
-            "0: it is not.");
+            "Time after SIGTERM at which the process is killed; all requests end a second earlier. "
+            "0: it is not killed.");
 }
 
 void addLimits(settings_table<entry_settings> &Table) {
   Table
       .number("limits.header_bytes", &entry_settings::HeaderBytes,
-              {16 * Kilobyte, Kilobyte, Megabyte}, "Largest head of a request.")
+              {16 * Kilobyte, Kilobyte, Megabyte}, "Maximum size of a request head.")
       .number("limits.max_connections", &entry_settings::MaxConnections, {8'192, 1, 1'000'000},
-              "Callers' connections at once; more wait in the kernel's queue.")
+              "Maximum number of caller connections; more wait in the listen queue of the kernel.")
       .number("limits.max_event_bytes", &entry_settings::MaxEventBytes,
-              {Megabyte, Kilobyte, 64 * Megabyte}, "Largest event of a stream.")
-      .number("limits.held_answer_bytes", &entry_settings::HeldAnswerBytes,
-              {64 * Kilobyte, 0, 64 * Megabyte},
-              "An answer with a length up to this is passed on when it is whole, so that a broken "
-              "one becomes an error and not a cut; 0: each part as it comes.")
+              {Megabyte, Kilobyte, 64 * Megabyte}, "Maximum size of an event of a stream.")
+      .number(
+          "limits.held_answer_bytes", &entry_settings::HeldAnswerBytes,
+          {64 * Kilobyte, 0, 64 * Megabyte},
+          "An answer with a length up to this is buffered and sent when it is complete, so that "
+          "a broken one becomes an error and not a truncated answer; 0: no buffering.")
       .number("limits.body_memory_bytes", &entry_settings::BodyMemory,
               {Gigabyte, Megabyte, 1024 * Gigabyte},
-              "All request bodies held at once; more are refused as not run.")
+              "Maximum memory for all request bodies; further requests are refused as not run.")
       .span("limits.header_timeout_ms", &entry_settings::HeaderTimeout,
-            {10 * Second, milliseconds(10), Hour}, "From the first byte of a head to its end.")
+            {10 * Second, milliseconds(10), Hour},
+            "Timeout from the first byte of a request head to its end.")
       .span("limits.body_timeout_ms", &entry_settings::BodyTimeout,
-            {Minute, milliseconds(10), Hour}, "From the end of a head to the end of its body.")
+            {Minute, milliseconds(10), Hour},
+            "Timeout from the end of a request head to the end of its body.")
       .span("limits.idle_timeout_ms", &entry_settings::IdleTimeout,
-            {75 * Second, milliseconds(10), Hour}, "A caller's connection between two requests.")
+            {75 * Second, milliseconds(10), Hour},
+            "Idle timeout of a caller connection between two requests.")
       .span("limits.write_stall_ms", &entry_settings::WriteStall,
             {30 * Second, milliseconds(10), Hour},
-            "A caller that takes no byte for so long counts as gone.")
+            "A caller that accepts no byte for this time counts as disconnected.")
       .span("limits.connect_timeout_ms", &entry_settings::ConnectTimeout,
-            {Second, milliseconds(1), Minute}, "To connect to a backend server.")
+            {Second, milliseconds(1), Minute},
+            "Timeout of a connection attempt to a backend server.")
       .span("limits.user_timeout_ms", &entry_settings::UserTimeout,
             {10 * Second, milliseconds(100), Hour},
-            "A backend server that acknowledges no sent byte for so long is given up.")
+            "A backend connection on which no sent byte is acknowledged for this time is closed.")
       .span("limits.ready_wait_ms", &entry_settings::ReadyWait,
             {milliseconds(0), milliseconds(0), Minute},
-            "A request that comes while no declaration is in force waits so long for one.")
+            "Maximum wait of a request that arrives while no declaration is in force.")
       .span("limits.cancel_timeout_ms", &entry_settings::CancelTimeout,
-            {2 * Second, milliseconds(10), Minute}, "One request that an attempt be ended.")
+            {2 * Second, milliseconds(10), Minute},
+            "Timeout of one cancel request to a backend server.")
       .span("limits.backend_idle_ms", &entry_settings::BackendIdle,
             {30 * Second, milliseconds(10), Hour},
-            "An unused connection to a backend server is closed after this.")
+            "Idle timeout of a connection to a backend server.")
       .span("shutdown_limit_s", &entry_settings::ShutdownLimit,
             {30 * Second, milliseconds(0), Hour},
-            "Admitted requests may run on for so long after SIGTERM.")
+            "Time after SIGTERM in which admitted requests may still run.")
       .text("log_level", &entry_settings::LogLevel, presence::Optional,
-            "debug, info, warning or error", checkLogLevel, "Least level that is logged.", "info");
+            "debug, info, warning or error", checkLogLevel, "Minimum level of logged events.",
+            "info");
 }
 
 } // namespace
--- a/programs/pollenstall-entry/entry_settings_type.h
+++ b/programs/pollenstall-entry/entry_settings_type.h
@@ -13,7 +13,7 @@
 
 namespace pollenstall {
 
-/// As the TOML file gives them; the table of entrySettings() has the meanings.
+/// Values of the TOML file; the table of entrySettings() describes them.
 struct entry_settings {
   std::string Host;
   std::string FailureDomain;
@@ -60,10 +60,10 @@
   std::chrono::milliseconds ShutdownLimit{};
 };
 
-/// @return The table that reads them.
+/// @return The table that parses and describes the settings.
 settings_table<entry_settings> entrySettings();
 
-/// @return The part of the settings that bounds the data plane.
+/// @return The settings that limit the relay.
 relay_limits limitsOf(const entry_settings &Settings);
 
 } // namespace pollenstall
--- a/programs/pollenstall-entry/entry_stop.cpp
+++ b/programs/pollenstall-entry/entry_stop.cpp
@@ -1,4 +1,4 @@
-/** @file entry_stop.cpp From SIGTERM to the end of the last answer. */
+/** @file entry_stop.cpp Graceful shutdown after SIGTERM. */
 #include "entry_base.h"
 
 #include <boost/asio/post.hpp>
@@ -10,12 +10,13 @@
 namespace {
 
 constexpr std::chrono::milliseconds PollPause{10};
-/// After the last answer, for backend servers to confirm what was cancelled.
+/// Time after the last answer for backend servers to confirm cancelled attempts.
 constexpr std::chrono::seconds CancelGrace{2};
-/// Before the kill: for the last answers to be written.
+/// Time reserved before the kill to write the last answers.
 constexpr std::chrono::milliseconds KillMargin{1'000};
-/// The dispatcher ends what is left at the limit; its answers still have to be written.
-constexpr std::chrono::seconds LastAnswers{1};
+/// The dispatcher ends the remaining requests at the limit; this is the time to write their
+/// answers.
+constexpr std::chrono::seconds FinalWriteTime{1};
 
 } // namespace
 
@@ -23,43 +24,45 @@
   if (!RelayThread.joinable())
     return;
   asio::post(Io, [this] { Relay->stop(); });
-  Work.reset();
+  IoWorkGuard.reset();
   RelayThread.join();
 }
 
 std::size_t entry::openCalls() {
   auto Answer = std::make_shared<std::promise<std::size_t>>();
-  std::future<std::size_t> Waiting = Answer->get_future();
+  std::future<std::size_t> Future = Answer->get_future();
   asio::post(Io, [this, Answer] { Answer->set_value(Relay->openCalls()); });
-  return Waiting.get();
+  return Future.get();
 }
 
-void entry::waitForCalls(mono_time Until, const std::function<std::size_t()> &Count) {
-  while (Count() > 0 && boot_clock::now() < Until)
+void entry::waitForZero(mono_time Deadline, const std::function<std::size_t()> &Count) {
+  while (Count() > 0 && boot_clock::now() < Deadline)
     std::this_thread::sleep_for(PollPause);
 }
 
 exit_code entry::shutDown() {
   logEvent(log_level::Info, "stopping");
   Stopping = true;
-  const mono_time Asked = boot_clock::now();
-  const mono_time Killed =
-      Settings.KillAfter.count() > 0 ? Asked + Settings.KillAfter - KillMargin : mono_time::max();
+  const mono_time RequestedAt = boot_clock::now();
+  const mono_time KillDeadline = Settings.KillAfter.count() > 0
+                                     ? RequestedAt + Settings.KillAfter - KillMargin
+                                     : mono_time::max();
   if (Settings.DrainTime.count() > 0) {
     asio::post(Io, [this] { Relay->beginDrain(); });
-    std::this_thread::sleep_until(std::chrono::steady_clock::now() +
-                                  std::min<mono_duration>(Settings.DrainTime, Killed - Asked));
+    std::this_thread::sleep_until(
+        std::chrono::steady_clock::now() +
+        std::min<mono_duration>(Settings.DrainTime, KillDeadline - RequestedAt));
   }
   asio::post(Io, [this] { Relay->beginStop(); });
-  const mono_time Limit = std::min(boot_clock::now() + Settings.ShutdownLimit, Killed);
+  const mono_time Limit = std::min(boot_clock::now() + Settings.ShutdownLimit, KillDeadline);
   Decision->beginShutdown(Limit - boot_clock::now());
-  waitForCalls(Limit + LastAnswers, [this] { return openCalls(); });
-  waitForCalls(boot_clock::now() + CancelGrace, [this] { return Decision->abandoned(); });
+  waitForZero(Limit + FinalWriteTime, [this] { return openCalls(); });
+  waitForZero(boot_clock::now() + CancelGrace, [this] { return Decision->abandoned(); });
   if (Gossip)
     Gossip->stop();
   Decision->stop();
   stopRelay();
-  const exit_code Code = CutOff ? exit_code::ShutdownLimit : exit_code::Ok;
+  const exit_code Code = ShutdownEndedCall ? exit_code::ShutdownLimit : exit_code::Ok;
   logEvent(log_level::Info, "stopped", {{"exit_code", static_cast<std::int64_t>(Code)}});
   return Code;
 }
--- a/programs/pollenstall-entry/main.cpp
+++ b/programs/pollenstall-entry/main.cpp
@@ -1,4 +1,5 @@
-/** @file main.cpp pollenstall-entry: serves callers and sends their requests to backend servers. */
+/** @file main.cpp pollenstall-entry: accepts requests of callers and sends them to backend servers.
+ */
 #include "entry_base.h"
 
 namespace {
@@ -8,7 +9,8 @@
 constexpr std::chrono::milliseconds SupersededCheck{500};
 
 exit_code runEntry(const entry_settings &Settings) {
-  const stop_signal Stop; // Before any thread, so that all of them leave the signals to this one.
+  const stop_signal
+      Stop; // Created before any thread, so that all threads inherit the blocked signals.
   startLogging("pollenstall-entry", logLevelFromText(Settings.LogLevel).value_or(log_level::Info));
   entry Entry(Settings);
   const auto Started = Entry.start();
@@ -29,7 +31,7 @@
 
 int main(int Count, char **Values) {
   const program_description Description{
-      "pollenstall-entry", "takes callers' requests and sends them to backend servers"};
+      "pollenstall-entry", "accepts requests of callers and sends them to backend servers"};
   return runProgram<entry_settings>(Count, const_cast<const char **>(Values), Description,
                                     entrySettings(), runEntry);
 }
--- a/tests/entry/bad_input_test.cpp
+++ b/tests/entry/bad_input_test.cpp
@@ -26,7 +26,7 @@
   /// A request that runs while the bad ones come must not notice them.
   void TearDown() override {
     EXPECT_TRUE(Fleet.chat("still served").ok());
-    EXPECT_TRUE(eventually([this] { return Fleet.atRest(); }));
+    EXPECT_TRUE(eventually([this] { return Fleet.isIdle(); }));
   }
 
   void expectRefused(const http_answer &Answer, const bad_case &Case) {
--- a/tests/entry/broken_answer_test.cpp
+++ b/tests/entry/broken_answer_test.cpp
@@ -8,8 +8,8 @@
 
 class BrokenAnswerTest : public ::testing::Test {
 protected:
-  void expectRest(entry_fleet &Fleet) {
-    EXPECT_TRUE(eventually([&Fleet] { return Fleet.atRest(); }))
+  void expectIdle(entry_fleet &Fleet) {
+    EXPECT_TRUE(eventually([&Fleet] { return Fleet.isIdle(); }))
         << boost::json::serialize(Fleet.dump());
   }
 };
@@ -20,13 +20,13 @@
   entry_fleet Fleet;
   ASSERT_TRUE(Fleet.engine().faults(R"({"cut_after_events":5})"));
   const auto Stream = Fleet.stream("a question", 30);
-  const std::vector<sse_event> Events = Stream->rest();
+  const std::vector<sse_event> Events = Stream->remainingEvents();
   ASSERT_FALSE(Events.empty());
   for (std::size_t Index = 0; Index < Events.size(); ++Index)
     EXPECT_EQ(Events[Index].Id, std::to_string(Index + 1));
   EXPECT_EQ(Events.back().Data, "[DONE]");
   EXPECT_EQ(Fleet.engine().stat("starts"), 1);
-  expectRest(Fleet);
+  expectIdle(Fleet);
 }
 
 TEST_F(BrokenAnswerTest, AStreamThatCannotGoOnEndsInAnErrorAndNeverCleanly) {
@@ -35,13 +35,13 @@
   entry_fleet Fleet({.EngineTables = "[capabilities]\nresumes = false\n"});
   ASSERT_TRUE(Fleet.engine().faults(R"({"cut_after_events":5})"));
   const auto Stream = Fleet.stream("a question", 30);
-  const std::vector<sse_event> Events = Stream->rest();
+  const std::vector<sse_event> Events = Stream->remainingEvents();
   ASSERT_FALSE(Events.empty());
   const boost::json::value Last = boost::json::parse(Events.back().Data);
   EXPECT_EQ(Last.at("error").at("outcome"), "unknown");
   EXPECT_EQ(Last.at("error").at("code"), "backend_failed");
-  EXPECT_FALSE(Stream->endedInOrder());
-  expectRest(Fleet);
+  EXPECT_FALSE(Stream->endedCleanly());
+  expectIdle(Fleet);
 }
 
 TEST_F(BrokenAnswerTest, AStreamThatEndsWithoutItsEndMarkIsNotTakenForWhole) {
@@ -49,11 +49,11 @@
   entry_fleet Fleet({.EngineTables = "[capabilities]\nresumes = false\n"});
   ASSERT_TRUE(Fleet.engine().faults(R"({"no_done_next":1})"));
   const auto Stream = Fleet.stream("a question", 5);
-  const std::vector<sse_event> Events = Stream->rest();
+  const std::vector<sse_event> Events = Stream->remainingEvents();
   ASSERT_FALSE(Events.empty());
   EXPECT_NE(Events.back().Data.find("\"outcome\":\"unknown\""), std::string::npos);
-  EXPECT_FALSE(Stream->endedInOrder());
-  expectRest(Fleet);
+  EXPECT_FALSE(Stream->endedCleanly());
+  expectIdle(Fleet);
 }
 
 TEST_F(BrokenAnswerTest, HalfOfAWholeAnswerIsToldAsAnErrorAndNotPassedOn) {
@@ -68,7 +68,7 @@
   EXPECT_EQ(Answer.header("X-Pollenstall-Outcome"), "unknown");
   EXPECT_TRUE(Answer.Error.empty()) << Answer.Error;
   EXPECT_EQ(Fleet.engine(0).stat("starts") + Fleet.engine(1).stat("starts"), 1);
-  expectRest(Fleet);
+  expectIdle(Fleet);
 }
 
 TEST_F(BrokenAnswerTest, HalfOfAWholeAnswerIsAskedForElsewhereWhereTheCallMayBeRepeated) {
@@ -79,7 +79,7 @@
   ASSERT_TRUE(Fleet.engine(1).faults(R"({"half_answer_next":1})"));
   EXPECT_TRUE(Fleet.chat("a question", 40).ok());
   EXPECT_EQ(Fleet.engine(0).stat("starts") + Fleet.engine(1).stat("starts"), 3);
-  expectRest(Fleet);
+  expectIdle(Fleet);
 }
 
 TEST_F(BrokenAnswerTest, AWholeAnswerBrokenInTheMiddleIsCutForTheCallerToo) {
@@ -91,7 +91,7 @@
   const http_answer Answer = Fleet.chat("a question", 40);
   EXPECT_EQ(Answer.Status, 200);
   EXPECT_FALSE(Answer.Error.empty()) << Answer.Body;
-  expectRest(Fleet);
+  expectIdle(Fleet);
 }
 
 TEST_F(BrokenAnswerTest, AnAnswerToAnotherAttemptReachesNobody) {
@@ -103,7 +103,7 @@
   const http_answer Answer = Fleet.chat("a question", 3);
   EXPECT_TRUE(Answer.ok()) << Answer.Body;
   EXPECT_GE(Fleet.metric("pollenstall_attempt_ends_total", "bad_answer"), 1);
-  expectRest(Fleet);
+  expectIdle(Fleet);
 }
 
 TEST_F(BrokenAnswerTest, DeclinedAndFailedWorkIsTriedElsewhere) {
@@ -114,7 +114,7 @@
   for (std::size_t Index = 0; Index < Fleet.engines(); ++Index)
     ASSERT_TRUE(Fleet.engine(Index).faults(R"({"decline_next":0,"error_next":1})"));
   EXPECT_TRUE(Fleet.chat("another question").ok());
-  expectRest(Fleet);
+  expectIdle(Fleet);
 }
 
 TEST_F(BrokenAnswerTest, WorkThatMayNotBeRepeatedIsToldAsUnknown) {
@@ -127,7 +127,7 @@
   EXPECT_EQ(Answer.Status, 502) << Answer.Body;
   EXPECT_EQ(Answer.header("X-Pollenstall-Outcome"), "unknown");
   EXPECT_EQ(Fleet.engine(0).stat("starts") + Fleet.engine(1).stat("starts"), 1);
-  expectRest(Fleet);
+  expectIdle(Fleet);
 }
 
 TEST_F(BrokenAnswerTest, WithEveryServerGoneTheCallerIsToldThatItWasNotRun) {
--- a/tests/entry/entry_fleet.cpp
+++ b/tests/entry/entry_fleet.cpp
@@ -15,7 +15,7 @@
 constexpr const char *OperatorKey = "operator-key";
 constexpr const char *FleetKey = "fleet-key";
 
-std::string declarationText(const fleet_plan &Plan) {
+std::string declarationText(const fleet_options &Plan) {
   return "[[service]]\nname = \"llm\"\nkind = \"model\"\nmodels = [\"m\"]\n" + Plan.ServiceLines +
          "[[service]]\nname = \"pages\"\nkind = \"plain\"\nroutes = [{ path_prefix = \"/pages\" }, "
          "{ path_prefix = \"/send\", idempotent = false }]\n"
@@ -28,7 +28,7 @@
          keyHash(CallerKey) + "\"]\n" + Plan.AccountLines + "[limits]\nretry_percent = 100\n";
 }
 
-std::string settingsText(const fleet_plan &Plan, const temp_folder &Folder,
+std::string settingsText(const fleet_options &Plan, const temp_folder &Folder,
                          const std::string &AnnouncementsAddress) {
   return Plan.EntryTop + "[host]\nname = \"e1\"\nfailure_domain = \"a\"\n" +
          "[fleet]\nname = \"test\"\nkey_file = \"" + Folder.path("fleet.key") + "\"\n" +
@@ -56,17 +56,17 @@
   return Value && Value->is_string() ? std::string(Value->get_string()) : std::string();
 }
 
-entry_fleet::entry_fleet(const fleet_plan &Plan) : Settings(Plan) {
+entry_fleet::entry_fleet(const fleet_options &Plan) : Settings(Plan) {
   startEntry(Plan);
   startBackends(Plan);
-  const std::size_t Wanted = Engines.size() + PlainServers.size();
-  const bool Known = eventually([this, Wanted] {
-    return knownBackends() == Wanted && operators().get("/readyz").Status == 200;
+  const std::size_t BackendCount = Engines.size() + PlainServers.size();
+  const bool AllKnown = eventually([this, BackendCount] {
+    return knownBackends() == BackendCount && operators().get("/readyz").Status == 200;
   });
-  requireInvariant(Known, "the entry learns of every backend server");
+  requireInvariant(AllKnown, "the entry learns of every backend server");
 }
 
-void entry_fleet::startEntry(const fleet_plan &Plan) {
+void entry_fleet::startEntry(const fleet_options &Plan) {
   (void)Folder.write("fleet.key", FleetKey);
   (void)Folder.write("declaration.toml", declarationText(Plan));
   const std::string File = Folder.path("addresses.json");
@@ -92,7 +92,7 @@
   startEntry(Settings);
 }
 
-void entry_fleet::startBackends(const fleet_plan &Plan) {
+void entry_fleet::startBackends(const fleet_options &Plan) {
   const std::string Announce = "[announce]\nto = [\"" + Announcements + "\"]\nkey_file = \"" +
                                Folder.path("fleet.key") + "\"\ninterval_ms = 100\n";
   for (int Index = 0; Index < Plan.Engines; ++Index)
@@ -116,10 +116,10 @@
 }
 
 http_answer entry_fleet::chat(const std::string &Prompt, int AnswerTokens,
-                              http_headers More) const {
+                              http_headers ExtraHeaders) const {
   for (auto &Header : callerKey())
-    More.push_back(Header);
-  return caller().post("/v1/chat/completions", chatBody("m", Prompt, false, AnswerTokens), More);
+    ExtraHeaders.push_back(Header);
+  return caller().post("/v1/chat/completions", chatBody("m", Prompt, false, AnswerTokens), ExtraHeaders);
 }
 
 std::unique_ptr<http_stream> entry_fleet::stream(const std::string &Prompt,
@@ -139,7 +139,7 @@
   return Sum;
 }
 
-bool entry_fleet::atRest() {
+bool entry_fleet::isIdle() {
   for (const auto &Engine : Engines)
     if (Engine->stat("running") != 0 || Engine->stat("waiting") != 0 ||
         Engine->stat("used_blocks") != 0 || Engine->stat("open_answers") != 0)
--- a/tests/entry/entry_fleet_base.h
+++ b/tests/entry/entry_fleet_base.h
@@ -11,7 +11,7 @@
 namespace pollenstall {
 
 /// What differs between fleets of tests.
-struct fleet_plan {
+struct fleet_options {
   std::string EntryLimits{};  ///< Lines of the table [limits].
   std::string EntryTop{};     ///< Lines at the top of the entry's settings.
   std::string ServiceLines{}; ///< Lines of the model service.
@@ -25,7 +25,7 @@
 /// Started and known to the entry once constructed.
 class entry_fleet {
 public:
-  explicit entry_fleet(const fleet_plan &Plan = {});
+  explicit entry_fleet(const fleet_options &Plan = {});
 
   [[nodiscard]] http_client caller() const { return http_client(Callers); }
   [[nodiscard]] http_client operators() const { return http_client(Operators); }
@@ -41,7 +41,7 @@
 
   /// @return A chat call's whole answer.
   [[nodiscard]] http_answer chat(const std::string &Prompt, int AnswerTokens = 2,
-                                 http_headers More = {}) const;
+                                 http_headers ExtraHeaders = {}) const;
   /// Opens a streamed chat call.
   [[nodiscard]] std::unique_ptr<http_stream> stream(const std::string &Prompt,
                                                     int AnswerTokens) const;
@@ -50,15 +50,15 @@
   /// @return The sum of all samples of a metric whose labels contain Label.
   [[nodiscard]] double metric(const std::string &Name, const std::string &Label = {}) const;
   /// @return Whether nothing is left anywhere: no request, no attempt, no block of memory.
-  [[nodiscard]] bool atRest();
+  [[nodiscard]] bool isIdle();
 
 private:
-  void startEntry(const fleet_plan &Plan);
-  void startBackends(const fleet_plan &Plan);
+  void startEntry(const fleet_options &Plan);
+  void startBackends(const fleet_options &Plan);
   [[nodiscard]] std::size_t knownBackends() const;
 
   temp_folder Folder;
-  fleet_plan Settings;
+  fleet_options Settings;
   std::unique_ptr<child_process> Entry;
   std::vector<std::unique_ptr<backend_process>> Engines;
   std::vector<std::unique_ptr<backend_process>> PlainServers;
--- a/tests/entry/leaving_caller_test.cpp
+++ b/tests/entry/leaving_caller_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Answers of these engines take long enough to leave in the middle.
-fleet_plan slowFleet() {
+fleet_options slowFleet() {
   return {.EntryLimits = "write_stall_ms = 300\n",
           .ServiceLines = "default_timeout_ms = 800000\n",
           .EngineTables = "[step]\nbase_us = 5000\nper_prefill_token_us = 100\n"};
@@ -17,8 +17,8 @@
 protected:
   entry_fleet Fleet{slowFleet()};
 
-  void expectRest() {
-    EXPECT_TRUE(eventually([this] { return Fleet.atRest(); }))
+  void expectIdle() {
+    EXPECT_TRUE(eventually([this] { return Fleet.isIdle(); }))
         << boost::json::serialize(Fleet.dump()) << boost::json::serialize(Fleet.engine().stats());
   }
   void waitForWork() {
@@ -33,7 +33,7 @@
   ASSERT_TRUE(Stream->next());
   waitForWork();
   Stream->close();
-  expectRest();
+  expectIdle();
   EXPECT_EQ(Fleet.engine().stat("cancels"), 1);
 }
 
@@ -46,7 +46,7 @@
                           std::to_string(Body.size()) + "\r\n\r\n" + Body));
   ASSERT_TRUE(eventually([this] { return Fleet.engine().stat("running") > 0; }));
   Socket.close();
-  expectRest();
+  expectIdle();
   EXPECT_EQ(Fleet.engine().stat("cancels"), 1);
   EXPECT_EQ(Fleet.engine().stat("events_sent"), 0) << "it ran on to the first token";
 }
@@ -62,7 +62,7 @@
                           std::to_string(Body.size()) + "\r\n\r\n" + Body));
   ASSERT_TRUE(eventually(
       [this] { return Fleet.metric("pollenstall_requests_total", "caller_left") == 1; }));
-  expectRest();
+  expectIdle();
 }
 
 TEST_F(LeavingCallerTest, ACancelThatIsLostIsRepeated) {
@@ -72,7 +72,7 @@
   const auto Stream = Fleet.stream("a question", 4'000);
   ASSERT_TRUE(Stream->next());
   Stream->close();
-  expectRest();
+  expectIdle();
 }
 
 TEST(LostEntry, AnEnginesMemoryComesBackAfterTheEntryThatTookItIsGone) {
--- a/tests/entry/log_reader_test.cpp
+++ b/tests/entry/log_reader_test.cpp
@@ -14,10 +14,10 @@
 // collector reads on it finds a line for each.
 TEST(ALogThatNobodyReads, DelaysNoRequest) {
   entry_fleet Fleet;
-  Fleet.entry().holdErrors();
+  Fleet.entry().pauseErrorReader();
   for (int Count = 0; Count < RequestsThatFillThePipe; ++Count)
     ASSERT_TRUE(Fleet.chat("a question", 1).ok()) << Count;
-  Fleet.entry().readErrors();
+  Fleet.entry().resumeErrorReader();
   EXPECT_TRUE(eventually([&Fleet] {
     return Fleet.entry().events("request_ended").size() >= RequestsThatFillThePipe;
   }));
--- a/tests/entry/stopping_test.cpp
+++ b/tests/entry/stopping_test.cpp
@@ -18,7 +18,7 @@
   EXPECT_EQ(Refused.Status, 503);
   EXPECT_EQ(Refused.header("X-Pollenstall-Outcome"), "not-run");
   EXPECT_FALSE(Refused.header("Retry-After").empty());
-  const std::vector<sse_event> Events = Stream->rest();
+  const std::vector<sse_event> Events = Stream->remainingEvents();
   ASSERT_FALSE(Events.empty());
   EXPECT_EQ(Events.back().Data, "[DONE]");
   EXPECT_EQ(Fleet.entry().wait(), 0);
@@ -31,7 +31,7 @@
   const auto Stream = Fleet.stream("a question", 4'000);
   ASSERT_TRUE(Stream->next());
   Fleet.entry().terminate();
-  const std::vector<sse_event> Events = Stream->rest();
+  const std::vector<sse_event> Events = Stream->remainingEvents();
   ASSERT_FALSE(Events.empty());
   EXPECT_NE(Events.back().Data.find("shutting_down"), std::string::npos) << Events.back().Data;
   EXPECT_EQ(Fleet.entry().wait(), 3);
@@ -46,7 +46,7 @@
   ASSERT_TRUE(Stream->next());
   Fleet.entry().signal(SIGHUP);
   EXPECT_TRUE(Fleet.entry().waitForEvent("reload_asked"));
-  const std::vector<sse_event> Events = Stream->rest();
+  const std::vector<sse_event> Events = Stream->remainingEvents();
   ASSERT_FALSE(Events.empty());
   EXPECT_EQ(Events.back().Data, "[DONE]");
   EXPECT_EQ(Fleet.chat("and another").Status, 200);
--- a/tests/entry/whole_path_test.cpp
+++ b/tests/entry/whole_path_test.cpp
@@ -36,12 +36,12 @@
 TEST_F(WholePathTest, AStreamHasEveryEventOnceAndItsEnd) {
   const auto Stream = Fleet.stream("a question", 40);
   ASSERT_EQ(Stream->status(), 200);
-  const std::vector<sse_event> Events = Stream->rest();
+  const std::vector<sse_event> Events = Stream->remainingEvents();
   ASSERT_FALSE(Events.empty());
   for (std::size_t Index = 0; Index < Events.size(); ++Index)
     EXPECT_EQ(Events[Index].Id, std::to_string(Index + 1));
   EXPECT_EQ(Events.back().Data, "[DONE]");
-  EXPECT_TRUE(Stream->endedInOrder());
+  EXPECT_TRUE(Stream->endedCleanly());
   const std::string Whole(Fleet.chat("a question", 40)
                               .json()
                               .at("choices")
@@ -50,7 +50,7 @@
                               .at("content")
                               .as_string());
   EXPECT_EQ(contentOf(Events), Whole);
-  EXPECT_TRUE(eventually([this] { return Fleet.atRest(); }));
+  EXPECT_TRUE(eventually([this] { return Fleet.isIdle(); }));
 }
 
 TEST_F(WholePathTest, TheOlderInterfaceAndTheListOfModelsWork) {
--- a/tests/fake_backend/backend_process_test.cpp
+++ b/tests/fake_backend/backend_process_test.cpp
@@ -36,8 +36,8 @@
   http_stream Stream = stream("h/1/2/1", 3);
   EXPECT_EQ(Stream.status(), 200);
   EXPECT_EQ(Stream.header("X-Pollenstall-Attempt"), "h/1/2/1");
-  const auto Events = Stream.rest();
-  EXPECT_TRUE(Stream.endedInOrder()) << Stream.error();
+  const auto Events = Stream.remainingEvents();
+  EXPECT_TRUE(Stream.endedCleanly()) << Stream.error();
   ASSERT_EQ(Events.size(), 7U);
   for (std::size_t Place = 0; Place < Events.size(); ++Place)
     EXPECT_EQ(Events[Place].Id, std::to_string(Place + 1));
@@ -49,16 +49,16 @@
 // The entry's connection breaks after three events; it asks for the rest under the attempt's name.
 // The two parts together must be the stream of an unbroken call: no event missing, none twice.
 TEST_F(a_backend_server, ResumesAtTheNextEvent) {
-  const auto Unbroken = stream("h/1/1/1", 40).rest();
+  const auto Unbroken = stream("h/1/1/1", 40).remainingEvents();
   ASSERT_TRUE(Backend.faults(R"({"cut_after_events":3})"));
   http_stream Broken = stream("h/1/2/1", 40);
-  auto Events = Broken.rest();
-  EXPECT_FALSE(Broken.endedInOrder());
+  auto Events = Broken.remainingEvents();
+  EXPECT_FALSE(Broken.endedCleanly());
   ASSERT_EQ(Events.size(), 3U);
   http_stream Resumed(Backend.address(), "GET", "/v1/attempts/h/1/2/1/stream", {},
                       {{"Last-Event-ID", "3"}});
   EXPECT_EQ(Resumed.header("X-Pollenstall-Attempt"), "h/1/2/1");
-  for (const sse_event &Event : Resumed.rest())
+  for (const sse_event &Event : Resumed.remainingEvents())
     Events.push_back(Event);
   ASSERT_EQ(Events.size(), Unbroken.size());
   for (std::size_t Place = 0; Place < Events.size(); ++Place) {
@@ -74,7 +74,7 @@
 TEST_F(a_backend_server, CannotResumeWhatItDoesNotHold) {
   const http_headers From{{"Last-Event-ID", "1"}};
   EXPECT_EQ(Client.get("/v1/attempts/h/1/9/1/stream", From).Status, 404);
-  stream("h/1/1/1", 1).rest();
+  stream("h/1/1/1", 1).remainingEvents();
   EXPECT_EQ(Client.get("/v1/attempts/h/1/1/1/stream", {{"Last-Event-ID", "5"}}).Status, 404);
 }
 
@@ -122,8 +122,8 @@
   ASSERT_TRUE(Backend.faults(R"({"half_answer_next":1,"no_done_next":1,"wrong_attempt_next":1})"));
   http_stream NoDone = stream("h/1/1/1", 2);
   EXPECT_EQ(NoDone.header("X-Pollenstall-Attempt"), "h/1/1/1-crossed");
-  EXPECT_EQ(NoDone.rest().size(), 5U);
-  EXPECT_TRUE(NoDone.endedInOrder());
+  EXPECT_EQ(NoDone.remainingEvents().size(), 5U);
+  EXPECT_TRUE(NoDone.endedCleanly());
   const auto Half = Client.post("/v1/chat/completions", chatBody("tactic-7b", "hello", false, 9));
   EXPECT_EQ(Half.Status, 200);
   EXPECT_FALSE(Half.Error.empty());
@@ -139,7 +139,7 @@
 
 TEST_F(a_backend_server, DiesInTheMiddleOfAStream) {
   ASSERT_TRUE(Backend.faults(R"({"die_after_events":5})"));
-  EXPECT_EQ(stream("h/1/1/1", 100).rest().size(), 5U);
+  EXPECT_EQ(stream("h/1/1/1", 100).remainingEvents().size(), 5U);
   EXPECT_EQ(Backend.process().wait(), 128 + SIGKILL);
 }
 
@@ -240,7 +240,7 @@
   const auto Declined = Client.post("/v1/chat/completions", chatBody("m", "hello", false, 1));
   EXPECT_EQ(Declined.Status, 503);
   EXPECT_EQ(Declined.header("X-Pollenstall-Started"), "no");
-  const auto Rest = Running.rest();
+  const auto Rest = Running.remainingEvents();
   EXPECT_EQ(Rest.size(), 303U);
   EXPECT_EQ(Rest.back().Data, "[DONE]");
   EXPECT_EQ(Backend.process().wait(), 0);
--- a/tests/platform/platform_path_test.cpp
+++ b/tests/platform/platform_path_test.cpp
@@ -34,7 +34,7 @@
 }
 
 /// An engine's answer of three events, the first after what an engine takes at the least.
-void answerWithEvents(scripted_server::tcp_socket &Socket, const seen_request &Request) {
+void answerWithEvents(scripted_server::tcp_socket &Socket, const received_request &Request) {
   constexpr milliseconds FirstEvent{20};
   const std::size_t At = Request.Head.find("Attempt-Id: ") + 12;
   const std::string Send = Request.Head.substr(At, Request.Head.find("\r\n", At) - At);
@@ -80,7 +80,7 @@
   std::pair<int, std::vector<sse_event>> ask(std::size_t Entry) {
     http_stream Stream(System->callers(Entry), "POST", "/x/2f", "a body", headers(nextSend()));
     const int Status = Stream.status();
-    return {Status, Status == Ok ? Stream.rest() : std::vector<sse_event>()};
+    return {Status, Status == Ok ? Stream.remainingEvents() : std::vector<sse_event>()};
   }
 
   /// @return The voters that a control host has logged last.
@@ -138,12 +138,12 @@
   }));
   EXPECT_EQ(Stream->header("Response-Signature"), Signature);
   EXPECT_EQ(Stream->header("Attempt-Id"), "send-" + std::to_string(Sends));
-  const std::vector<sse_event> Events = Stream->rest();
+  const std::vector<sse_event> Events = Stream->remainingEvents();
   ASSERT_EQ(Events.size(), 3U);
   EXPECT_EQ(Events[2].Id, "3");
-  EXPECT_TRUE(Stream->endedInOrder());
+  EXPECT_TRUE(Stream->endedCleanly());
   ASSERT_EQ(Engine.requests().size(), 1U);
-  const seen_request Seen = Engine.requests()[0];
+  const received_request Seen = Engine.requests()[0];
   EXPECT_EQ(Seen.Head.rfind("POST /x/2f?q=1 HTTP/1.1\r\n", 0), 0U);
   EXPECT_EQ(Seen.Body, "a body");
   EXPECT_NE(Seen.Head.find("Expected-Instance: i-1\r\n"), std::string::npos);
--- a/tests/platform/platform_system.cpp
+++ b/tests/platform/platform_system.cpp
@@ -57,7 +57,7 @@
   return Text.str();
 }
 
-std::string filledIn(std::string Template,
+std::string fillTemplate(std::string Template,
                      const std::vector<std::pair<std::string, std::string>> &Fields,
                      const std::vector<std::string> &SeedList) {
   std::string List;
@@ -97,7 +97,7 @@
   for (std::size_t Seed = 0; Seed < Seeds && Seed < Controls.size(); ++Seed)
     SeedList.push_back(at(Controls[Seed], ControlPlane));
   const std::string Text =
-      filledIn(readTemplate(Role),
+      fillTemplate(readTemplate(Role),
                {{"node_name", Role + "-" + std::to_string(Number)},
                 {"zone", "zone-" + std::to_string(Number % Seeds)},
                 {"region", "region"},
--- a/tests/platform/platform_system_base.h
+++ b/tests/platform/platform_system_base.h
@@ -17,7 +17,7 @@
 /// Fills a settings template in as the platform does: values, and the sections of seeds and of
 /// fields that may be missing. A field with an empty text has no value.
 /// @return The settings; a placeholder that has no value stays and is refused by the program.
-std::string filledIn(std::string Template,
+std::string fillTemplate(std::string Template,
                      const std::vector<std::pair<std::string, std::string>> &Fields,
                      const std::vector<std::string> &Seeds);
 
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -222,7 +222,7 @@
 }
 
 /// A control host whose answers the test sets.
-struct a_control_host : testing::Test {
+struct ControlHostRoutesTest : testing::Test {
   service_answer Answer{service_status::Accepted, {}};
   revision Offered;
   std::vector<backend_notice> Notices;
@@ -254,19 +254,19 @@
   }
 };
 
-TEST_F(a_control_host, TakesAConfigurationAndGivesItBack) {
+TEST_F(ControlHostRoutesTest, TakesAConfigurationAndGivesItBack) {
   EXPECT_EQ(call("GET", "/pollenstall/configuration").Status, 503U) << "none is known yet";
   EXPECT_EQ(call("PUT", "/pollenstall/configuration", Valid).Status, 200U);
   EXPECT_EQ(Offered, revision(7));
   EXPECT_EQ(call("GET", "/pollenstall/configuration").Body, Valid);
 }
 
-TEST_F(a_control_host, NeverAcknowledgesWhatIsInvalid) {
+TEST_F(ControlHostRoutesTest, NeverAcknowledgesWhatIsInvalid) {
   EXPECT_EQ(call("PUT", "/pollenstall/configuration", Valid.substr(0, 200)).Status, 400U);
   EXPECT_EQ(Offered, revision());
 }
 
-TEST_F(a_control_host, SendsCallersToTheLeader) {
+TEST_F(ControlHostRoutesTest, SendsCallersToTheLeader) {
   Answer = {service_status::NotLeader, "http://10.0.0.4:8"};
   const operator_reply Reply = call("PUT", "/pollenstall/configuration", Valid);
   EXPECT_EQ(Reply.Status, 307U);
@@ -277,7 +277,7 @@
 
 // Acknowledged, a leaving engine waits only so long for its last requests. Where nobody can tell
 // the entries, it must ask another host.
-TEST_F(a_control_host, AcknowledgesANoticeOnlyWhereItIsPassedOn) {
+TEST_F(ControlHostRoutesTest, AcknowledgesANoticeOnlyWhereItIsPassedOn) {
   const std::string Body =
       R"({"service":"s","address":"10.0.0.1:1","zone":"z","state":"draining","sequence":1})";
   EXPECT_EQ(call("PUT", "/pollenstall/instances/i-1", Body).Status, 200U);
--- a/tests/platform/settings_template_test.cpp
+++ b/tests/platform/settings_template_test.cpp
@@ -43,16 +43,16 @@
 struct filled_templates {
   explicit filled_templates(const fields &Replaced)
       : Entry(entrySettings().loadText(
-            filledIn(readTemplate("entry"), platformFields(Replaced), {"127.0.0.1:1"}), "entry")),
+            fillTemplate(readTemplate("entry"), platformFields(Replaced), {"127.0.0.1:1"}), "entry")),
         Control(controlSettingsTable().loadText(
-            filledIn(readTemplate("control"), platformFields(Replaced), {"127.0.0.1:1"}),
+            fillTemplate(readTemplate("control"), platformFields(Replaced), {"127.0.0.1:1"}),
             "control")) {}
 
   result<entry_settings, std::vector<settings_error>> Entry;
   result<control_settings, std::vector<settings_error>> Control;
 };
 
-void expectTaken(const fields &Replaced) {
+void expectAccepted(const fields &Replaced) {
   const filled_templates Filled(Replaced);
   const std::string What = Replaced.empty() ? "as usual" : Replaced.front().first;
   EXPECT_TRUE(succeeded(Filled.Entry)) << What << "\n" << toText(errorOf(Filled.Entry));
@@ -62,11 +62,11 @@
 // Figures of a site that is played at a share of its size are fractions: 51.8 retries beyond the
 // ratio, notices each 1,199.7 ms. Every process of such a site ended at its start.
 TEST(SettingsTemplates, TakeFractions) {
-  expectTaken({});
+  expectAccepted({});
   for (const char *Name : {"heartbeat_interval_ms", "bounds.grace_s", "bounds.retry_budget_extra",
                            "bounds.budget_window_s", "limits.link_mbps", "bounds.config_apply_ms",
                            "bounds.revocation_ms"})
-    expectTaken({{Name, "1199.7"}});
+    expectAccepted({{Name, "1199.7"}});
 }
 
 // A platform that tolerates the loss of a failure domain, and of no single host, says 0 hosts; one
@@ -74,7 +74,7 @@
 TEST(SettingsTemplates, TakeZero) {
   for (const char *Name :
        {"fault_tolerance.machines", "bounds.retry_budget_ratio", "bounds.retry_budget_extra"})
-    expectTaken({{Name, "0"}});
+    expectAccepted({{Name, "0"}});
 }
 
 // Figures that a platform does not give leave the defaults in force.
@@ -83,11 +83,11 @@
        {"bounds.grace_s", "bounds.retry_budget_ratio", "bounds.retry_budget_extra",
         "bounds.budget_window_s", "fault_tolerance.machines", "heartbeat_interval_ms",
         "limits.link_mbps", "bounds.config_apply_ms", "bounds.revocation_ms"})
-    expectTaken({{Name, ""}});
+    expectAccepted({{Name, ""}});
 }
 
 TEST(SettingsTemplates, TakeLargeFigures) {
-  expectTaken({{"fault_tolerance.machines", "9"},
+  expectAccepted({{"fault_tolerance.machines", "9"},
                {"bounds.retry_budget_extra", "2500000"},
                {"bounds.retry_budget_ratio", "1.5"},
                {"limits.link_mbps", "400000.0"}});
--- a/tests/relay/crash_watch_test.cpp
+++ b/tests/relay/crash_watch_test.cpp
@@ -68,7 +68,7 @@
 
 // Guards against a connection that breaks on its way being taken for a server's end.
 TEST_F(request_on_a_server_that_ends, IsNotReportedWhereTheServerStillListens) {
-  const scripted_server Resets([](auto &Socket, const seen_request &) { resetConnection(Socket); });
+  const scripted_server Resets([](auto &Socket, const received_request &) { resetConnection(Socket); });
   Relay.call("the prompt");
   Relay.start(Resets);
   Relay.next<attempt_failed>();
@@ -94,7 +94,7 @@
 // Guards against a request that waited for a place when it was blocked.
 TEST_F(request_on_a_server_that_ends, IsNotSentWhereItIsBlockedBeforeItsAttempt) {
   const request_fingerprint Mark = crashOnce();
-  const scripted_server Server([](auto &Socket, const seen_request &) {
+  const scripted_server Server([](auto &Socket, const received_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s1\r\nContent-Length: 2\r\n\r\nok");
   });
   Relay.call("the prompt");
@@ -108,7 +108,7 @@
 TEST_F(request_on_a_server_that_ends, IsToldToHaveEndedWellWhereItIsWatched) {
   const request_fingerprint Mark = crashOnce();
   suspect(Mark, std::chrono::milliseconds(0));
-  const scripted_server Server([](auto &Socket, const seen_request &) {
+  const scripted_server Server([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)) + "0\r\n\r\n");
   });
   Relay.call("the prompt");
--- a/tests/relay/headed_call_test.cpp
+++ b/tests/relay/headed_call_test.cpp
@@ -24,11 +24,11 @@
 // same body and the number of the last whole event, and goes on behind it. The caller reads one
 // stream: no event twice, none missing, no half of one.
 TEST(AStreamThatBreaksOff, GoesOnElsewhereBehindItsLastWholeEvent) {
-  const scripted_server Breaks([](auto &Socket, const seen_request &) {
+  const scripted_server Breaks([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1) + eventText(2) + "id: 3\ndata: ha"));
     resetConnection(Socket);
   });
-  const scripted_server GoesOn([](auto &Socket, const seen_request &) {
+  const scripted_server GoesOn([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(3) + eventText(4)) + "0\r\n\r\n");
   });
   headed_relay Relay;
@@ -66,7 +66,7 @@
 // power resets nothing. The caller would leave after two seconds; three gaps after the last event
 // the rest is asked for elsewhere.
 TEST(AStreamThatFallsSilent, IsGivenUpWhereAnotherAttemptMayFollow) {
-  const scripted_server Silent([](auto &Socket, const seen_request &) {
+  const scripted_server Silent([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)));
     waitForClose(Socket);
   });
@@ -80,7 +80,7 @@
 
 // The same where no other attempt may follow: an engine's silence is no reason to end its answer.
 TEST(AStreamThatFallsSilent, IsWaitedForWhereNoOtherAttemptMayFollow) {
-  const scripted_server Slow([](auto &Socket, const seen_request &) {
+  const scripted_server Slow([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)));
     std::this_thread::sleep_for(std::chrono::milliseconds(900));
     sendText(Socket, chunkOf(eventText(2)) + "0\r\n\r\n");
@@ -97,14 +97,14 @@
 // call has the longest time between two events, also where the next one came from another engine.
 TEST(AStreamWithAPause, IsRecordedWithTheLongestTimeBetweenTwoEvents) {
   constexpr std::chrono::milliseconds Pause{60};
-  const scripted_server Breaks([&](auto &Socket, const seen_request &) {
+  const scripted_server Breaks([&](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)));
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
     sendText(Socket, chunkOf(eventText(2)));
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
     resetConnection(Socket);
   });
-  const scripted_server Resumes([&](auto &Socket, const seen_request &) {
+  const scripted_server Resumes([&](auto &Socket, const received_request &) {
     std::this_thread::sleep_for(Pause);
     sendText(Socket, streamHead() + chunkOf(eventText(3)) + "0\r\n\r\n");
   });
@@ -125,7 +125,7 @@
 // A request reaches its server late. The record tells time in the entry from time on the way.
 TEST(ARequestThatWaitsForAnAttempt, IsRecordedWithTheTimeUntilItWasSent) {
   constexpr std::chrono::milliseconds Waits{30};
-  const scripted_server Server([](auto &Socket, const seen_request &) {
+  const scripted_server Server([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)) + "0\r\n\r\n");
   });
   headed_relay Relay;
@@ -142,7 +142,7 @@
 }
 
 TEST(AStreamWithAPause, HasNoTimeBetweenEventsWhereThereIsOne) {
-  const scripted_server One([](auto &Socket, const seen_request &) {
+  const scripted_server One([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)) + "0\r\n\r\n");
   });
   headed_relay Relay;
@@ -210,11 +210,11 @@
 // The second engine starts one event too early, as one that was asked to go on behind 2 and has
 // counted differently. The caller has event 2 already.
 TEST(AStreamThatBreaksOff, LeavesOutWhatTheCallerHas) {
-  const scripted_server Breaks([](auto &Socket, const seen_request &) {
+  const scripted_server Breaks([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1) + eventText(2)));
     resetConnection(Socket);
   });
-  const scripted_server Early([](auto &Socket, const seen_request &) {
+  const scripted_server Early([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(2) + eventText(3)) + "0\r\n\r\n");
   });
   headed_relay Relay;
@@ -231,11 +231,11 @@
 
 // The second engine leaves an event out. Passed on, the stream would lack a part and end as whole.
 TEST(AStreamThatBreaksOff, EndsCutWhereTheNextEngineLeavesAnEventOut) {
-  const scripted_server Breaks([](auto &Socket, const seen_request &) {
+  const scripted_server Breaks([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)));
     resetConnection(Socket);
   });
-  const scripted_server Skips([](auto &Socket, const seen_request &) {
+  const scripted_server Skips([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(3)) + "0\r\n\r\n");
   });
   headed_relay Relay;
@@ -253,7 +253,7 @@
 // An answer without a length ends with its connection. Closed, it is whole; reset, it is not, and
 // the caller must not take the part for the whole.
 TEST(AnAnswerWithoutALength, IsWholeWhereTheServerCloses) {
-  const scripted_server Closes([](auto &Socket, const seen_request &) {
+  const scripted_server Closes([](auto &Socket, const received_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s1\r\nConnection: close\r\n\r\nall of it");
   });
   headed_relay Relay(repeat_rule::Never);
@@ -267,7 +267,7 @@
 }
 
 TEST(AnAnswerWithoutALength, IsCutWhereTheServerResets) {
-  const scripted_server Resets([](auto &Socket, const seen_request &) {
+  const scripted_server Resets([](auto &Socket, const received_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s1\r\nConnection: close\r\n\r\nhalf");
     std::this_thread::sleep_for(std::chrono::milliseconds(20)); // The bytes go out before.
     resetConnection(Socket);
@@ -284,13 +284,13 @@
 // yet, so that another server's answer can be the caller's: it reads one whole answer.
 TEST(AnAnswerWithALength, IsAskedForElsewhereWhereItBreaksOff) {
   const std::string Head = "HTTP/1.1 200 OK\r\nX-Send: s1\r\nContent-Length: 10\r\n\r\n";
-  const scripted_server Breaks([&Head](auto &Socket, const seen_request &) {
+  const scripted_server Breaks([&Head](auto &Socket, const received_request &) {
     sendText(Socket, Head + "half:");
     std::this_thread::sleep_for(std::chrono::milliseconds(20)); // The bytes go out before.
     resetConnection(Socket);
   });
   const scripted_server Answers(
-      [&Head](auto &Socket, const seen_request &) { sendText(Socket, Head + "all of it."); });
+      [&Head](auto &Socket, const received_request &) { sendText(Socket, Head + "all of it."); });
   headed_relay Relay(repeat_rule::Always);
   Relay.call("p");
   Relay.start(Breaks, 1);
@@ -307,7 +307,7 @@
 // A kept connection brings an answer that belongs to another send. Passed on, a caller would read
 // somebody else's answer.
 TEST(AnAnswer, OfAnotherSendIsNotPassedOn) {
-  const scripted_server Crossed([](auto &Socket, const seen_request &) {
+  const scripted_server Crossed([](auto &Socket, const received_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s0\r\nContent-Length: 6\r\n\r\nsecret");
   });
   headed_relay Relay(repeat_rule::Never);
@@ -323,7 +323,7 @@
 // A server that says that it did not start has not run the request: the caller may be told so, by
 // the one status that promises it.
 TEST(AnAnswer, ThatSaysNotRunBecomesAPromise) {
-  const scripted_server Full([](auto &Socket, const seen_request &) {
+  const scripted_server Full([](auto &Socket, const received_request &) {
     sendText(Socket,
              "HTTP/1.1 503 Full\r\nX-Send: s1\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
   });
@@ -340,7 +340,7 @@
 // The server's own error is its answer where nothing better can follow; status and body stay its
 // own.
 TEST(AnAnswer, WithAnErrorIsPassedOnWhereNoOtherAttemptMayFollow) {
-  const scripted_server Fails([](auto &Socket, const seen_request &) {
+  const scripted_server Fails([](auto &Socket, const received_request &) {
     sendText(Socket,
              "HTTP/1.1 500 Oops\r\nX-Send: s1\r\nX-Sign: 7\r\nContent-Length: 4\r\n\r\noops");
   });
@@ -360,7 +360,7 @@
 // All control hosts were lost for a moment. The entry has no declaration in force when a request
 // comes, and has one again before its patience ends: the request is served, not refused.
 TEST(AnEntryWithoutADeclaration, LetsARequestWaitForTheNextOne) {
-  const scripted_server Server([](auto &Socket, const seen_request &) {
+  const scripted_server Server([](auto &Socket, const received_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s1\r\nContent-Length: 2\r\n\r\nok");
   });
   relay_limits Limits;
@@ -390,7 +390,7 @@
 }
 
 TEST(AHostThatStops, StillServesAndEndsTheConnectionBehindTheAnswer) {
-  const scripted_server Server([](auto &Socket, const seen_request &) {
+  const scripted_server Server([](auto &Socket, const received_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s1\r\nContent-Length: 2\r\n\r\nok");
   });
   headed_relay Relay(repeat_rule::Never);
@@ -406,7 +406,7 @@
 // attempt up, the server sees its connection end.
 TEST(ACallerThatLeaves, EndsTheWorkOfItsStream) {
   std::promise<bool> Ended;
-  const scripted_server Endless([&Ended](auto &Socket, const seen_request &) {
+  const scripted_server Endless([&Ended](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)));
     char Byte = 0;
     boost::system::error_code Code;
--- a/tests/relay/late_send_test.cpp
+++ b/tests/relay/late_send_test.cpp
@@ -24,14 +24,14 @@
 
   std::promise<void> Asked;
   std::promise<void> MayAnswer;
-  const scripted_server Keeper{[this](auto &Socket, const seen_request &Request) {
+  const scripted_server Keeper{[this](auto &Socket, const received_request &Request) {
     if (Request.Head.find("/hold/") != std::string::npos) {
       Asked.set_value();
       MayAnswer.get_future().wait();
     }
     sendText(Socket, Held);
   }};
-  const scripted_server Writer{[](auto &Socket, const seen_request &) {
+  const scripted_server Writer{[](auto &Socket, const received_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s1\r\nContent-Length: 2\r\n\r\nok");
   }};
 };
@@ -59,7 +59,7 @@
 
 // Guards against memory that is set aside for a caller who has left.
 TEST_F(request_that_waits_for_memory, AsksNoFurtherEngineOnceItsCallerHasLeft) {
-  const scripted_server Second([](auto &Socket, const seen_request &) { sendText(Socket, Held); });
+  const scripted_server Second([](auto &Socket, const received_request &) { sendText(Socket, Held); });
   headed_relay Relay;
   Relay.call("p");
   Relay.start(Writer, 1, true, {{Keeper.key(), Amount}, {Second.key(), Amount}});
@@ -68,7 +68,7 @@
   Relay.next<caller_left>();
   MayAnswer.set_value();
   Relay.next<attempt_failed>();
-  for (const seen_request &Request : Second.requests())
+  for (const received_request &Request : Second.requests())
     EXPECT_EQ(Request.Head.find("/hold/"), std::string::npos) << Request.Head;
 }
 
@@ -76,7 +76,7 @@
 struct request_on_a_kept_connection : testing::Test {
   const std::string Ok = "HTTP/1.1 200 OK\r\nX-Send: s1\r\nContent-Length: 2\r\n\r\nok";
   std::promise<bool> MoreCame;
-  const scripted_server Server{[this](auto &Socket, const seen_request &) {
+  const scripted_server Server{[this](auto &Socket, const received_request &) {
     sendText(Socket, Ok);
     char Byte = 0;
     boost::system::error_code Code;
--- a/tests/relay/memory_holds_test.cpp
+++ b/tests/relay/memory_holds_test.cpp
@@ -16,7 +16,7 @@
 /// What several servers were asked, in one order.
 class shared_order {
 public:
-  void note(const std::string &Who, const seen_request &Request) {
+  void note(const std::string &Who, const received_request &Request) {
     const std::lock_guard<std::mutex> Lock(Guard);
     const std::size_t From = Request.Head.find('/');
     Seen.push_back(Who + " " +
@@ -43,7 +43,7 @@
 
 struct memory_of_two_engines : testing::Test {
   scripted_server::script answering(const std::string &Who, const std::string &Answer) {
-    return [this, Who, Answer](auto &Socket, const seen_request &Request) {
+    return [this, Who, Answer](auto &Socket, const received_request &Request) {
       Order.note(Who, Request);
       sendText(Socket, Answer);
     };
@@ -95,12 +95,12 @@
   std::promise<void> GivenUp;
   std::promise<bool> Overtaken;
   scripted_server *Self = nullptr;
-  scripted_server First([&](auto &Socket, const seen_request &Request) {
+  scripted_server First([&](auto &Socket, const received_request &Request) {
     Order.note("first", Request);
     if (Request.Head.find("/hold/") != std::string::npos) {
       Asked.set_value();
       GivenUp.get_future().wait();
-      Overtaken.set_value(Self->anotherWaits());
+      Overtaken.set_value(Self->hasPendingConnection());
     }
     sendText(Socket, Held);
   });
--- a/tests/support/child_process.cpp
+++ b/tests/support/child_process.cpp
@@ -87,7 +87,7 @@
 }
 
 child_process::~child_process() {
-  ErrorsHeld = false; // Or the reader would wait for good.
+  ErrorReaderPaused = false; // Or the reader would wait for good.
   if (!ExitCode) {
     kill();
     wait();
@@ -132,7 +132,7 @@
     for (pollfd &Pipe : Pipes) {
       if (Pipe.fd < 0 || Pipe.revents == 0)
         continue;
-      while (Pipe.fd == ErrorPipe && ErrorsHeld)
+      while (Pipe.fd == ErrorPipe && ErrorReaderPaused)
         std::this_thread::sleep_for(std::chrono::milliseconds(1));
       const ssize_t Count = read(Pipe.fd, Bytes.data(), Bytes.size());
       const std::lock_guard<std::mutex> Lock(Guard);
@@ -141,7 +141,7 @@
       else if (Pipe.fd == OutputPipe)
         Output.append(Bytes.data(), static_cast<std::size_t>(Count));
       else
-        take(std::string(Bytes.data(), static_cast<std::size_t>(Count)));
+        appendErrorBytes(std::string(Bytes.data(), static_cast<std::size_t>(Count)));
     }
     Changed.notify_all();
   }
@@ -150,7 +150,7 @@
   Changed.notify_all();
 }
 
-void child_process::take(const std::string &Bytes) {
+void child_process::appendErrorBytes(const std::string &Bytes) {
   Partial += Bytes;
   for (auto End = Partial.find('\n'); End != std::string::npos; End = Partial.find('\n')) {
     Lines.push_back(Partial.substr(0, End));
--- a/tests/support/child_process_base.h
+++ b/tests/support/child_process_base.h
@@ -47,9 +47,9 @@
   /// Waits for its end. @return Exit code, 128 + signal where one ended it, nothing past the limit.
   std::optional<int> wait(std::chrono::milliseconds Limit = TestLimit);
 
-  /// Reads nothing of standard error until readErrors(): its pipe fills, and a write to it blocks.
-  void holdErrors() { ErrorsHeld = true; }
-  void readErrors() { ErrorsHeld = false; }
+  /// Reads nothing of standard error until resumeErrorReader(): its pipe fills, and a write to it blocks.
+  void pauseErrorReader() { ErrorReaderPaused = true; }
+  void resumeErrorReader() { ErrorReaderPaused = false; }
 
   /// @return The lines of standard error so far.
   [[nodiscard]] std::vector<std::string> errorLines() const;
@@ -65,7 +65,7 @@
 private:
   void start(const std::string &Path, const std::vector<std::string> &Arguments);
   void readAll();
-  void take(const std::string &Bytes);
+  void appendErrorBytes(const std::string &Bytes);
 
   pid_t Pid{-1};
   int OutputPipe{-1};
@@ -78,7 +78,7 @@
   std::string Partial;
   std::string Output;
   bool Closed{false};
-  std::atomic<bool> ErrorsHeld{false};
+  std::atomic<bool> ErrorReaderPaused{false};
   std::unique_ptr<temp_folder> Folder;
 };
 
--- a/tests/support/http_client.cpp
+++ b/tests/support/http_client.cpp
@@ -163,14 +163,14 @@
   }
 }
 
-std::vector<sse_event> http_stream::rest() {
+std::vector<sse_event> http_stream::remainingEvents() {
   std::vector<sse_event> Events;
   while (auto Event = next())
     Events.push_back(std::move(*Event));
   return Events;
 }
 
-bool http_stream::endedInOrder() const { return Parser.is_done(); }
+bool http_stream::endedCleanly() const { return Parser.is_done(); }
 
 void http_stream::close() { Stream.close(); }
 
--- a/tests/support/http_client_base.h
+++ b/tests/support/http_client_base.h
@@ -78,9 +78,9 @@
   /// @return The next event; nothing at the end of the body, a break or the limit.
   std::optional<sse_event> next();
   /// @return All further events.
-  std::vector<sse_event> rest();
+  std::vector<sse_event> remainingEvents();
   /// @return Whether the body ended as HTTP says it must, which says nothing of [DONE].
-  [[nodiscard]] bool endedInOrder() const;
+  [[nodiscard]] bool endedCleanly() const;
   /// Leaves, as a caller that hangs up.
   void close();
 
--- a/tests/support/scripted_server.cpp
+++ b/tests/support/scripted_server.cpp
@@ -15,8 +15,8 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-scripted_server::scripted_server(script Wanted)
-    : Acceptor(Io, tcp::endpoint(asio::ip::address_v4::loopback(), 0)), Answer(std::move(Wanted)),
+scripted_server::scripted_server(script RequestedScript)
+    : Acceptor(Io, tcp::endpoint(asio::ip::address_v4::loopback(), 0)), Answer(std::move(RequestedScript)),
       Thread([this] { serve(); }) {}
 
 scripted_server::~scripted_server() {
@@ -36,14 +36,14 @@
           incarnation(1)};
 }
 
-std::vector<seen_request> scripted_server::requests() const {
+std::vector<received_request> scripted_server::requests() const {
   const std::lock_guard<std::mutex> Lock(Guard);
   return Requests;
 }
 
-bool scripted_server::anotherWaits() {
-  pollfd Asked{Acceptor.native_handle(), POLLIN, 0};
-  return ::poll(&Asked, 1, 0) == 1;
+bool scripted_server::hasPendingConnection() {
+  pollfd PollRequest{Acceptor.native_handle(), POLLIN, 0};
+  return ::poll(&PollRequest, 1, 0) == 1;
 }
 
 void scripted_server::serve() {
@@ -59,10 +59,10 @@
     const std::size_t End = asio::read_until(Socket, asio::dynamic_buffer(Bytes), "\r\n\r\n", Code);
     if (Code)
       continue;
-    seen_request Request{Bytes.substr(0, End), Bytes.substr(End)};
-    const std::size_t At = Request.Head.find("Content-Length: ");
+    received_request Request{Bytes.substr(0, End), Bytes.substr(End)};
+    const std::size_t LengthOffset = Request.Head.find("Content-Length: ");
     const std::size_t Length =
-        At == std::string::npos ? 0 : std::stoul(Request.Head.substr(At + 16));
+        LengthOffset == std::string::npos ? 0 : std::stoul(Request.Head.substr(LengthOffset + 16));
     if (Request.Body.size() < Length)
       asio::read(Socket, asio::dynamic_buffer(Request.Body),
                  asio::transfer_exactly(Length - Request.Body.size()), Code);
--- a/tests/support/scripted_server_base.h
+++ b/tests/support/scripted_server_base.h
@@ -16,7 +16,7 @@
 namespace pollenstall {
 
 /// One request as a server has read it.
-struct seen_request {
+struct received_request {
   std::string Head;
   std::string Body;
 };
@@ -26,7 +26,7 @@
 public:
   using tcp_socket = boost::asio::ip::tcp::socket;
   /// Writes the answer's bytes; the connection is closed behind it, by a reset where it says so.
-  using script = std::function<void(tcp_socket &, const seen_request &)>;
+  using script = std::function<void(tcp_socket &, const received_request &)>;
 
   explicit scripted_server(script Answer);
   ~scripted_server();
@@ -34,9 +34,9 @@
   scripted_server &operator=(const scripted_server &) = delete;
 
   [[nodiscard]] backend_key key() const;
-  [[nodiscard]] std::vector<seen_request> requests() const;
+  [[nodiscard]] std::vector<received_request> requests() const;
   /// For its script: whether another connection waits to be served.
-  [[nodiscard]] bool anotherWaits();
+  [[nodiscard]] bool hasPendingConnection();
 
 private:
   void serve();
@@ -45,7 +45,7 @@
   boost::asio::ip::tcp::acceptor Acceptor;
   script Answer;
   mutable std::mutex Guard;
-  std::vector<seen_request> Requests;
+  std::vector<received_request> Requests;
   bool Stopping{false};
   std::thread Thread;
 };
--- a/tests/system/completion_test.cpp
+++ b/tests/system/completion_test.cpp
@@ -19,7 +19,7 @@
 
 class WorkThatMayBeRepeatedTest : public testing::Test {
 protected:
-  explicit WorkThatMayBeRepeatedTest(const system_plan &Plan = {}) : System(Plan) {}
+  explicit WorkThatMayBeRepeatedTest(const system_options &Plan = {}) : System(Plan) {}
 
   bool engineFaults(const std::string &Json) {
     for (std::size_t Index = 0; Index < System.engines(); ++Index)
@@ -92,8 +92,8 @@
   // entry asks for the sixth, and the caller reads every event once.
   ASSERT_TRUE(engineFaults(R"({"cut_after_events":5})"));
   for (std::size_t Entry = 0; Entry < running_system::EntryCount; ++Entry) {
-    const auto Events = System.stream(Entry, "cut " + std::to_string(Entry), 40)->rest();
-    EXPECT_TRUE(isWhole(Events)) << Events.size();
+    const auto Events = System.stream(Entry, "cut " + std::to_string(Entry), 40)->remainingEvents();
+    EXPECT_TRUE(isCompleteStream(Events)) << Events.size();
   }
 }
 
@@ -109,10 +109,10 @@
   // and the HTTP body stays unfinished, so that neither reader takes the part for the whole.
   ASSERT_TRUE(engineFaults(R"({"cut_after_events":5})"));
   const auto Stream = System.stream(0, "cut", 40);
-  const auto Events = Stream->rest();
+  const auto Events = Stream->remainingEvents();
   EXPECT_TRUE(endsInError(Events));
-  EXPECT_FALSE(isWhole(Events));
-  EXPECT_FALSE(Stream->endedInOrder());
+  EXPECT_FALSE(isCompleteStream(Events));
+  EXPECT_FALSE(Stream->endedCleanly());
 }
 
 TEST_F(AStreamThatCannotGoOnTest, NeverLooksWholeAfterItsEngineDied) {
@@ -120,10 +120,10 @@
   const auto Stream = System.stream(1, "killed", 400);
   ASSERT_TRUE(Stream->next());
   System.engine(System.busyEngine()).process().kill();
-  const auto Events = Stream->rest();
+  const auto Events = Stream->remainingEvents();
   EXPECT_TRUE(endsInError(Events));
-  EXPECT_FALSE(isWhole(Events));
-  EXPECT_FALSE(Stream->endedInOrder());
+  EXPECT_FALSE(isCompleteStream(Events));
+  EXPECT_FALSE(Stream->endedCleanly());
 }
 
 TEST_F(AStreamThatCannotGoOnTest, NeverLooksWholeAfterItsEntryDied) {
@@ -132,9 +132,9 @@
   const auto Stream = System.stream(2, "killed", 400);
   ASSERT_TRUE(Stream->next());
   System.killEntry(2);
-  const auto Events = Stream->rest();
+  const auto Events = Stream->remainingEvents();
   EXPECT_TRUE(Events.empty() || Events.back().Data != "[DONE]");
-  EXPECT_FALSE(Stream->endedInOrder());
+  EXPECT_FALSE(Stream->endedCleanly());
 }
 
 } // namespace
--- a/tests/system/declaration_test.cpp
+++ b/tests/system/declaration_test.cpp
@@ -206,7 +206,7 @@
     EXPECT_TRUE(eventually([&] { return !System.ready(Entry); })) << Entry;
     expectRefused(Entry);
   }
-  const auto Events = Stream->rest();
+  const auto Events = Stream->remainingEvents();
   ASSERT_FALSE(Events.empty());
   EXPECT_EQ(Events.back().Data, "[DONE]");
   startAllControl();
--- a/tests/system/leaving_test.cpp
+++ b/tests/system/leaving_test.cpp
@@ -42,7 +42,7 @@
     const auto Start = steady_clock::now();
     const std::string &Address = System.engine(Engine).address();
     for (const std::size_t Entry : Entries)
-      EXPECT_TRUE(eventually([&] { return !System.takesWork(Entry, Address); })) << Entry;
+      EXPECT_TRUE(eventually([&] { return !System.acceptsWork(Entry, Address); })) << Entry;
     const auto Took = steady_clock::now() - Start;
     const auto Millis = std::chrono::duration_cast<std::chrono::milliseconds>(Took).count();
     std::cout << "leaving known at " << Entries.size() << " entries after " << Millis << " ms\n";
@@ -68,9 +68,9 @@
   askEverywhere();
   EXPECT_EQ(sentTo(Engine), Sent);
   EXPECT_EQ(System.engine(Engine).stat("running"), 1) << "the stream ended too early for this test";
-  std::vector<sse_event> Events = First->rest();
+  std::vector<sse_event> Events = First->remainingEvents();
   EXPECT_EQ(Events.back().Data, "[DONE]");
-  EXPECT_TRUE(First->endedInOrder());
+  EXPECT_TRUE(First->endedCleanly());
   EXPECT_EQ(System.engine(Engine).process().wait(), 0);
 }
 
@@ -117,7 +117,7 @@
   const std::int64_t Sent = sentTo(Engine);
   askEverywhere();
   EXPECT_EQ(sentTo(Engine), Sent);
-  const auto Events = Stream->rest();
+  const auto Events = Stream->remainingEvents();
   ASSERT_FALSE(Events.empty());
   EXPECT_EQ(Events.back().Data, "[DONE]");
   ASSERT_EQ(System.ctl({"drain", Address, "--undo"}), 0);
@@ -136,7 +136,7 @@
   System.restartEngine(0);
   for (const std::size_t Entry : All) {
     const std::string &Address = System.engine(0).address();
-    EXPECT_TRUE(eventually([&] { return System.takesWork(Entry, Address); })) << Entry;
+    EXPECT_TRUE(eventually([&] { return System.acceptsWork(Entry, Address); })) << Entry;
   }
   EXPECT_TRUE(eventually([this] {
     askEverywhere();
@@ -158,10 +158,10 @@
   EXPECT_FALSE(Question.header("Retry-After").empty());
   EXPECT_EQ(System.startsByKey("late"), 0);
   EXPECT_EQ(ask(1, 2), 2);
-  const auto Events = Stream->rest();
+  const auto Events = Stream->remainingEvents();
   ASSERT_FALSE(Events.empty());
   EXPECT_EQ(Events.back().Data, "[DONE]");
-  EXPECT_TRUE(Stream->endedInOrder());
+  EXPECT_TRUE(Stream->endedCleanly());
   EXPECT_EQ(System.entry(0).wait(), 0);
 }
 
--- a/tests/system/memory_test.cpp
+++ b/tests/system/memory_test.cpp
@@ -32,8 +32,8 @@
   }
 
   /// The stand-in's own count and the entries' ledgers must agree on nothing.
-  void expectRest() {
-    EXPECT_TRUE(eventually([this] { return System.memoryAtRest(); }))
+  void expectMemoryReleased() {
+    EXPECT_TRUE(eventually([this] { return System.isMemoryReleased(); }))
         << boost::json::serialize(System.dump(0)) << System.engine(0).client().get("/stats").Body
         << System.engine(1).client().get("/stats").Body;
     for (std::size_t Index = 0; Index < System.engines(); ++Index)
@@ -72,7 +72,7 @@
     return System.chat(1, Long, 100, {{"X-Request-Timeout-Ms", "500"}});
   });
   (void)Asked.get();
-  expectRest();
+  expectMemoryReleased();
 }
 
 TEST_F(EngineMemoryTest, ComesBackAfterStreamsWereCutAndResumed) {
@@ -81,10 +81,10 @@
     ASSERT_TRUE(engineFaults(R"({"cut_after_events":3})"));
     const auto Left = System.stream(0, "left " + std::to_string(Round), EndlessTokens);
     EXPECT_TRUE(Left->next());
-    EXPECT_TRUE(isWhole(System.stream(1, "read " + std::to_string(Round), 20)->rest()));
+    EXPECT_TRUE(isCompleteStream(System.stream(1, "read " + std::to_string(Round), 20)->remainingEvents()));
     Left->close();
   }
-  expectRest();
+  expectMemoryReleased();
 }
 
 TEST_F(EngineMemoryTest, ComesBackAfterAnEntryWasKilledWithStreamsOpen) {
@@ -97,10 +97,10 @@
   ASSERT_TRUE(Mine->next());
   System.killEntry(0);
   System.startEntry(0);
-  const auto Events = Mine->rest();
+  const auto Events = Mine->remainingEvents();
   ASSERT_FALSE(Events.empty());
   EXPECT_EQ(Events.back().Data, "[DONE]");
-  expectRest();
+  expectMemoryReleased();
 }
 
 TEST_F(EngineMemoryTest, ComesBackAfterAnEngineWasKilled) {
@@ -111,10 +111,10 @@
   System.engine(Engine).process().kill();
   (void)System.engine(Engine).process().wait();
   System.restartEngine(Engine);
-  EXPECT_TRUE(eventually([&] { return System.takesWork(0, System.engine(Engine).address()); }));
+  EXPECT_TRUE(eventually([&] { return System.acceptsWork(0, System.engine(Engine).address()); }));
   for (const auto &Stream : Streams)
     Stream->close();
-  expectRest();
+  expectMemoryReleased();
   EXPECT_TRUE(System.chat(0, "and it serves on").ok());
 }
 
--- a/tests/system/once_test.cpp
+++ b/tests/system/once_test.cpp
@@ -12,7 +12,7 @@
 class WorkThatMustRunOnceTest : public testing::Test {
 protected:
   /// What every story ends with: whoever was told "not run", nothing ran.
-  void expectTruth(const std::string &Key, const http_answer &Answer) const {
+  void expectAtMostOneStart(const std::string &Key, const http_answer &Answer) const {
     const std::int64_t Starts = System.startsByKey(Key);
     EXPECT_LE(Starts, 1) << Key;
     EXPECT_FALSE(Starts > 0 && outcomeOf(Answer) == "not-run") << Key << ": " << Answer.Body;
@@ -23,7 +23,7 @@
     const http_answer Again = System.send(Entry, Key);
     EXPECT_EQ(Again.Status, Conflict) << Again.Error << Again.Body;
     EXPECT_EQ(outcomeOf(Again), "unknown") << Again.Body;
-    expectTruth(Key, Again);
+    expectAtMostOneStart(Key, Again);
   }
 
   running_system System;
@@ -35,7 +35,7 @@
   // have had its effect: the resend meets the claim that was durable before the first byte went
   // out, is told "unknown", and nothing starts a second time.
   ASSERT_TRUE(System.plainFaults(Slow));
-  auto First = System.sendLater(0, "letter");
+  auto First = System.sendAsync(0, "letter");
   (void)System.waitForStart("letter");
   System.killEntry(0);
   EXPECT_NE(First.get().Error, "");
@@ -53,15 +53,15 @@
   std::vector<std::future<http_answer>> Sends;
   Sends.reserve(Letters);
   for (int Letter = 0; Letter < Letters; ++Letter)
-    Sends.push_back(System.sendLater(0, "k" + std::to_string(Letter)));
+    Sends.push_back(System.sendAsync(0, "k" + std::to_string(Letter)));
   (void)System.waitForStart("k0");
   System.killEntry(0);
   for (auto &Send : Sends)
     (void)Send.get();
   for (int Letter = 0; Letter < Letters; ++Letter) {
     const std::string Key = "k" + std::to_string(Letter);
-    expectTruth(Key, System.send(1, Key));
-    expectTruth(Key, System.send(2, Key));
+    expectAtMostOneStart(Key, System.send(1, Key));
+    expectAtMostOneStart(Key, System.send(2, Key));
   }
 }
 
@@ -70,15 +70,15 @@
   // another entry. Another server is free, but the letter may go out yet, and does when the first
   // one goes on: both sends and a later one together start it once.
   ASSERT_TRUE(System.plainFaults(R"({"late_ms":300})"));
-  auto First = System.sendLater(0, "frozen");
+  auto First = System.sendAsync(0, "frozen");
   const std::size_t Server = System.waitForStart("frozen");
   System.plain(Server).process().stop();
-  auto Resend = System.sendLater(1, "frozen");
+  auto Resend = System.sendAsync(1, "frozen");
   const http_answer Again = Resend.get();
   EXPECT_EQ(Again.Status, Conflict) << Again.Body;
   System.plain(Server).process().resume();
   const http_answer Answer = First.get();
-  expectTruth("frozen", Answer);
+  expectAtMostOneStart("frozen", Answer);
   EXPECT_TRUE(Answer.ok()) << Answer.Error << Answer.Body;
   const http_answer Later = System.send(2, "frozen");
   EXPECT_EQ(Later.Status, Conflict) << Later.Body;
@@ -90,7 +90,7 @@
   // The backend server is killed midway. Nobody can tell whether the letter left, so the caller is
   // told "unknown" at once, by the first entry and by any other, and the second server gets none.
   ASSERT_TRUE(System.plainFaults(Slow));
-  auto First = System.sendLater(0, "killed");
+  auto First = System.sendAsync(0, "killed");
   const std::size_t Server = System.waitForStart("killed");
   System.plain(Server).process().kill();
   const http_answer Answer = First.get();
@@ -104,7 +104,7 @@
   // Between the send and the resend the leader that granted the claim is killed. Its successor
   // knows the claim, because a quorum had it on disk before the first byte went out.
   ASSERT_TRUE(System.plainFaults(Slow));
-  auto First = System.sendLater(0, "leader");
+  auto First = System.sendAsync(0, "leader");
   (void)System.waitForStart("leader");
   const std::size_t Old = System.control().waitForLeader();
   System.control().kill(Old);
@@ -114,7 +114,7 @@
   http_answer Again;
   ASSERT_TRUE(eventually([&] {
     Again = System.send(1, "leader");
-    expectTruth("leader", Again);
+    expectAtMostOneStart("leader", Again);
     return Again.Status == Conflict;
   })) << Again.Body;
   EXPECT_EQ(System.startsByKey("leader"), 1);
@@ -136,15 +136,15 @@
   System.control().start(1);
   ASSERT_TRUE(eventually([&] { return System.allReady(); }));
   for (std::size_t Entry = 0; Entry < running_system::EntryCount; ++Entry)
-    expectTruth("before", System.send(Entry, "before"));
+    expectAtMostOneStart("before", System.send(Entry, "before"));
   http_answer Sent;
   ASSERT_TRUE(eventually([&] {
     Sent = System.send(1, "during");
-    expectTruth("during", Sent);
+    expectAtMostOneStart("during", Sent);
     return System.startsByKey("during") == 1;
   })) << Refused.Body
       << " and at last " << Sent.Status << Sent.Error << Sent.Body;
-  expectTruth("during", System.send(2, "during"));
+  expectAtMostOneStart("during", System.send(2, "during"));
   EXPECT_EQ(System.startsByKey("before"), 1);
 }
 
@@ -159,7 +159,7 @@
   ASSERT_TRUE(System.plainFaults(R"({"decline_next":0})"));
   ASSERT_TRUE(eventually([&] { return System.send(1, "declined").ok(); }));
   EXPECT_EQ(System.startsByKey("declined"), 1);
-  expectTruth("declined", System.send(2, "declined"));
+  expectAtMostOneStart("declined", System.send(2, "declined"));
 }
 
 } // namespace
--- a/tests/system/running_system.cpp
+++ b/tests/system/running_system.cpp
@@ -34,14 +34,14 @@
 
 std::string bearer(const std::string &Key) { return "Bearer " + Key; }
 
-http_headers asCaller(http_headers More = {}) {
-  More.emplace_back("Authorization", bearer(CallerKey));
-  return More;
+http_headers asCaller(http_headers ExtraHeaders = {}) {
+  ExtraHeaders.emplace_back("Authorization", bearer(CallerKey));
+  return ExtraHeaders;
 }
 
-std::size_t lengthAt(const boost::json::value &Dump, const char *Place) {
+std::size_t lengthAt(const boost::json::value &Dump, const char *Pointer) {
   boost::json::error_code Code;
-  const boost::json::value *Found = Dump.find_pointer(Place, Code);
+  const boost::json::value *Found = Dump.find_pointer(Pointer, Code);
   return Found && Found->is_array() ? Found->get_array().size() : 0;
 }
 
@@ -49,14 +49,14 @@
 
 std::string outcomeOf(const http_answer &Answer) { return Answer.header("X-Pollenstall-Outcome"); }
 
-bool isWhole(const std::vector<sse_event> &Events) {
+bool isCompleteStream(const std::vector<sse_event> &Events) {
   for (std::size_t Index = 0; Index < Events.size(); ++Index)
     if (Events[Index].Id != std::to_string(Index + 1))
       return false;
   return !Events.empty() && Events.back().Data == "[DONE]";
 }
 
-running_system::running_system(const system_plan &Wanted) : Plan(Wanted), Control(3, ShortTimes) {
+running_system::running_system(const system_options &Wanted) : Plan(Wanted), Control(3, ShortTimes) {
   (void)Folder.write("fleet.key", FleetKey);
   (void)Folder.write("operator.key", control_cluster::operatorKey());
   (void)Control.waitForLeader(); // Its hosts hold their ports now, and none is drawn twice.
@@ -150,11 +150,11 @@
 
 std::string running_system::backendSettings(const std::string &Top,
                                             const std::string &Tables) const {
-  std::vector<std::string> To;
+  std::vector<std::string> AnnounceAddresses;
   for (const entry_process &Entry : Entries)
-    To.push_back(Entry.Announcements);
+    AnnounceAddresses.push_back(Entry.Announcements);
   return "fleet = " + quoted(control_cluster::fleet()) + "\n" + Top +
-         "[announce]\nto = " + listOf(To) + "\nkey_file = " + quoted(Folder.path("fleet.key")) +
+         "[announce]\nto = " + listOf(AnnounceAddresses) + "\nkey_file = " + quoted(Folder.path("fleet.key")) +
          "\ninterval_ms = 100\n" + Tables;
 }
 
@@ -202,7 +202,7 @@
       .json();
 }
 
-bool running_system::takesWork(std::size_t Entry, const std::string &Backend) const {
+bool running_system::acceptsWork(std::size_t Entry, const std::string &Backend) const {
   const boost::json::value State = dump(Entry);
   boost::json::error_code Code;
   const boost::json::value *Records = State.find_pointer("/decisions/scheduling/backends", Code);
@@ -240,7 +240,7 @@
                             asCaller({{"Idempotency-Key", Key}}));
 }
 
-std::future<http_answer> running_system::sendLater(std::size_t Entry,
+std::future<http_answer> running_system::sendAsync(std::size_t Entry,
                                                    const std::string &Key) const {
   return std::async(std::launch::async, [this, Entry, Key] { return send(Entry, Key); });
 }
@@ -270,16 +270,16 @@
 }
 
 http_answer running_system::chat(std::size_t Entry, const std::string &Prompt, int AnswerTokens,
-                                 http_headers More) const {
+                                 http_headers ExtraHeaders) const {
   return caller(Entry).post("/v1/chat/completions", chatBody("m", Prompt, false, AnswerTokens),
-                            asCaller(std::move(More)));
+                            asCaller(std::move(ExtraHeaders)));
 }
 
 std::unique_ptr<http_stream> running_system::stream(std::size_t Entry, const std::string &Prompt,
-                                                    int AnswerTokens, http_headers More) const {
+                                                    int AnswerTokens, http_headers ExtraHeaders) const {
   return std::make_unique<http_stream>(Entries.at(Entry).Callers, "POST", "/v1/chat/completions",
                                        chatBody("m", Prompt, true, AnswerTokens),
-                                       asCaller(std::move(More)));
+                                       asCaller(std::move(ExtraHeaders)));
 }
 
 std::size_t running_system::busyEngine() const {
@@ -294,7 +294,7 @@
   return Found ? Busy : 0;
 }
 
-bool running_system::memoryAtRest() const {
+bool running_system::isMemoryReleased() const {
   for (const auto &Engine : Engines)
     if (Engine->stat("used_blocks") != 0 || Engine->stat("running") != 0 ||
         Engine->stat("waiting") != 0)
@@ -314,10 +314,10 @@
   child_process Tool("pollenstallctl", std::move(Arguments));
   const int Code = Tool.wait().value_or(-1);
   if (Code != 0) {
-    std::string Said = Tool.output();
+    std::string CommandOutput = Tool.output();
     for (const std::string &Line : Tool.errorLines())
-      Said += Line + "\n";
-    std::cout << "pollenstallctl ended with " << Code << ": " << Said << "\n";
+      CommandOutput += Line + "\n";
+    std::cout << "pollenstallctl ended with " << Code << ": " << CommandOutput << "\n";
   }
   return Code;
 }
--- a/tests/system/running_system_base.h
+++ b/tests/system/running_system_base.h
@@ -13,7 +13,7 @@
 namespace pollenstall {
 
 /// What differs between the systems of the tests.
-struct system_plan {
+struct system_options {
   int Engines{2};
   int Plain{2};
   std::string EngineTop{};    ///< Lines at the top of the engines' settings.
@@ -27,14 +27,14 @@
 public:
   static constexpr std::size_t EntryCount = 3;
 
-  explicit running_system(const system_plan &Wanted = {});
+  explicit running_system(const system_options &Wanted = {});
 
   control_cluster &control() { return Control; }
   [[nodiscard]] child_process &entry(std::size_t Index) { return *Entries.at(Index).Process; }
   [[nodiscard]] backend_process &engine(std::size_t Index) { return *Engines.at(Index); }
   [[nodiscard]] backend_process &plain(std::size_t Index) { return *PlainServers.at(Index); }
   [[nodiscard]] std::size_t engines() const { return Engines.size(); }
-  [[nodiscard]] std::size_t plains() const { return PlainServers.size(); }
+  [[nodiscard]] std::size_t plainServerCount() const { return PlainServers.size(); }
   [[nodiscard]] http_client caller(std::size_t Entry) const;
   [[nodiscard]] http_client operators(std::size_t Entry) const;
 
@@ -53,7 +53,7 @@
   /// @return What /dump shows.
   [[nodiscard]] boost::json::value dump(std::size_t Entry) const;
   /// @return Whether the entry's scheduler would give the backend server at the address new work.
-  [[nodiscard]] bool takesWork(std::size_t Entry, const std::string &Backend) const;
+  [[nodiscard]] bool acceptsWork(std::size_t Entry, const std::string &Backend) const;
   /// @return The revision that the entry uses, by its metrics.
   [[nodiscard]] std::uint64_t revisionInUse(std::size_t Entry) const;
   /// @return How many attempts the entry gave up whose end nobody has confirmed.
@@ -69,7 +69,7 @@
   /// @return The whole answer to a call that must run once, sent with the key.
   [[nodiscard]] http_answer send(std::size_t Entry, const std::string &Key) const;
   /// The same, while the test goes on.
-  [[nodiscard]] std::future<http_answer> sendLater(std::size_t Entry, const std::string &Key) const;
+  [[nodiscard]] std::future<http_answer> sendAsync(std::size_t Entry, const std::string &Key) const;
   /// @return How often any plain server started work under the key.
   [[nodiscard]] std::int64_t startsByKey(const std::string &Key) const;
   /// Waits until a plain server has started work under the key. @return Which.
@@ -78,13 +78,13 @@
   bool plainFaults(const std::string &Json) const;
 
   [[nodiscard]] http_answer chat(std::size_t Entry, const std::string &Prompt, int AnswerTokens = 2,
-                                 http_headers More = {}) const;
+                                 http_headers ExtraHeaders = {}) const;
   [[nodiscard]] std::unique_ptr<http_stream> stream(std::size_t Entry, const std::string &Prompt,
-                                                    int AnswerTokens, http_headers More = {}) const;
+                                                    int AnswerTokens, http_headers ExtraHeaders = {}) const;
   /// @return The engine that runs something; waits for it.
   [[nodiscard]] std::size_t busyEngine() const;
   /// @return Whether every engine's memory is free and no entry has an attempt left to confirm.
-  [[nodiscard]] bool memoryAtRest() const;
+  [[nodiscard]] bool isMemoryReleased() const;
 
   /// Runs pollenstallctl. @return Its exit code.
   int ctl(std::vector<std::string> Words) const;
@@ -104,7 +104,7 @@
   [[nodiscard]] std::string engineTop() const;
   [[nodiscard]] std::string addressFile(std::size_t Index) const;
 
-  system_plan Plan;
+  system_options Plan;
   temp_folder Folder;
   control_cluster Control;
   std::vector<entry_process> Entries;
@@ -116,7 +116,7 @@
 /// @return "not-run", "unknown" or nothing, as the answer's head says.
 std::string outcomeOf(const http_answer &Answer);
 /// @return Whether the events are numbered from one without a gap and end with the end mark.
-bool isWhole(const std::vector<sse_event> &Events);
+bool isCompleteStream(const std::vector<sse_event> &Events);
 
 } // namespace pollenstall
 
