--- a/tests/platform/platform_path_test.cpp
+++ b/tests/platform/platform_path_test.cpp
@@ -1,4 +1,4 @@
-/** @file platform_path_test.cpp The whole path in the platform's manner, with real processes. */
+/** @file platform_path_test.cpp Calls over the platform protocol through real processes. */
 #include "platform_system_base.h"
 
 #include <gtest/gtest.h>
@@ -33,7 +33,7 @@
  "tenants":[{"name":"t1","api_keys":["k1"],"priority":1}]})";
 }
 
-/// An engine's answer of three events, the first after what an engine takes at the least.
+/// Answers with three events; the first follows after the minimum time of an engine.
 void answerWithEvents(scripted_server::tcp_socket &Socket, const received_request &Request) {
   constexpr milliseconds FirstEvent{20};
   const std::size_t At = Request.Head.find("Attempt-Id: ") + 12;
@@ -60,7 +60,7 @@
       ASSERT_TRUE(eventually([&] { return System->ready(Entry); })) << Entry;
   }
 
-  /// The engine says that it is there, as it does again and again.
+  /// Sends a notice of the engine to the control hosts, as engines do periodically.
   bool announce(const std::string &Instance, const scripted_server &Engine,
                 const std::string &State = "ready") {
     return System->acknowledged("PUT", "/pollenstall/instances/" + Instance,
@@ -76,14 +76,14 @@
             {"Prompt-Prefix", "ab12:1000"}};
   }
 
-  /// @return What a caller gets of one request through an entry.
-  std::pair<int, std::vector<sse_event>> ask(std::size_t Entry) {
+  /// Sends one request through an entry. @return The status and events that the caller gets.
+  std::pair<int, std::vector<sse_event>> sendRequest(std::size_t Entry) {
     http_stream Stream(System->callers(Entry), "POST", "/x/2f", "a body", headers(nextSend()));
     const int Status = Stream.status();
     return {Status, Status == Ok ? Stream.remainingEvents() : std::vector<sse_event>()};
   }
 
-  /// @return The voters that a control host has logged last.
+  /// @return The voters that a control host has logged most recently.
   std::set<std::string> voters(std::size_t Host) {
     const auto Changes = System->controlHost(Host).events("members_changed");
     std::set<std::string> Voters;
@@ -91,32 +91,32 @@
       return Voters;
     std::istringstream Text(std::string(Changes.back().at("members").as_string()));
     std::string Member;
-    std::string Standing;
-    while (Text >> Member >> Standing)
-      if (Standing.rfind("voter", 0) == 0)
+    std::string Role;
+    while (Text >> Member >> Role)
+      if (Role.rfind("voter", 0) == 0)
         Voters.insert(Member);
     return Voters;
   }
 
-  static double timed(const std::function<void()> &Done) {
+  static double measureMs(const std::function<void()> &Action) {
     const auto Start = steady_clock::now();
-    Done();
+    Action();
     return std::chrono::duration<double, std::milli>(steady_clock::now() - Start).count();
   }
 
-  /// @return From the connection's opening to the first event of an answer.
+  /// @return Milliseconds from opening the connection to the first event of the answer.
   double firstEventMs(const std::string &Address) {
-    return timed([&] {
+    return measureMs([&] {
       http_stream Stream(Address, "POST", "/x/2f", "a body", headers(nextSend()));
       EXPECT_TRUE(Stream.next()) << Stream.status() << Stream.error();
     });
   }
 
-  void tell(const std::string &What, std::vector<double> Times) {
+  void printLatencies(const std::string &Label, std::vector<double> Times) {
     std::sort(Times.begin(), Times.end());
-    const double Middle = Times[Times.size() / 2];
-    const double High = Times[Times.size() * 99 / 100];
-    std::cout << What << ": p50 " << Middle << " ms, p99 " << High << " ms\n";
+    const double Median = Times[Times.size() / 2];
+    const double P99 = Times[Times.size() * 99 / 100];
+    std::cout << Label << ": p50 " << Median << " ms, p99 " << P99 << " ms\n";
   }
 
   std::string nextSend() { return "send-" + std::to_string(++Sends); }
@@ -126,7 +126,7 @@
   int Sends{0};
 };
 
-TEST_F(PlatformPathTest, ARequestReachesAnEngineAndItsAnswerComesBackUnchanged) {
+TEST_F(PlatformPathTest, RequestAndAnswerPassUnchanged) {
   scripted_server Engine(answerWithEvents);
   ASSERT_NO_FATAL_FAILURE(startAll(1));
   ASSERT_TRUE(announce("i-1", Engine));
@@ -151,34 +151,34 @@
   EXPECT_EQ(Seen.Head.find("Authorization"), std::string::npos);
 }
 
-// An engine says that it leaves, to whichever control host. The acknowledgement says that the news
-// is on its way to each entry; once it is there none may send the engine anything: it will be gone
-// in a moment, and what it was sent would be lost.
-TEST_F(PlatformPathTest, AnEngineThatLeavesGetsNothingMoreFromAnyEntry) {
+// An engine announces to any control host that it is leaving. The acknowledgement means that the
+// update is on its way to each entry. Once an entry has it, the entry must send nothing more: the
+// engine exits soon, and the request would be lost.
+TEST_F(PlatformPathTest, LeavingEngineGetsNoRequestFromAnyEntry) {
   constexpr std::size_t Entries = 2;
   scripted_server Leaving(answerWithEvents);
   scripted_server Staying(answerWithEvents);
   ASSERT_NO_FATAL_FAILURE(startAll(Entries));
   ASSERT_TRUE(announce("i-1", Leaving));
   for (std::size_t Entry = 0; Entry < Entries; ++Entry)
-    ASSERT_TRUE(eventually([&] { return ask(Entry).first == Ok; }));
+    ASSERT_TRUE(eventually([&] { return sendRequest(Entry).first == Ok; }));
   ASSERT_TRUE(announce("i-2", Staying));
   ASSERT_TRUE(announce("i-1", Leaving, "draining"));
   const auto SentInRounds = [&](int Rounds) {
     const std::size_t Before = Leaving.requests().size();
     for (int Round = 0; Round < Rounds; ++Round)
       for (std::size_t Entry = 0; Entry < Entries; ++Entry)
-        EXPECT_EQ(ask(Entry).first, Ok);
+        EXPECT_EQ(sendRequest(Entry).first, Ok);
     return Leaving.requests().size() - Before;
   };
-  // An entry that had not heard would choose between the two engines at random.
+  // An entry without the update would choose between the two engines at random.
   EXPECT_TRUE(eventually([&] { return SentInRounds(6) == 0; }));
   EXPECT_EQ(SentInRounds(8), 0U);
 }
 
-// All control hosts are killed at once after a change was acknowledged. They come back with their
-// disks, knowing nothing but the seeds. The change is there, and the entry serves again.
-TEST_F(PlatformPathTest, AnAcknowledgedChangeOutlivesAllControlHosts) {
+// All control hosts are killed at once after a change was acknowledged, and restart with their
+// disks and the seed addresses only. The change must be in force, and the entry must serve again.
+TEST_F(PlatformPathTest, AcknowledgedChangeSurvivesARestartOfAllControlHosts) {
   scripted_server Engine(answerWithEvents);
   ASSERT_NO_FATAL_FAILURE(startAll(1));
   ASSERT_TRUE(System->acknowledged("PUT", ConfigurationPath, configuration(7)));
@@ -196,17 +196,17 @@
   }
   ASSERT_TRUE(eventually([&] { return System->ready(0); }));
   ASSERT_TRUE(announce("i-1", Engine));
-  EXPECT_TRUE(eventually([&] { return ask(0).first == Ok; }));
+  EXPECT_TRUE(eventually([&] { return sendRequest(0).first == Ok; }));
 }
 
-// Every process of the system is killed and is back at once; engines run on and speak again only
-// within their interval. A request that comes first is answered all the same: the new leader knows
-// from the log which engines there are.
-TEST_F(PlatformPathTest, AfterALossOfAllProcessesARequestNeedsNoNoticeOfAnEngine) {
+// All processes of the system are killed and restarted at once, while engines run on and send their
+// next notice only after their interval. A request before that notice must be answered: the new
+// leader knows the engines from the log.
+TEST_F(PlatformPathTest, AfterARestartOfAllProcessesARequestNeedsNoNotice) {
   scripted_server Engine(answerWithEvents);
   ASSERT_NO_FATAL_FAILURE(startAll(1));
   ASSERT_TRUE(announce("i-1", Engine));
-  ASSERT_TRUE(eventually([&] { return ask(0).first == Ok; }));
+  ASSERT_TRUE(eventually([&] { return sendRequest(0).first == Ok; }));
   constexpr int Losses = 20;
   std::vector<double> Times;
   for (int Loss = 0; Loss < Losses; ++Loss) {
@@ -216,18 +216,19 @@
     System->startEntry(0);
     for (std::size_t Host = 0; Host < System->controls(); ++Host)
       System->startControl(Host, false);
-    Times.push_back(timed([&] { ASSERT_TRUE(eventually([&] { return ask(0).first == Ok; })); }));
+    Times.push_back(
+        measureMs([&] { ASSERT_TRUE(eventually([&] { return sendRequest(0).first == Ok; })); }));
   }
-  tell("from the last start to the first answer after a loss of all", Times);
-  std::cout << "most " << *std::max_element(Times.begin(), Times.end()) << " ms\n";
+  printLatencies("from the last start to the first answer after a restart of all", Times);
+  std::cout << "max " << *std::max_element(Times.begin(), Times.end()) << " ms\n";
 }
 
-// Two control hosts lose their disks right after a change was acknowledged and come back empty at
-// their addresses. Nobody repairs anything by hand. Once they vote again two others are killed for
-// good: were they not whole members by then, no further change could be accepted.
-TEST_F(PlatformPathTest, TwoEmptyDisksAreRepairedWithoutAPerson) {
+// Two control hosts lose their disks right after a change was acknowledged and restart empty at
+// their addresses, without manual repair. Once they vote again, two others are killed permanently:
+// unless the first two are full members by then, no further change can be accepted.
+TEST_F(PlatformPathTest, TwoEmptyDisksAreRepairedAutomatically) {
   ASSERT_NO_FATAL_FAILURE(startAll(0));
-  // A change is acknowledged by three of the five: this host may not have heard of the set by then.
+  // Three of the five hosts acknowledge a change, so this host may not know the members yet.
   std::set<std::string> Founders;
   ASSERT_TRUE(eventually([&] {
     Founders = voters(2);
@@ -239,11 +240,11 @@
     System->startControl(Host, false);
   }
   ASSERT_TRUE(eventually([&] {
-    const std::set<std::string> Now = voters(2);
-    const auto Kept = std::count_if(Now.begin(), Now.end(), [&](const std::string &Member) {
-      return Founders.count(Member) > 0;
-    });
-    return Now.size() == 5 && Kept == 3;
+    const std::set<std::string> CurrentVoters = voters(2);
+    const auto Kept =
+        std::count_if(CurrentVoters.begin(), CurrentVoters.end(),
+                      [&](const std::string &Member) { return Founders.count(Member) > 0; });
+    return CurrentVoters.size() == 5 && Kept == 3;
   }));
   System->killControl(1);
   System->killControl(4);
@@ -252,8 +253,8 @@
   EXPECT_EQ(Read.Body, configuration(2)) << Read.Status;
 }
 
-// The seeds start last: the others have nobody to ask until then, and still come together.
-TEST_F(PlatformPathTest, SeedsThatListenLateHoldNothingUpForGood) {
+// The seeds start last. Until then the others have no host to contact; the cluster must still form.
+TEST_F(PlatformPathTest, LateSeedsOnlyDelayTheStart) {
   System = std::make_unique<platform_system>(5, 1);
   System->startEntry(0);
   for (const std::size_t Host : {4, 3, 2, 1, 0})
@@ -262,34 +263,34 @@
   EXPECT_TRUE(eventually([&] { return System->ready(0); }));
 }
 
-// Not a bound, a figure: what an entry adds to the first event of an engine that takes 20 ms, and
-// how long a change takes, each by itself on an otherwise idle system.
-TEST_F(PlatformPathTest, TellsWhatAnEntryAddsAndHowLongAChangeTakes) {
+// Prints figures and checks no bound: the latency that an entry adds to the first event of an
+// engine that takes 20 ms, and the latency of a change, each measured alone on an idle system.
+TEST_F(PlatformPathTest, ReportsEntryOverheadAndChangeLatency) {
   constexpr int Requests = 100;
   scripted_server Engine(answerWithEvents);
   ASSERT_NO_FATAL_FAILURE(startAll(1));
   ASSERT_TRUE(announce("i-1", Engine));
-  ASSERT_TRUE(eventually([&] { return ask(0).first == Ok; }));
+  ASSERT_TRUE(eventually([&] { return sendRequest(0).first == Ok; }));
   std::vector<double> Direct;
-  std::vector<double> Through;
+  std::vector<double> ViaEntry;
   std::vector<double> Changes;
   Direct.reserve(Requests);
-  Through.reserve(Requests);
+  ViaEntry.reserve(Requests);
   Changes.reserve(Requests);
   for (int Request = 0; Request < Requests; ++Request) {
-    if (Request % 4 == 0) { // An engine that falls silent is taken for gone.
+    if (Request % 4 == 0) { // An engine without notices expires.
       ASSERT_TRUE(announce("i-1", Engine));
     }
     Direct.push_back(firstEventMs(Engine.key().Address.str()));
-    Through.push_back(firstEventMs(System->callers(0)));
+    ViaEntry.push_back(firstEventMs(System->callers(0)));
   }
   for (int Change = 0; Change < Requests; ++Change)
-    Changes.push_back(timed([&] {
+    Changes.push_back(measureMs([&] {
       EXPECT_TRUE(System->acknowledged("PUT", ConfigurationPath, configuration(10 + Change)));
     }));
-  tell("first event met directly", Direct);
-  tell("first event through an entry", Through);
-  tell("change acknowledged", Changes);
+  printLatencies("first event directly from the engine", Direct);
+  printLatencies("first event through an entry", ViaEntry);
+  printLatencies("change acknowledged", Changes);
 }
 
 } // namespace
--- a/tests/platform/platform_system.cpp
+++ b/tests/platform/platform_system.cpp
@@ -1,4 +1,5 @@
-/** @file platform_system.cpp Settings from the templates, processes, and calls to them. */
+/** @file platform_system.cpp Fills in the settings templates, starts the processes and calls them.
+ */
 #include "platform_system_base.h"
 
 #include <boost/asio/ip/address_v4.hpp>
@@ -16,7 +17,7 @@
 constexpr int Ok = 200;
 constexpr int Redirect = 307;
 constexpr std::size_t Seeds = 3;
-/// Places in Ports.
+/// Indexes into Ports.
 constexpr std::size_t FirstInner = 0;
 constexpr std::size_t SecondInner = 1;
 constexpr std::size_t Frontend = 2;
@@ -26,13 +27,14 @@
 constexpr std::chrono::milliseconds CallLimit{1'500};
 
 std::string ownIp(std::size_t Host) {
-  // Ports are the same on all hosts, so each host needs an address, and each test's process its
-  // own.
-  constexpr unsigned First = 0x7f800000; // 127.128.0.0
+  // All hosts use the same ports, so each host needs its own address, and the addresses of each
+  // test process must differ.
+  constexpr unsigned FirstAddress = 0x7f800000; // 127.128.0.0
   constexpr unsigned Hosts = 16;
   constexpr unsigned Pids = (1U << 18U) - 1;
-  const unsigned Own = (static_cast<unsigned>(getpid()) & Pids) * Hosts;
-  return boost::asio::ip::address_v4(First + Own + static_cast<unsigned>(Host) + 1).to_string();
+  const unsigned Offset = (static_cast<unsigned>(getpid()) & Pids) * Hosts;
+  return boost::asio::ip::address_v4(FirstAddress + Offset + static_cast<unsigned>(Host) + 1)
+      .to_string();
 }
 
 void replaceAll(std::string &Text, const std::string &Old, const std::string &New) {
@@ -58,8 +60,8 @@
 }
 
 std::string fillTemplate(std::string Template,
-                     const std::vector<std::pair<std::string, std::string>> &Fields,
-                     const std::vector<std::string> &SeedList) {
+                         const std::vector<std::pair<std::string, std::string>> &Fields,
+                         const std::vector<std::string> &SeedList) {
   std::string List;
   for (const std::string &Seed : SeedList)
     List += (List.empty() ? "\"" : ",\"") + Seed + "\"";
@@ -83,7 +85,7 @@
     Entries.push_back({ownIp(ControlCount + Host), nullptr});
 }
 
-std::string platform_system::at(const host &Host, std::size_t Port) const {
+std::string platform_system::hostAddress(const host &Host, std::size_t Port) const {
   return Host.Ip + ":" + Ports[Port];
 }
 
@@ -92,38 +94,38 @@
 }
 
 std::unique_ptr<child_process> platform_system::start(const std::string &Role, const host &Host,
-                                                      std::size_t Number, bool First) const {
+                                                      std::size_t HostIndex, bool Bootstrap) const {
   std::vector<std::string> SeedList;
   for (std::size_t Seed = 0; Seed < Seeds && Seed < Controls.size(); ++Seed)
-    SeedList.push_back(at(Controls[Seed], ControlPlane));
+    SeedList.push_back(hostAddress(Controls[Seed], ControlPlane));
   const std::string Text =
       fillTemplate(readTemplate(Role),
-               {{"node_name", Role + "-" + std::to_string(Number)},
-                {"zone", "zone-" + std::to_string(Number % Seeds)},
-                {"region", "region"},
-                {"ip_address", Host.Ip},
-                {"internal_port_range.0", Ports[FirstInner]},
-                {"internal_port_range.1", Ports[SecondInner]},
-                {"listen_addresses.frontend", at(Host, Frontend)},
-                {"listen_addresses.ready", at(Host, Ready)},
-                {"listen_addresses.control_plane", at(Host, ControlPlane)},
-                {"data_directory", folder(Number)},
-                {"is_bootstrap", First ? "true" : "false"},
-                {"fault_tolerance.machines", std::to_string(Controls.size() / 2)},
-                {"heartbeat_interval_ms", "300"},
-                {"bounds.grace_s", "8"},
-                {"bounds.retry_budget_ratio", "0.2"},
-                {"bounds.retry_budget_extra", "100"},
-                {"bounds.budget_window_s", "10"},
-                {"limits.link_mbps", "1000.0"},
-                {"bounds.config_apply_ms", "2000"},
-                {"bounds.revocation_ms", "5000"}},
-               SeedList);
+                   {{"node_name", Role + "-" + std::to_string(HostIndex)},
+                    {"zone", "zone-" + std::to_string(HostIndex % Seeds)},
+                    {"region", "region"},
+                    {"ip_address", Host.Ip},
+                    {"internal_port_range.0", Ports[FirstInner]},
+                    {"internal_port_range.1", Ports[SecondInner]},
+                    {"listen_addresses.frontend", hostAddress(Host, Frontend)},
+                    {"listen_addresses.ready", hostAddress(Host, Ready)},
+                    {"listen_addresses.control_plane", hostAddress(Host, ControlPlane)},
+                    {"data_directory", folder(HostIndex)},
+                    {"is_bootstrap", Bootstrap ? "true" : "false"},
+                    {"fault_tolerance.machines", std::to_string(Controls.size() / 2)},
+                    {"heartbeat_interval_ms", "300"},
+                    {"bounds.grace_s", "8"},
+                    {"bounds.retry_budget_ratio", "0.2"},
+                    {"bounds.retry_budget_extra", "100"},
+                    {"bounds.budget_window_s", "10"},
+                    {"limits.link_mbps", "1000.0"},
+                    {"bounds.config_apply_ms", "2000"},
+                    {"bounds.revocation_ms", "5000"}},
+                   SeedList);
   return child_process::withSettings("pollenstall-" + Role, Text);
 }
 
-void platform_system::startControl(std::size_t Host, bool First) {
-  Controls[Host].Process = start("control", Controls[Host], Host, First);
+void platform_system::startControl(std::size_t Host, bool Bootstrap) {
+  Controls[Host].Process = start("control", Controls[Host], Host, Bootstrap);
 }
 
 void platform_system::startEntry(std::size_t Host) {
@@ -144,7 +146,7 @@
 
 http_answer platform_system::control(std::size_t Host, const std::string &Method,
                                      const std::string &Path, const std::string &Body) const {
-  std::string Address = at(Controls[Host], ControlPlane);
+  std::string Address = hostAddress(Controls[Host], ControlPlane);
   http_answer Answer;
   for (int Follows = 0; Follows <= 2; ++Follows) {
     Answer = http_client(Address, CallLimit).request(Method, Path, Body, {});
@@ -168,11 +170,11 @@
 }
 
 std::string platform_system::callers(std::size_t Entry) const {
-  return at(Entries[Entry], Frontend);
+  return hostAddress(Entries[Entry], Frontend);
 }
 
 bool platform_system::ready(std::size_t Entry) const {
-  return http_client(at(Entries[Entry], Ready)).get("/readyz").Status == Ok;
+  return http_client(hostAddress(Entries[Entry], Ready)).get("/readyz").Status == Ok;
 }
 
 } // namespace pollenstall
--- a/tests/platform/platform_system_base.h
+++ b/tests/platform/platform_system_base.h
@@ -1,4 +1,5 @@
-/** @file platform_system_base.h Real processes under the settings that the platform would write. */
+/** @file platform_system_base.h Runs real processes with the settings that the platform would
+ * write. */
 #ifndef POLLENSTALL_TESTS_PLATFORM_PLATFORM_SYSTEM_BASE_H
 #define POLLENSTALL_TESTS_PLATFORM_PLATFORM_SYSTEM_BASE_H
 
@@ -14,36 +15,37 @@
 /// @return The settings template of a role, "entry" or "control".
 std::string readTemplate(const std::string &Role);
 
-/// Fills a settings template in as the platform does: values, and the sections of seeds and of
-/// fields that may be missing. A field with an empty text has no value.
-/// @return The settings; a placeholder that has no value stays and is refused by the program.
+/// Fills in a settings template as the platform does: values, the section of seeds, and sections of
+/// optional fields. A field with an empty string has no value.
+/// @return The settings; a placeholder without a value remains, and the program refuses it.
 std::string fillTemplate(std::string Template,
-                     const std::vector<std::pair<std::string, std::string>> &Fields,
-                     const std::vector<std::string> &Seeds);
+                         const std::vector<std::pair<std::string, std::string>> &Fields,
+                         const std::vector<std::string> &Seeds);
 
 /**
- * Control hosts and entries, each on a loopback address of its own with the same ports, started
- * from deploy/'s templates. Nothing is declared and no engine is known at first.
+ * Control hosts and entries, each on its own loopback address with the same ports, started from the
+ * templates of deploy/. Initially there is no declaration, and no engine is known.
  */
 class platform_system {
 public:
   platform_system(std::size_t Controls, std::size_t Entries);
 
-  /// Starts or restarts one. @param First Whether the whole system starts for the first time.
-  void startControl(std::size_t Host, bool First);
+  /// Starts or restarts a control host. @param Bootstrap Whether the system starts for the first
+  /// time.
+  void startControl(std::size_t Host, bool Bootstrap);
   void startEntry(std::size_t Host);
   void killControl(std::size_t Host);
   void killEntry(std::size_t Host);
-  /// Its disk comes back empty; the host must be down.
+  /// Empties the disk of a host, which must be down.
   void loseDisk(std::size_t Host);
   [[nodiscard]] std::size_t controls() const { return Controls.size(); }
   [[nodiscard]] child_process &controlHost(std::size_t Host) { return *Controls.at(Host).Process; }
   [[nodiscard]] child_process &entry(std::size_t Host) { return *Entries.at(Host).Process; }
 
-  /// One call to a control host. A redirect is followed, as the platform's callers do.
+  /// Calls a control host and follows redirects, as callers of the platform do.
   [[nodiscard]] http_answer control(std::size_t Host, const std::string &Method,
                                     const std::string &Path, const std::string &Body = {}) const;
-  /// Sends a call to the hosts in turn until one answers with 200. @return Whether one did.
+  /// Sends a call to the control hosts in turn until one answers with 200. @return Whether one did.
   bool acknowledged(const std::string &Method, const std::string &Path, const std::string &Body);
   [[nodiscard]] std::string callers(std::size_t Entry) const;
   [[nodiscard]] bool ready(std::size_t Entry) const;
@@ -57,8 +59,8 @@
   static void kill(host &Host);
   [[nodiscard]] std::string folder(std::size_t Host) const;
   [[nodiscard]] std::unique_ptr<child_process> start(const std::string &Role, const host &Host,
-                                                     std::size_t Number, bool First) const;
-  [[nodiscard]] std::string at(const host &Host, std::size_t Port) const;
+                                                     std::size_t HostIndex, bool Bootstrap) const;
+  [[nodiscard]] std::string hostAddress(const host &Host, std::size_t Port) const;
 
   temp_folder Folder;
   std::vector<host> Controls;
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -1,4 +1,4 @@
-/** @file platform_test.cpp Messages of the platform, right and wrong ones. */
+/** @file platform_test.cpp Valid and invalid messages of the platform protocol. */
 #include "platform/platform.h"
 
 #include <boost/json.hpp>
@@ -29,7 +29,7 @@
   return Text.replace(At, Old.size(), New);
 }
 
-TEST(AConfiguration, IsReadWhole) {
+TEST(PlatformConfigurationTest, ReadsAllMembers) {
   const auto Read = readPlatformConfiguration(Valid);
   ASSERT_TRUE(succeeded(Read)) << errorOf(Read);
   EXPECT_EQ(valueOf(Read).Revision, revision(7));
@@ -48,7 +48,7 @@
   EXPECT_EQ(Fleet.Callers->IdleTimeout.count(), 15'000);
 }
 
-TEST(AConfiguration, SendsAPathByItsLongestPrefix) {
+TEST(PlatformConfigurationTest, RoutesByLongestPathPrefix) {
   const declaration_index Index(valueOf(readPlatformConfiguration(Valid)).Fleet);
   ASSERT_NE(Index.findCallRoute("a.example", "/x/y/z"), nullptr);
   EXPECT_EQ(Index.findCallRoute("a.example", "/x/y/z")->Name, "r2");
@@ -57,7 +57,7 @@
   EXPECT_EQ(Index.findCallRoute("b.example", "/x/z"), nullptr);
 }
 
-TEST(AConfiguration, ThatIsInvalidIsRefusedWithItsPlace) {
+TEST(PlatformConfigurationTest, RefusesInvalidMembers) {
   const std::vector<std::pair<std::string, std::string>> Wrong{
       {"\"service\":\"s2\",\"max", "\"service\":\"s9\",\"max"},
       {"/x/y/", "/x/"},
@@ -76,13 +76,13 @@
   }
 }
 
-// An operator's call was cut on its way. Whatever part arrived, it is no configuration.
-TEST(AConfiguration, ThatIsCutAnywhereIsRefused) {
+// A truncated call of an operator must not be accepted, wherever it was cut.
+TEST(PlatformConfigurationTest, RefusesTruncatedText) {
   for (std::size_t Length = 0; Length < Valid.size(); Length += 7)
     EXPECT_FALSE(succeeded(readPlatformConfiguration(Valid.substr(0, Length)))) << Length;
 }
 
-TEST(ANotice, IsReadAndCheckedByField) {
+TEST(BackendNoticeTest, ReadsAndChecksEachField) {
   const std::string Text = R"({"service":"s","address":"10.0.0.1:8080","zone":"z","slots":16,
     "state":"draining","sequence":4})";
   const auto Read = readPlatformNotice("i-1", Text);
@@ -96,24 +96,26 @@
     EXPECT_FALSE(succeeded(readPlatformNotice("i-1", Bad))) << Bad;
 }
 
-// A field that is missing, of another type or unknown names no engine to use; a call with all of
-// them right does, whatever else it holds.
-TEST(ANotice, TellsWhenItsLifeBegan) {
-  const std::string Rest =
+// The start of the incarnation is optional, but a value of another type or with a fraction makes
+// the notice invalid.
+TEST(BackendNoticeTest, ReadsTheIncarnationStart) {
+  const std::string CommonMembers =
       R"("service":"s","address":"10.0.0.1:8080","zone":"z","state":"ready","sequence":4)";
-  const auto Read = readPlatformNotice("i-1", "{" + Rest + R"(,"born":1764730000123})");
+  const auto Read = readPlatformNotice("i-1", "{" + CommonMembers + R"(,"born":1764730000123})");
   ASSERT_TRUE(succeeded(Read)) << errorOf(Read);
   EXPECT_EQ(valueOf(Read).Started, incarnation_start(1'764'730'000'123));
-  EXPECT_EQ(valueOf(readPlatformNotice("i-1", "{" + Rest + "}")).Started, incarnation_start());
+  EXPECT_EQ(valueOf(readPlatformNotice("i-1", "{" + CommonMembers + "}")).Started,
+            incarnation_start());
   for (const char *Bad : {R"("1764730000123")", "-1", "1.5", "null", "true", "[]", "1e40"})
-    EXPECT_FALSE(succeeded(readPlatformNotice("i-1", "{" + Rest + ",\"born\":" + Bad + "}")))
+    EXPECT_FALSE(
+        succeeded(readPlatformNotice("i-1", "{" + CommonMembers + ",\"born\":" + Bad + "}")))
         << Bad;
 }
 
-TEST(AWithdrawal, MayTellWhichLifeItEnds) {
-  const auto Told = readPlatformWithdrawal("i-1", R"({"born":1764730000123})");
-  ASSERT_TRUE(succeeded(Told));
-  EXPECT_EQ(valueOf(Told),
+TEST(BackendWithdrawalTest, ReadsTheOptionalIncarnationStart) {
+  const auto Withdrawal = readPlatformWithdrawal("i-1", R"({"born":1764730000123})");
+  ASSERT_TRUE(succeeded(Withdrawal));
+  EXPECT_EQ(valueOf(Withdrawal),
             (backend_incarnation{instance_name("i-1"), incarnation_start(1'764'730'000'123)}));
   EXPECT_EQ(valueOf(readPlatformWithdrawal("i-1", "")).Started, incarnation_start());
   EXPECT_FALSE(succeeded(readPlatformWithdrawal("", "")));
@@ -130,7 +132,7 @@
   return Head;
 }
 
-TEST(ARequestHead, SaysWhatTheProductNeeds) {
+TEST(PlatformRequestHeadTest, ReadsAllHeaders) {
   const request_head Head = headWith({{"Attempt-Id", "a1"},
                                       {"Authorization", "Bearer k1"},
                                       {"Deadline-Ms", "9000"},
@@ -151,14 +153,14 @@
   EXPECT_EQ(Facts.PrefixHashes.size(), 2U);
 }
 
-TEST(ARequestHead, WithANumberThatIsNoneIsRefused) {
+TEST(PlatformRequestHeadTest, RefusesInvalidNumbers) {
   for (const char *Name : {"Deadline-Ms", "Last-Event-Id", "Length-Hint", "Token-Usage"})
     EXPECT_FALSE(succeeded(platformCalls().ReadHead(headWith({{Name, "many"}})))) << Name;
 }
 
-// A number too large for 64 bits, or for its sign, must not become a small or a negative one: a
-// prompt of minus one token fits everywhere, and a time of minus one is over.
-TEST(ARequestHead, WithAHugeNumberStaysHuge) {
+// A number that overflows 64 bits or a signed integer must not become small or negative: a prompt
+// of minus one token fits everywhere, and a deadline of minus one has expired.
+TEST(PlatformRequestHeadTest, ClampsHugeNumbers) {
   for (const std::string Huge : {"18446744073709551615", "99999999999999999999999999"}) {
     std::string Usage = Huge;
     Usage.append(",").append(Huge);
@@ -170,9 +172,9 @@
   }
 }
 
-// A caller that could set the account's name, the instance or the helpers could run its work in
-// another account's name or take another's memory.
-TEST(ARequestHead, CannotSetWhatOnlyTheSystemSays) {
+// A caller that could set the account name, the instance or the helpers could run work under the
+// name of another account or use its memory.
+TEST(PlatformRequestHeadTest, CannotSetSystemHeaders) {
   const call_interface Calls = platformCalls();
   for (const char *Name : {"tenant-name", "expected-instance", "helper-instances", "deadline-ms",
                            "authorization", "last-event-id"})
@@ -181,7 +183,7 @@
   EXPECT_FALSE(Calls.IsSystemHeader("token-usage"));
 }
 
-TEST(AnAttempt, CarriesTheSystemsHeaders) {
+TEST(PlatformAttemptTest, CarriesSystemHeaders) {
   std::vector<header_line> Lines;
   attempt_facts Facts;
   Facts.TimeLeft = std::chrono::milliseconds(1234);
@@ -209,10 +211,11 @@
   return platformCalls().ReadAnswer(Head, "a1");
 }
 
-TEST(AnAnswerHead, TellsWhoseItIsAndWhetherAnythingRan) {
+TEST(PlatformAnswerHeadTest, IdentifiesTheSendAndWhetherItRan) {
   EXPECT_FALSE(answerWith(200, {{"Attempt-Id", "a1"}}).OtherSend);
   EXPECT_TRUE(answerWith(200, {{"Attempt-Id", "a0"}}).OtherSend);
-  EXPECT_TRUE(answerWith(200, {}).OtherSend) << "a success names its send";
+  EXPECT_TRUE(answerWith(200, {}).OtherSend)
+      << "a success without Attempt-Id belongs to another send";
   EXPECT_TRUE(answerWith(503, {{"Not-Executed", "1"}}).NotRun);
   EXPECT_TRUE(answerWith(421, {}).NotRun);
   EXPECT_EQ(answerWith(503, {{"Not-Executed", "1"}, {"At-Server", "10.0.0.2:1"}}).AtFault.str(),
@@ -221,20 +224,20 @@
   EXPECT_FALSE(answerWith(500, {{"Attempt-Id", "a1"}}).NotRun);
 }
 
-/// A control host whose answers the test sets.
+/// The routes of a control host whose services return the answer that the test sets.
 struct ControlHostRoutesTest : testing::Test {
   service_answer Answer{service_status::Accepted, {}};
-  revision Offered;
+  revision Proposed;
   std::vector<backend_notice> Notices;
   std::vector<operator_route> Routes;
 
   void SetUp() override {
     control_services Services;
     Services.ProposeDeclaration = [this](revision Revision, const std::string &) {
-      Offered = Revision;
+      Proposed = Revision;
       return Answer;
     };
-    Services.ReadDeclaration = [this] { return declaration_answer{Answer, Offered, Valid}; };
+    Services.ReadDeclaration = [this] { return declaration_answer{Answer, Proposed, Valid}; };
     Services.Announce = [this](const backend_notice &Notice) {
       Notices.push_back(Notice);
       return Answer;
@@ -254,19 +257,20 @@
   }
 };
 
-TEST_F(ControlHostRoutesTest, TakesAConfigurationAndGivesItBack) {
-  EXPECT_EQ(call("GET", "/pollenstall/configuration").Status, 503U) << "none is known yet";
+TEST_F(ControlHostRoutesTest, StoresAndReturnsAConfiguration) {
+  EXPECT_EQ(call("GET", "/pollenstall/configuration").Status, 503U)
+      << "no configuration is known yet";
   EXPECT_EQ(call("PUT", "/pollenstall/configuration", Valid).Status, 200U);
-  EXPECT_EQ(Offered, revision(7));
+  EXPECT_EQ(Proposed, revision(7));
   EXPECT_EQ(call("GET", "/pollenstall/configuration").Body, Valid);
 }
 
-TEST_F(ControlHostRoutesTest, NeverAcknowledgesWhatIsInvalid) {
+TEST_F(ControlHostRoutesTest, RefusesAnInvalidConfiguration) {
   EXPECT_EQ(call("PUT", "/pollenstall/configuration", Valid.substr(0, 200)).Status, 400U);
-  EXPECT_EQ(Offered, revision());
+  EXPECT_EQ(Proposed, revision());
 }
 
-TEST_F(ControlHostRoutesTest, SendsCallersToTheLeader) {
+TEST_F(ControlHostRoutesTest, RedirectsToTheLeader) {
   Answer = {service_status::NotLeader, "http://10.0.0.4:8"};
   const operator_reply Reply = call("PUT", "/pollenstall/configuration", Valid);
   EXPECT_EQ(Reply.Status, 307U);
@@ -275,9 +279,10 @@
   EXPECT_EQ(call("GET", "/pollenstall/configuration").Status, 503U);
 }
 
-// Acknowledged, a leaving engine waits only so long for its last requests. Where nobody can tell
-// the entries, it must ask another host.
-TEST_F(ControlHostRoutesTest, AcknowledgesANoticeOnlyWhereItIsPassedOn) {
+// After the acknowledgement a leaving engine waits only a limited time for its last requests. A
+// host that cannot forward the notice to the entries must refuse it, so that the engine tries
+// another.
+TEST_F(ControlHostRoutesTest, AcknowledgesANoticeOnlyIfItIsForwarded) {
   const std::string Body =
       R"({"service":"s","address":"10.0.0.1:1","zone":"z","state":"draining","sequence":1})";
   EXPECT_EQ(call("PUT", "/pollenstall/instances/i-1", Body).Status, 200U);
--- a/tests/platform/settings_template_test.cpp
+++ b/tests/platform/settings_template_test.cpp
@@ -1,4 +1,4 @@
-/** @file settings_template_test.cpp The settings templates, filled in with figures of platforms. */
+/** @file settings_template_test.cpp Settings templates filled in with values of platforms. */
 #include "control_settings_type.h"
 #include "entry_settings_type.h"
 #include "platform_system_base.h"
@@ -10,7 +10,7 @@
 
 using fields = std::vector<std::pair<std::string, std::string>>;
 
-/// What an ordinary platform fills in, with some fields replaced; an empty text: it has no value.
+/// Values of an ordinary platform, some of them replaced; an empty string means no value.
 fields platformFields(const fields &Replaced = {}) {
   fields Fields{{"node_name", "n-1"},
                 {"zone", "z-1"},
@@ -39,11 +39,12 @@
   return Fields;
 }
 
-/// Each template with the fields, and what is wrong with it.
+/// The settings parsed from each filled-in template, or their errors.
 struct filled_templates {
   explicit filled_templates(const fields &Replaced)
       : Entry(entrySettings().loadText(
-            fillTemplate(readTemplate("entry"), platformFields(Replaced), {"127.0.0.1:1"}), "entry")),
+            fillTemplate(readTemplate("entry"), platformFields(Replaced), {"127.0.0.1:1"}),
+            "entry")),
         Control(controlSettingsTable().loadText(
             fillTemplate(readTemplate("control"), platformFields(Replaced), {"127.0.0.1:1"}),
             "control")) {}
@@ -54,14 +55,15 @@
 
 void expectAccepted(const fields &Replaced) {
   const filled_templates Filled(Replaced);
-  const std::string What = Replaced.empty() ? "as usual" : Replaced.front().first;
-  EXPECT_TRUE(succeeded(Filled.Entry)) << What << "\n" << toText(errorOf(Filled.Entry));
-  EXPECT_TRUE(succeeded(Filled.Control)) << What << "\n" << toText(errorOf(Filled.Control));
+  const std::string Case = Replaced.empty() ? "default values" : Replaced.front().first;
+  EXPECT_TRUE(succeeded(Filled.Entry)) << Case << "\n" << toText(errorOf(Filled.Entry));
+  EXPECT_TRUE(succeeded(Filled.Control)) << Case << "\n" << toText(errorOf(Filled.Control));
 }
 
-// Figures of a site that is played at a share of its size are fractions: 51.8 retries beyond the
-// ratio, notices each 1,199.7 ms. Every process of such a site ended at its start.
-TEST(SettingsTemplates, TakeFractions) {
+// A site that is simulated at a fraction of its size has fractional values, such as 51.8 retries
+// beyond the ratio or a notice interval of 1,199.7 ms. Settings that refuse fractions made every
+// process of such a site exit at its start.
+TEST(SettingsTemplates, AcceptFractions) {
   expectAccepted({});
   for (const char *Name : {"heartbeat_interval_ms", "bounds.grace_s", "bounds.retry_budget_extra",
                            "bounds.budget_window_s", "limits.link_mbps", "bounds.config_apply_ms",
@@ -69,16 +71,16 @@
     expectAccepted({{Name, "1199.7"}});
 }
 
-// A platform that tolerates the loss of a failure domain, and of no single host, says 0 hosts; one
-// that allows no retries beyond the ratio says 0 of them.
-TEST(SettingsTemplates, TakeZero) {
+// A platform that tolerates the loss of a failure domain, but not of a single host, sets 0 hosts;
+// one that allows no retries beyond the ratio sets 0 retries.
+TEST(SettingsTemplates, AcceptZero) {
   for (const char *Name :
        {"fault_tolerance.machines", "bounds.retry_budget_ratio", "bounds.retry_budget_extra"})
     expectAccepted({{Name, "0"}});
 }
 
-// Figures that a platform does not give leave the defaults in force.
-TEST(SettingsTemplates, DoWithoutFiguresThatAreMissing) {
+// Values that a platform does not supply keep their defaults.
+TEST(SettingsTemplates, UseDefaultsForMissingValues) {
   for (const char *Name :
        {"bounds.grace_s", "bounds.retry_budget_ratio", "bounds.retry_budget_extra",
         "bounds.budget_window_s", "fault_tolerance.machines", "heartbeat_interval_ms",
@@ -86,15 +88,15 @@
     expectAccepted({{Name, ""}});
 }
 
-TEST(SettingsTemplates, TakeLargeFigures) {
+TEST(SettingsTemplates, AcceptLargeValues) {
   expectAccepted({{"fault_tolerance.machines", "9"},
-               {"bounds.retry_budget_extra", "2500000"},
-               {"bounds.retry_budget_ratio", "1.5"},
-               {"limits.link_mbps", "400000.0"}});
+                  {"bounds.retry_budget_extra", "2500000"},
+                  {"bounds.retry_budget_ratio", "1.5"},
+                  {"limits.link_mbps", "400000.0"}});
 }
 
-// Eight and a half seconds are not eight, and 0 retries are not "as many as we like".
-TEST(SettingsTemplates, KeepWhatTheFiguresMean) {
+// 8.5 seconds must not become 8, and 0 retries must not mean an unlimited number.
+TEST(SettingsTemplates, KeepValuesUnrounded) {
   const filled_templates Filled({{"bounds.grace_s", "8.5"},
                                  {"bounds.retry_budget_extra", "0"},
                                  {"bounds.budget_window_s", "2.5"}});
