--- a/programs/pollenstall-entry/decision_thread_base.h
+++ b/programs/pollenstall-entry/decision_thread_base.h
@@ -34,8 +34,8 @@
   /// Parses the text of a declaration; if empty, the text is parsed as TOML.
   declaration_reader ReadDeclaration;
   std::optional<double> RetryShare; ///< Retries per first attempt; empty: as declared.
-  std::optional<double>
-      RetryReserve; ///< Retries of all entries per window; empty: a fixed reserve for each.
+  /// Retries of all entries together per window; empty: a fixed reserve for each entry.
+  std::optional<double> RetryReserve;
   mono_duration RetryWindow{std::chrono::seconds(10)};
   std::size_t RingCapacity{1U << 16U};
   std::shared_ptr<prometheus::Registry> Registry;
--- a/tests/relay/crash_watch_test.cpp
+++ b/tests/relay/crash_watch_test.cpp
@@ -68,7 +68,8 @@
 
 // Guards against a connection that breaks on its way being taken for a server's end.
 TEST_F(request_on_a_server_that_ends, IsNotReportedWhereTheServerStillListens) {
-  const scripted_server Resets([](auto &Socket, const received_request &) { resetConnection(Socket); });
+  const scripted_server Resets(
+      [](auto &Socket, const received_request &) { resetConnection(Socket); });
   Relay.call("the prompt");
   Relay.start(Resets);
   Relay.next<attempt_failed>();
--- a/tests/relay/late_send_test.cpp
+++ b/tests/relay/late_send_test.cpp
@@ -59,7 +59,8 @@
 
 // Guards against memory that is set aside for a caller who has left.
 TEST_F(request_that_waits_for_memory, AsksNoFurtherEngineOnceItsCallerHasLeft) {
-  const scripted_server Second([](auto &Socket, const received_request &) { sendText(Socket, Held); });
+  const scripted_server Second(
+      [](auto &Socket, const received_request &) { sendText(Socket, Held); });
   headed_relay Relay;
   Relay.call("p");
   Relay.start(Writer, 1, true, {{Keeper.key(), Amount}, {Second.key(), Amount}});
--- a/tests/support/backend_process.cpp
+++ b/tests/support/backend_process.cpp
@@ -1,4 +1,4 @@
-/** @file backend_process.cpp Starts the stand-in and asks for its counts. */
+/** @file backend_process.cpp Starts the fake backend server and reads its counters. */
 #include "core/core.h"
 #include "support/backend_process_base.h"
 
@@ -17,7 +17,7 @@
 backend_process::backend_process(const std::string &Toml)
     : Child(child_process::withSettings("pollenstall-fake-backend", Toml)) {
   const auto Listening = Child->waitForEvent("listening");
-  requireInvariant(Listening.has_value(), "the stand-in starts", [this] {
+  requireInvariant(Listening.has_value(), "the fake backend server starts", [this] {
     std::string Text;
     for (const std::string &Line : Child->errorLines())
       Text += Line + "\n";
--- a/tests/support/backend_process_base.h
+++ b/tests/support/backend_process_base.h
@@ -1,4 +1,4 @@
-/** @file backend_process_base.h The stand-in for a backend server, as a process of a test. */
+/** @file backend_process_base.h The fake backend server as a child process of a test. */
 #ifndef POLLENSTALL_SUPPORT_BACKEND_PROCESS_BASE_H
 #define POLLENSTALL_SUPPORT_BACKEND_PROCESS_BASE_H
 
@@ -12,22 +12,22 @@
 
 namespace pollenstall {
 
-/// pollenstall-fake-backend on a free port; ready once constructed.
+/// Runs pollenstall-fake-backend on a free port; it is ready once constructed.
 class backend_process {
 public:
-  /// @param Toml Its settings; top-level keys first, as TOML wants it. Without listen.address.
+  /// @param Toml Settings without listen.address; TOML requires top-level keys first.
   explicit backend_process(const std::string &Toml);
 
   [[nodiscard]] const std::string &address() const { return Address; }
   [[nodiscard]] child_process &process() { return *Child; }
   [[nodiscard]] http_client client() const { return http_client(Address); }
-  /// @return The object of GET /stats.
+  /// @return The JSON object of GET /stats.
   [[nodiscard]] boost::json::object stats() const;
-  /// @return One whole number of the stats; -1 where there is none.
+  /// @return An integer counter of the stats; -1 if it is absent.
   [[nodiscard]] std::int64_t stat(const std::string &Name) const;
-  /// @return How often work with this Idempotency-Key was started.
+  /// @return Number of starts of work with this Idempotency-Key.
   [[nodiscard]] std::int64_t startsByKey(const std::string &Key) const;
-  /// Switches faults on. @return Whether they were taken.
+  /// Enables faults. @return Whether the server accepted them.
   [[nodiscard]] bool faults(const std::string &Json) const;
 
 private:
--- a/tests/support/child_process.cpp
+++ b/tests/support/child_process.cpp
@@ -1,4 +1,4 @@
-/** @file child_process.cpp fork, exec and one thread that reads both pipes. */
+/** @file child_process.cpp Starts a process and reads both of its pipes in one thread. */
 #include "core/core.h"
 #include "support/child_process_base.h"
 
@@ -18,9 +18,9 @@
 constexpr int ExecFailed = 127;
 constexpr int SignalBase = 128;
 
-/// Runs in the child, between fork and exec: system calls only.
+/// Runs in the child between fork and exec, where only system calls are safe.
 [[noreturn]] void becomeBinary(char *const *Arguments, int Output, int Error, pid_t Parent) {
-  prctl(PR_SET_PDEATHSIG, SIGKILL); // a test that is killed leaves no process behind
+  prctl(PR_SET_PDEATHSIG, SIGKILL); // a killed test leaves no child process running
   if (getppid() != Parent)
     _exit(ExecFailed);
   sigset_t None;
@@ -28,7 +28,7 @@
   sigprocmask(SIG_SETMASK, &None, nullptr);
   dup2(Output, STDOUT_FILENO);
   dup2(Error, STDERR_FILENO);
-  // Else it would hold copies of the test's sockets, and a peer would not learn of their close.
+  // Otherwise the child keeps copies of the test's sockets, and a peer does not see their close.
   close_range(STDERR_FILENO + 1, ~0U, 0);
   execv(Arguments[0], Arguments);
   _exit(ExecFailed);
@@ -67,7 +67,7 @@
   std::array<int, 2> Out{};
   std::array<int, 2> Err{};
   requireInvariant(pipe2(Out.data(), O_CLOEXEC) == 0 && pipe2(Err.data(), O_CLOEXEC) == 0,
-                   "pipes can be made");
+                   "the pipes can be created");
   std::vector<std::string> Texts = Arguments;
   std::vector<char *> Pointers;
   Pointers.reserve(Texts.size() + 1);
@@ -87,7 +87,7 @@
 }
 
 child_process::~child_process() {
-  ErrorReaderPaused = false; // Or the reader would wait for good.
+  ErrorReaderPaused = false; // Otherwise the reader thread never ends.
   if (!ExitCode) {
     kill();
     wait();
@@ -97,16 +97,16 @@
   close(ErrorPipe);
 }
 
-void child_process::signal(int Number) const {
+void child_process::signal(int SignalNumber) const {
   if (!ExitCode)
-    ::kill(Pid, Number);
+    ::kill(Pid, SignalNumber);
 }
 
 void child_process::stop() const {
   if (ExitCode)
     return;
   ::kill(Pid, SIGSTOP);
-  // The signal only asks: a thread that runs may still answer a message after it was sent.
+  // Stopping is asynchronous: a running thread may still answer a message after kill() returns.
   siginfo_t Change{};
   const int Result = waitid(P_PID, static_cast<id_t>(Pid), &Change, WSTOPPED | WEXITED | WNOWAIT);
   requireInvariant(Result == 0 && Change.si_code == CLD_STOPPED, "the process stops");
--- a/tests/support/child_process_base.h
+++ b/tests/support/child_process_base.h
@@ -1,4 +1,4 @@
-/** @file child_process_base.h Runs one of the project's binaries and watches what it says. */
+/** @file child_process_base.h Runs a binary of the project and captures its output. */
 #ifndef POLLENSTALL_SUPPORT_CHILD_PROCESS_BASE_H
 #define POLLENSTALL_SUPPORT_CHILD_PROCESS_BASE_H
 
@@ -22,13 +22,13 @@
 
 namespace pollenstall {
 
-/// A process that ends with its object, by SIGKILL if it still runs. It also ends with the thread
-/// that started it, so start it from the test's own thread.
+/// A child process that the destructor ends by SIGKILL if it still runs. It also ends with the
+/// thread that started it, so it must be started from the thread of the test.
 class child_process {
 public:
-  /// Starts a binary of the build with any arguments.
+  /// Starts a binary of the build with the given arguments.
   child_process(const std::string &Binary, std::vector<std::string> Arguments);
-  /// Starts it with --config and a file that holds the settings.
+  /// Starts a binary with --config and a file that holds the settings.
   static std::unique_ptr<child_process> withSettings(const std::string &Binary,
                                                      const std::string &Toml);
   ~child_process();
@@ -37,28 +37,29 @@
 
   [[nodiscard]] pid_t pid() const { return Pid; }
   void kill() const { signal(SIGKILL); }
-  /// Freezes it. Comes back once the kernel says that it stands still: until then its threads may
-  /// still answer what a test sends next.
+  /// Freezes the process. Returns once the kernel reports it as stopped: until then its threads may
+  /// still answer the next message of a test.
   void stop() const;
   void resume() const { signal(SIGCONT); }
   void terminate() const { signal(SIGTERM); }
-  void signal(int Number) const;
+  void signal(int SignalNumber) const;
 
-  /// Waits for its end. @return Exit code, 128 + signal where one ended it, nothing past the limit.
+  /// Waits for the process to end. @return The exit code, 128 + number of the signal that ended it,
+  /// or nothing if the limit has passed.
   std::optional<int> wait(std::chrono::milliseconds Limit = TestLimit);
 
-  /// Reads nothing of standard error until resumeErrorReader(): its pipe fills, and a write to it blocks.
+  /// Stops reading standard error until resumeErrorReader(): its pipe fills up, and writes block.
   void pauseErrorReader() { ErrorReaderPaused = true; }
   void resumeErrorReader() { ErrorReaderPaused = false; }
 
-  /// @return The lines of standard error so far.
+  /// @return The lines of standard error received until now.
   [[nodiscard]] std::vector<std::string> errorLines() const;
-  /// @return Standard output so far.
+  /// @return Standard output received until now.
   [[nodiscard]] std::string output() const;
-  /// @return All log events of that name so far.
+  /// @return All log events of that name received until now.
   [[nodiscard]] std::vector<boost::json::object> events(const std::string &Name) const;
   /// Waits for the first log event of that name, counted from the start of the process.
-  /// @return Nothing past the limit, or where the process ended without it.
+  /// @return The event, or nothing if the limit has passed or the process ended without it.
   [[nodiscard]] std::optional<boost::json::object>
   waitForEvent(const std::string &Name, std::chrono::milliseconds Limit = TestLimit) const;
 
--- a/tests/support/eventually.cpp
+++ b/tests/support/eventually.cpp
@@ -1,4 +1,4 @@
-/** @file eventually.cpp Polling. */
+/** @file eventually.cpp Polls a condition. */
 #include "support/eventually_func.h"
 
 #include <thread>
--- a/tests/support/eventually_func.h
+++ b/tests/support/eventually_func.h
@@ -7,9 +7,9 @@
 
 namespace pollenstall {
 
-constexpr std::chrono::seconds TestLimit{20}; ///< Long enough for a busy machine.
+constexpr std::chrono::seconds TestLimit{20}; ///< Default limit; long enough for a busy machine.
 
-/// Asks again and again. @return Whether the condition held before the limit.
+/// Polls a condition. @return Whether it became true within the limit.
 bool eventually(const std::function<bool()> &Condition,
                 std::chrono::milliseconds Limit = TestLimit);
 
--- a/tests/support/free_address.cpp
+++ b/tests/support/free_address.cpp
@@ -1,4 +1,4 @@
-/** @file free_address.cpp Ports by the kernel, on an address of this process's own. */
+/** @file free_address.cpp Finds free ports on a loopback address of this process. */
 #include "support/free_address_func.h"
 
 #include <boost/asio/io_context.hpp>
@@ -14,8 +14,8 @@
 namespace {
 
 ip::address_v4 ownLoopback() {
-  // A port that the kernel gave and that is free again until its process binds it is soon given to
-  // another test's process. On an address of its own nobody else asks for one.
+  // Between the allocation of a port and its use by a child process, the kernel may give the port
+  // to another test. On a separate loopback address per process no other test allocates ports.
   constexpr unsigned First = 0x7f400000; // 127.64.0.0
   constexpr unsigned Pids = (1U << 22U) - 1;
   return ip::address_v4(First + (static_cast<unsigned>(getpid()) & Pids));
@@ -23,7 +23,7 @@
 
 template <typename Holder> std::vector<std::string> freeAddresses(std::size_t Count) {
   boost::asio::io_context Io;
-  std::vector<Holder> Held; // all at once, so that they differ
+  std::vector<Holder> Held; // kept open together, so that the ports differ
   std::vector<std::string> Addresses;
   for (std::size_t Index = 0; Index < Count; ++Index) {
     Held.emplace_back(Io, typename Holder::endpoint_type(ownLoopback(), 0));
--- a/tests/support/free_address_func.h
+++ b/tests/support/free_address_func.h
@@ -1,4 +1,4 @@
-/** @file free_address_func.h Addresses for processes that a test starts. */
+/** @file free_address_func.h Free addresses for the processes that a test starts. */
 #ifndef POLLENSTALL_SUPPORT_FREE_ADDRESS_FUNC_H
 #define POLLENSTALL_SUPPORT_FREE_ADDRESS_FUNC_H
 
@@ -7,7 +7,7 @@
 
 namespace pollenstall {
 
-/// @return "IP:port" of an address that no other test's process uses; free a moment ago.
+/// @return "IP:port" of addresses that were free at the call and that no other test process uses.
 std::vector<std::string> freeTcpAddresses(std::size_t Count);
 std::vector<std::string> freeUdpAddresses(std::size_t Count);
 
--- a/tests/support/http_client.cpp
+++ b/tests/support/http_client.cpp
@@ -1,4 +1,4 @@
-/** @file http_client.cpp Asynchronous steps of Boost.Beast, each run to its end or its limit. */
+/** @file http_client.cpp Runs asynchronous operations of Boost.Beast to their end or time limit. */
 #include "support/http_client_base.h"
 
 #include <boost/asio/ip/tcp.hpp>
@@ -72,7 +72,8 @@
                        [&Failed](boost::system::error_code Result) { Failed = Result; });
   if (Run()) {
     http::async_write(Stream, Request, Note);
-    // An answer may come before all of the body was taken: it counts, though the write failed.
+    // The server may answer before it has read the whole body. The answer is valid even if the
+    // write failed.
     Run();
     http::async_read(Stream, Buffer, Parser, Note);
     Run();
--- a/tests/support/http_client_base.h
+++ b/tests/support/http_client_base.h
@@ -1,4 +1,4 @@
-/** @file http_client_base.h A small blocking HTTP client whose every call has a time limit. */
+/** @file http_client_base.h A small blocking HTTP client with a time limit for each call. */
 #ifndef POLLENSTALL_SUPPORT_HTTP_CLIENT_BASE_H
 #define POLLENSTALL_SUPPORT_HTTP_CLIENT_BASE_H
 
@@ -20,27 +20,27 @@
 
 using http_headers = std::vector<std::pair<std::string, std::string>>;
 
-/// A whole answer, or what went wrong.
+/// A complete answer, or the error.
 struct http_answer {
-  std::string Error; ///< Empty where the answer is whole.
-  int Status{0};     ///< 0 where not even a head came.
+  std::string Error; ///< Empty if the answer is complete.
+  int Status{0};     ///< 0 if no head was received.
   http_headers Headers;
   std::string Body;
 
   [[nodiscard]] bool ok() const { return Error.empty() && Status == 200; }
-  /// @return A header by its name in any case; empty where it is absent.
+  /// @return The header with this case-insensitive name; empty if it is absent.
   [[nodiscard]] std::string header(const std::string &Name) const;
-  /// @return The body as JSON; null where it is not.
+  /// @return The body as JSON; null if it is not valid JSON.
   [[nodiscard]] boost::json::value json() const;
 };
 
-/// One event of a stream.
+/// One server-sent event.
 struct sse_event {
   std::string Id;
   std::string Data;
 };
 
-/// Client of one address; every request takes a connection of its own.
+/// Client of one address that opens a new connection for each request.
 class http_client {
 public:
   /// @param Address "ip:port".
@@ -62,26 +62,26 @@
   std::chrono::milliseconds TimeLimit;
 };
 
-/// A streamed answer that is read event by event.
+/// Reads a streamed answer event by event.
 class http_stream {
 public:
-  /// Connects, sends and reads the head; error() says whether that went well.
+  /// Connects, sends the request and reads the head; error() is empty on success.
   http_stream(const std::string &Address, const std::string &Method, const std::string &Target,
               const std::string &Body, const http_headers &Headers = {},
               std::chrono::milliseconds Limit = TestLimit);
 
   [[nodiscard]] int status() const { return Status; }
   [[nodiscard]] std::string header(const std::string &Name) const;
-  /// @return Empty, or why the head or the last event could not be read.
+  /// @return Why the head or the last event could not be read; empty without an error.
   [[nodiscard]] const std::string &error() const { return Error; }
 
-  /// @return The next event; nothing at the end of the body, a break or the limit.
+  /// @return The next event, or nothing at the end of the body, on an error or past the limit.
   std::optional<sse_event> next();
-  /// @return All further events.
+  /// @return All remaining events.
   std::vector<sse_event> remainingEvents();
-  /// @return Whether the body ended as HTTP says it must, which says nothing of [DONE].
+  /// @return Whether the HTTP body was terminated correctly, with or without a [DONE] event.
   [[nodiscard]] bool endedCleanly() const;
-  /// Leaves, as a caller that hangs up.
+  /// Closes the connection, as a caller that disconnects.
   void close();
 
 private:
@@ -99,7 +99,8 @@
   int Status{0};
 };
 
-/// @return A chat/completions body with one user message. @param AnswerTokens 0: not given.
+/// @return A chat/completions body with one user message. @param AnswerTokens 0: no limit
+/// is sent.
 std::string chatBody(const std::string &Model, const std::string &Prompt, bool Stream,
                      int AnswerTokens = 0);
 
--- a/tests/support/http_stub.cpp
+++ b/tests/support/http_stub.cpp
@@ -1,4 +1,4 @@
-/** @file http_stub.cpp One thread, one connection at a time. */
+/** @file http_stub.cpp Accepts connections and answers requests in one thread. */
 #include "support/eventually_func.h"
 #include "support/http_stub_base.h"
 
--- a/tests/support/http_stub_base.h
+++ b/tests/support/http_stub_base.h
@@ -1,4 +1,4 @@
-/** @file http_stub_base.h A small HTTP server in the test itself, answering by a hook. */
+/** @file http_stub_base.h A small HTTP server inside the test that answers by a callback. */
 #ifndef POLLENSTALL_SUPPORT_HTTP_STUB_BASE_H
 #define POLLENSTALL_SUPPORT_HTTP_STUB_BASE_H
 
@@ -17,10 +17,10 @@
 using stub_request = boost::beast::http::request<boost::beast::http::string_body>;
 using stub_response = boost::beast::http::response<boost::beast::http::string_body>;
 
-/// Serves one connection after the other, one request on each, and keeps what it was asked.
+/// Serves one request per connection and records the requests.
 class http_stub {
 public:
-  /// @param Answer Called on the stub's own thread.
+  /// @param Answer Called on the thread of the stub.
   explicit http_stub(std::function<stub_response(const stub_request &)> Answer);
   ~http_stub();
   http_stub(const http_stub &) = delete;
@@ -28,7 +28,7 @@
 
   /// @return "ip:port".
   [[nodiscard]] std::string address() const;
-  /// @return The requests so far.
+  /// @return The requests received until now.
   [[nodiscard]] std::vector<stub_request> requests() const;
 
 private:
--- a/tests/support/raw_socket.cpp
+++ b/tests/support/raw_socket.cpp
@@ -1,4 +1,4 @@
-/** @file raw_socket.cpp Bytes over TCP. */
+/** @file raw_socket.cpp Sends and receives raw bytes over TCP. */
 #include "support/raw_socket_base.h"
 
 #include <boost/asio/ip/tcp.hpp>
--- a/tests/support/raw_socket_base.h
+++ b/tests/support/raw_socket_base.h
@@ -12,21 +12,22 @@
 
 namespace pollenstall {
 
-/// Blocking, with time limits.
+/// A blocking TCP connection with time limits.
 class raw_socket {
 public:
-  /// @param ReceiveBytes Size of the receive buffer; small for a peer that stops reading. 0: as is.
+  /// @param ReceiveBytes Size of the receive buffer, small to simulate a peer that stops reading;
+  /// 0: the default of the kernel.
   explicit raw_socket(const std::string &Address, int ReceiveBytes = 0,
                       std::chrono::milliseconds Limit = TestLimit);
 
   [[nodiscard]] bool connected() const { return Connected; }
-  /// @return Whether all was written within the limit.
+  /// @return Whether all bytes were written within the limit.
   bool send(const std::string &Bytes);
-  /// Reads until Marker came or the peer closed or the limit passed. @return All that was read.
+  /// Reads until the marker, the close of the peer or the limit. @return All bytes read.
   std::string receiveUntil(const std::string &Marker);
-  /// Reads until the peer closes or the limit passes. @return All that was read.
+  /// Reads until the peer closes or the limit passes. @return All bytes read.
   std::string receiveAll() { return receiveUntil({}); }
-  /// @return Whether the last read met the peer's close rather than the limit.
+  /// @return Whether the last read ended by the close of the peer and not by the limit.
   [[nodiscard]] bool peerClosed() const { return PeerClosed; }
   void close();
 
--- a/tests/support/scripted_server.cpp
+++ b/tests/support/scripted_server.cpp
@@ -1,4 +1,4 @@
-/** @file scripted_server.cpp One thread, one connection after another. */
+/** @file scripted_server.cpp Serves one connection after another in one thread. */
 #include "support/scripted_server_base.h"
 
 #include <boost/asio/buffer.hpp>
@@ -16,15 +16,15 @@
 using asio::ip::tcp;
 
 scripted_server::scripted_server(script RequestedScript)
-    : Acceptor(Io, tcp::endpoint(asio::ip::address_v4::loopback(), 0)), Answer(std::move(RequestedScript)),
-      Thread([this] { serve(); }) {}
+    : Acceptor(Io, tcp::endpoint(asio::ip::address_v4::loopback(), 0)),
+      Answer(std::move(RequestedScript)), Thread([this] { serve(); }) {}
 
 scripted_server::~scripted_server() {
   {
     const std::lock_guard<std::mutex> Lock(Guard);
     Stopping = true;
   }
-  // Wakes the thread that waits for a connection.
+  // A connection wakes the thread that waits in accept().
   boost::system::error_code Ignored;
   tcp::socket Last(Io);
   Last.connect(Acceptor.local_endpoint(), Ignored);
--- a/tests/support/scripted_server_base.h
+++ b/tests/support/scripted_server_base.h
@@ -1,4 +1,5 @@
-/** @file scripted_server_base.h A server in the test itself that answers byte by byte. */
+/** @file scripted_server_base.h A server inside the test whose script writes the bytes of each
+ * answer. */
 #ifndef POLLENSTALL_SUPPORT_SCRIPTED_SERVER_BASE_H
 #define POLLENSTALL_SUPPORT_SCRIPTED_SERVER_BASE_H
 
@@ -15,17 +16,18 @@
 
 namespace pollenstall {
 
-/// One request as a server has read it.
+/// One request as the server received it.
 struct received_request {
   std::string Head;
   std::string Body;
 };
 
-/// Reads one request on each connection and answers by its script, one connection after another.
+/// Reads one request per connection and answers it by a script, one connection after another.
 class scripted_server {
 public:
   using tcp_socket = boost::asio::ip::tcp::socket;
-  /// Writes the answer's bytes; the connection is closed behind it, by a reset where it says so.
+  /// Writes the bytes of the answer. The connection is closed afterwards; resetConnection() sends a
+  /// reset instead.
   using script = std::function<void(tcp_socket &, const received_request &)>;
 
   explicit scripted_server(script Answer);
@@ -35,7 +37,7 @@
 
   [[nodiscard]] backend_key key() const;
   [[nodiscard]] std::vector<received_request> requests() const;
-  /// For its script: whether another connection waits to be served.
+  /// @return Whether another connection waits to be served; for use by the script.
   [[nodiscard]] bool hasPendingConnection();
 
 private:
@@ -50,15 +52,15 @@
   std::thread Thread;
 };
 
-/// Writes text to a socket; the peer may have gone.
+/// Writes text to a socket; errors are ignored, since the peer may have closed.
 void sendText(scripted_server::tcp_socket &Socket, const std::string &Text);
-/// Returns once the peer has closed.
+/// Waits until the peer has closed the connection.
 void waitForClose(scripted_server::tcp_socket &Socket);
-/// Closes so that the peer sees a reset.
+/// Closes the connection with a reset.
 void resetConnection(scripted_server::tcp_socket &Socket);
-/// @return An event with its id and a line of data.
+/// @return A server-sent event with this id and one line of data.
 std::string eventText(int Id);
-/// @return One chunk of a body.
+/// @return One chunk of a chunked body.
 std::string chunkOf(const std::string &Part);
 
 } // namespace pollenstall
--- a/tests/support/temp_folder.cpp
+++ b/tests/support/temp_folder.cpp
@@ -1,4 +1,4 @@
-/** @file temp_folder.cpp Temporary folders by mkdtemp. */
+/** @file temp_folder.cpp Creates temporary folders with mkdtemp. */
 #include "core/core.h"
 #include "support/temp_folder_base.h"
 
@@ -11,7 +11,7 @@
 
 temp_folder::temp_folder()
     : Path((std::filesystem::temp_directory_path() / "pollenstall-XXXXXX").string()) {
-  requireInvariant(mkdtemp(Path.data()) != nullptr, "a temporary folder can be made");
+  requireInvariant(mkdtemp(Path.data()) != nullptr, "the temporary folder can be created");
 }
 
 temp_folder::~temp_folder() {
--- a/tests/support/temp_folder_base.h
+++ b/tests/support/temp_folder_base.h
@@ -1,4 +1,4 @@
-/** @file temp_folder_base.h A folder that lives as long as its object. */
+/** @file temp_folder_base.h A temporary folder that its object removes. */
 #ifndef POLLENSTALL_SUPPORT_TEMP_FOLDER_BASE_H
 #define POLLENSTALL_SUPPORT_TEMP_FOLDER_BASE_H
 
@@ -6,7 +6,7 @@
 
 namespace pollenstall {
 
-/// A fresh folder under the system's folder for temporary files, removed at the end.
+/// A new folder under the temporary directory of the system; the destructor removes it.
 class temp_folder {
 public:
   temp_folder();
@@ -14,9 +14,9 @@
   temp_folder(const temp_folder &) = delete;
   temp_folder &operator=(const temp_folder &) = delete;
 
-  /// @return The folder, without a slash at its end.
+  /// @return The path of the folder, without a trailing slash.
   [[nodiscard]] const std::string &path() const { return Path; }
-  /// @return The path of a file or folder in it, which need not exist.
+  /// @return The path of an entry in the folder, which need not exist.
   [[nodiscard]] std::string path(const std::string &Name) const { return Path + "/" + Name; }
   /// Writes a file. @return Its path.
   [[nodiscard]] std::string write(const std::string &Name, const std::string &Text) const;
@@ -25,7 +25,7 @@
   std::string Path;
 };
 
-/// @return What a file holds; empty where there is none.
+/// @return The content of a file; empty if the file does not exist.
 std::string readFile(const std::string &Path);
 
 } // namespace pollenstall
