--- a/tests/entry/bad_input_test.cpp
+++ b/tests/entry/bad_input_test.cpp
@@ -1,5 +1,5 @@
-/** @file bad_input_test.cpp Bad input gets a 4xx that names the field, is not run, and disturbs
- * nobody else. */
+/** @file bad_input_test.cpp Invalid requests get a 4xx that names the field, are not run, and do
+ * not affect other callers. */
 #include "entry_fleet_base.h"
 
 #include <gtest/gtest.h>
@@ -7,7 +7,7 @@
 namespace pollenstall {
 namespace {
 
-/// What is sent instead of a good request, and what has to be said of it.
+/// An invalid request and the answer that it must get.
 struct bad_case {
   std::string Name;
   std::string Body;
@@ -23,7 +23,7 @@
                      .ServiceLines = "max_body_bytes = 20000\nmax_prompt_tokens = 3000\n"
                                      "max_answer_tokens = 100\n"}};
 
-  /// A request that runs while the bad ones come must not notice them.
+  /// Checks that a valid request still succeeds and that nothing is left over.
   void TearDown() override {
     EXPECT_TRUE(Fleet.chat("still served").ok());
     EXPECT_TRUE(eventually([this] { return Fleet.isIdle(); }));
@@ -38,7 +38,7 @@
     EXPECT_EQ(Answer.header("X-Pollenstall-Outcome"), "not-run") << Case.Name;
   }
 
-  /// Sends raw bytes and expects an error answer with the field in it, then a closed connection.
+  /// Sends raw bytes and expects an error answer that names the field, then a closed connection.
   void expectRawRefused(const std::string &Bytes, const std::string &Status,
                         const std::string &Field) {
     raw_socket Socket(Fleet.callersAddress());
@@ -53,7 +53,7 @@
 
 const std::string Key = "Host: e\r\nAuthorization: Bearer caller-key\r\n";
 
-TEST_F(BadInputTest, InTheBodyIsNamed) {
+TEST_F(BadInputTest, NamesTheInvalidBodyField) {
   const std::string Good = chatBody("m", "x", false, 1);
   const std::vector<bad_case> Cases{
       {"broken JSON", Good.substr(0, Good.size() - 2), callerKey(), 400, "body"},
@@ -77,7 +77,7 @@
   EXPECT_EQ(Fleet.engine().stat("starts"), 0);
 }
 
-TEST_F(BadInputTest, InHeadersAndPathsIsNamed) {
+TEST_F(BadInputTest, NamesTheInvalidHeaderOrPath) {
   const std::string Good = chatBody("m", "x", false, 1);
   const auto Post = [&](const std::string &Name, const std::string &Value) {
     http_headers Headers = callerKey();
@@ -97,7 +97,7 @@
   EXPECT_EQ(Fleet.engine().stat("starts"), 0);
 }
 
-TEST_F(BadInputTest, TwoReadingsOfOneMessageAreRefusedAndTheConnectionClosed) {
+TEST_F(BadInputTest, RefusesAmbiguousMessagesAndClosesTheConnection) {
   const std::string Start = "POST /v1/chat/completions HTTP/1.1\r\n" + Key;
   expectRawRefused(Start + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
                    "400", "Content-Length");
@@ -112,9 +112,9 @@
   EXPECT_EQ(Fleet.engine().stat("starts"), 0);
 }
 
-TEST_F(BadInputTest, SlowSendersAreCutOff) {
-  // The caller sends half a head, or half a body, and then nothing. It gets a 408 within the limit
-  // and its connection ends; without the limit each such caller would hold memory for good.
+TEST_F(BadInputTest, SlowSendersTimeOut) {
+  // The caller sends half a head or half a body, then nothing. It gets a 408 within the limit and
+  // its connection is closed; without the limit each such caller would hold memory indefinitely.
   expectRawRefused("POST /v1/chat/completions HTTP/1.1\r\nHost: e\r\n", "408", "headers");
   expectRawRefused("POST /v1/chat/completions HTTP/1.1\r\n" + Key +
                        "Content-Length: 100\r\n\r\n{\"model\"",
@@ -124,7 +124,7 @@
                    "408", "body");
 }
 
-TEST_F(BadInputTest, GarbageOnEveryPortIsSurvived) {
+TEST_F(BadInputTest, SurvivesGarbageOnEveryPort) {
   const std::string Garbage(5'000, '\xfe');
   for (const std::string &Address : {Fleet.callersAddress(), Fleet.announcementsAddress()}) {
     raw_socket Socket(Address);
@@ -134,7 +134,7 @@
   }
 }
 
-TEST_F(BadInputTest, AnnouncementsNameTheFieldThatIsWrong) {
+TEST_F(BadInputTest, InvalidAnnouncementsNameTheField) {
   const http_client Client(Fleet.announcementsAddress());
   const http_headers FleetKey{{"Authorization", "Bearer fleet-key"}};
   EXPECT_EQ(Client.post("/v1/announcements", "{}").Status, 401);
--- a/tests/entry/broken_answer_test.cpp
+++ b/tests/entry/broken_answer_test.cpp
@@ -1,4 +1,5 @@
-/** @file broken_answer_test.cpp Backend servers that break off, cross or refuse. */
+/** @file broken_answer_test.cpp Backend servers that break connections, mix up answers or refuse
+ * work. */
 #include "entry_fleet_base.h"
 
 #include <gtest/gtest.h>
@@ -14,9 +15,9 @@
   }
 };
 
-TEST_F(BrokenAnswerTest, AStreamCutMidwayGoesOnAtTheExactEvent) {
-  // The engine's connection breaks after five events. The entry asks the same engine for the sixth;
-  // the caller sees one stream without a gap or a repeat, and does not learn of the break.
+TEST_F(BrokenAnswerTest, InterruptedStreamResumesAtTheNextEvent) {
+  // The engine connection breaks after five events. The entry resumes at the sixth on the same
+  // engine; the caller reads one stream without a gap, a repeat or an error.
   entry_fleet Fleet;
   ASSERT_TRUE(Fleet.engine().faults(R"({"cut_after_events":5})"));
   const auto Stream = Fleet.stream("a question", 30);
@@ -29,9 +30,9 @@
   expectIdle(Fleet);
 }
 
-TEST_F(BrokenAnswerTest, AStreamThatCannotGoOnEndsInAnErrorAndNeverCleanly) {
-  // This engine cannot resume. After the break the caller gets an error event that says "unknown",
-  // and the HTTP body stays unfinished: neither reader can take the part for the whole.
+TEST_F(BrokenAnswerTest, StreamThatCannotResumeEndsInAnError) {
+  // This engine cannot resume. After the break the caller gets an error event with the outcome
+  // "unknown" and an unterminated HTTP body, so that no reader accepts the partial answer.
   entry_fleet Fleet({.EngineTables = "[capabilities]\nresumes = false\n"});
   ASSERT_TRUE(Fleet.engine().faults(R"({"cut_after_events":5})"));
   const auto Stream = Fleet.stream("a question", 30);
@@ -44,8 +45,8 @@
   expectIdle(Fleet);
 }
 
-TEST_F(BrokenAnswerTest, AStreamThatEndsWithoutItsEndMarkIsNotTakenForWhole) {
-  // The engine closes the HTTP body in order but never says [DONE]: tokens may be missing.
+TEST_F(BrokenAnswerTest, StreamWithoutDoneEventIsIncomplete) {
+  // The engine terminates the HTTP body correctly but never sends [DONE]: tokens may be missing.
   entry_fleet Fleet({.EngineTables = "[capabilities]\nresumes = false\n"});
   ASSERT_TRUE(Fleet.engine().faults(R"({"no_done_next":1})"));
   const auto Stream = Fleet.stream("a question", 5);
@@ -56,10 +57,10 @@
   expectIdle(Fleet);
 }
 
-TEST_F(BrokenAnswerTest, HalfOfAWholeAnswerIsToldAsAnErrorAndNotPassedOn) {
-  // Half of the body came, then the engine's connection broke. Passed on, only a reset could say
-  // that the rest will not come, and a caller's library that misses it waits for good. The call may
-  // not be repeated, so that the caller reads at once that nobody knows.
+TEST_F(BrokenAnswerTest, HalfAnswerBecomesAnError) {
+  // The engine connection breaks after half of the body. If the half were forwarded, only a reset
+  // could signal the truncation, and a client library that misses the reset waits forever. The call
+  // is not idempotent, so the caller gets the outcome "unknown" at once.
   entry_fleet Fleet({.Engines = 2});
   for (std::size_t Index = 0; Index < Fleet.engines(); ++Index)
     ASSERT_TRUE(Fleet.engine(Index).faults(R"({"half_answer_next":1})"));
@@ -71,9 +72,9 @@
   expectIdle(Fleet);
 }
 
-TEST_F(BrokenAnswerTest, HalfOfAWholeAnswerIsAskedForElsewhereWhereTheCallMayBeRepeated) {
-  // The same break, but the call is idempotent: the caller has no byte of the first answer yet, so
-  // that the other engine's can be its own. It sees one whole answer and no error.
+TEST_F(BrokenAnswerTest, HalfAnswerOfAnIdempotentCallIsRetried) {
+  // The same break, but the call is idempotent. The caller has no byte of the first answer yet, so
+  // the call is retried on the other engine, and the caller gets one complete answer.
   entry_fleet Fleet({.Engines = 2});
   ASSERT_TRUE(Fleet.engine(0).faults(R"({"half_answer_next":1})"));
   ASSERT_TRUE(Fleet.engine(1).faults(R"({"half_answer_next":1})"));
@@ -82,10 +83,9 @@
   expectIdle(Fleet);
 }
 
-TEST_F(BrokenAnswerTest, AWholeAnswerBrokenInTheMiddleIsCutForTheCallerToo) {
-  // Half of an answer that is too large to be held came, then the engine's connection broke. The
-  // head with its length is with the caller already, so that only a reset can say that the rest
-  // will not come.
+TEST_F(BrokenAnswerTest, UnbufferedHalfAnswerIsTruncatedForTheCaller) {
+  // The engine connection breaks after half of an answer that is too large to buffer. The caller
+  // already has the head with the length, so only a reset can signal the truncation.
   entry_fleet Fleet({.EntryLimits = "held_answer_bytes = 0\n"});
   ASSERT_TRUE(Fleet.engine().faults(R"({"half_answer_next":1})"));
   const http_answer Answer = Fleet.chat("a question", 40);
@@ -94,9 +94,9 @@
   expectIdle(Fleet);
 }
 
-TEST_F(BrokenAnswerTest, AnAnswerToAnotherAttemptReachesNobody) {
-  // Each engine answers once under another attempt's name, as crossed connections would. The entry
-  // drops both answers and closes their connections; the caller gets its own at the third try.
+TEST_F(BrokenAnswerTest, AnswerToAnotherAttemptIsDropped) {
+  // Each engine answers once with the id of another attempt, as on mixed-up connections. The entry
+  // drops both answers and closes their connections; the caller gets its own at the third attempt.
   entry_fleet Fleet({.Engines = 2});
   for (std::size_t Index = 0; Index < Fleet.engines(); ++Index)
     ASSERT_TRUE(Fleet.engine(Index).faults(R"({"wrong_attempt_next":1})"));
@@ -106,7 +106,7 @@
   expectIdle(Fleet);
 }
 
-TEST_F(BrokenAnswerTest, DeclinedAndFailedWorkIsTriedElsewhere) {
+TEST_F(BrokenAnswerTest, DeclinedAndFailedWorkIsRetriedElsewhere) {
   entry_fleet Fleet({.Engines = 2});
   for (std::size_t Index = 0; Index < Fleet.engines(); ++Index)
     ASSERT_TRUE(Fleet.engine(Index).faults(R"({"decline_next":1,"error_next":0})"));
@@ -117,9 +117,9 @@
   expectIdle(Fleet);
 }
 
-TEST_F(BrokenAnswerTest, WorkThatMayNotBeRepeatedIsToldAsUnknown) {
-  // The caller marks its call as not idempotent. The engine starts it and fails with a 500: it may
-  // have had its effect, so it is not sent again, and the caller is told that nobody knows.
+TEST_F(BrokenAnswerTest, NonIdempotentWorkEndsAsUnknown) {
+  // The caller marks its call as not idempotent. The engine starts it and fails with a 500: the
+  // call may have had its effect, so it is not retried, and the caller gets "unknown".
   entry_fleet Fleet({.Engines = 2});
   for (std::size_t Index = 0; Index < Fleet.engines(); ++Index)
     ASSERT_TRUE(Fleet.engine(Index).faults(R"({"error_next":1})"));
@@ -130,8 +130,8 @@
   expectIdle(Fleet);
 }
 
-TEST_F(BrokenAnswerTest, WithEveryServerGoneTheCallerIsToldThatItWasNotRun) {
-  // The engine is killed, so connecting is refused: no byte of any attempt has left this process.
+TEST_F(BrokenAnswerTest, WithoutBackendServersTheCallIsNotRun) {
+  // The engine is killed, so connections are refused and no byte of an attempt leaves the entry.
   entry_fleet Fleet({.ServiceLines = "default_timeout_ms = 1500\n"});
   Fleet.engine().process().kill();
   (void)Fleet.engine().process().wait();
--- a/tests/entry/entry_fleet.cpp
+++ b/tests/entry/entry_fleet.cpp
@@ -1,4 +1,4 @@
-/** @file entry_fleet.cpp Settings and start of the processes. */
+/** @file entry_fleet.cpp Writes the settings and starts the processes. */
 #include "entry_fleet_base.h"
 
 #include "core/core.h"
@@ -63,7 +63,7 @@
   const bool AllKnown = eventually([this, BackendCount] {
     return knownBackends() == BackendCount && operators().get("/readyz").Status == 200;
   });
-  requireInvariant(AllKnown, "the entry learns of every backend server");
+  requireInvariant(AllKnown, "the entry knows every backend server");
 }
 
 void entry_fleet::startEntry(const fleet_options &Plan) {
@@ -119,7 +119,8 @@
                               http_headers ExtraHeaders) const {
   for (auto &Header : callerKey())
     ExtraHeaders.push_back(Header);
-  return caller().post("/v1/chat/completions", chatBody("m", Prompt, false, AnswerTokens), ExtraHeaders);
+  return caller().post("/v1/chat/completions", chatBody("m", Prompt, false, AnswerTokens),
+                       ExtraHeaders);
 }
 
 std::unique_ptr<http_stream> entry_fleet::stream(const std::string &Prompt,
--- a/tests/entry/entry_fleet_base.h
+++ b/tests/entry/entry_fleet_base.h
@@ -1,4 +1,4 @@
-/** @file entry_fleet_base.h An entry with backend servers behind it, all real processes. */
+/** @file entry_fleet_base.h An entry and its backend servers as real processes. */
 #ifndef POLLENSTALL_TESTS_ENTRY_ENTRY_FLEET_BASE_H
 #define POLLENSTALL_TESTS_ENTRY_ENTRY_FLEET_BASE_H
 
@@ -10,7 +10,7 @@
 
 namespace pollenstall {
 
-/// What differs between fleets of tests.
+/// Options of a test fleet.
 struct fleet_options {
   std::string EntryLimits{};  ///< Lines of the table [limits].
   std::string EntryTop{};     ///< Lines at the top of the entry's settings.
@@ -22,7 +22,7 @@
   int Plain{0};
 };
 
-/// Started and known to the entry once constructed.
+/// An entry and backend servers; the constructor returns once the entry knows all of them.
 class entry_fleet {
 public:
   explicit entry_fleet(const fleet_options &Plan = {});
@@ -36,20 +36,20 @@
   [[nodiscard]] backend_process &plain(std::size_t Index = 0) { return *PlainServers.at(Index); }
   [[nodiscard]] std::size_t engines() const { return Engines.size(); }
 
-  /// Kills the entry and starts it anew, as a host that comes back under its name.
+  /// Kills the entry and restarts it under the same host name.
   void restartEntry();
 
-  /// @return A chat call's whole answer.
+  /// @return The complete answer to a chat call.
   [[nodiscard]] http_answer chat(const std::string &Prompt, int AnswerTokens = 2,
                                  http_headers ExtraHeaders = {}) const;
   /// Opens a streamed chat call.
   [[nodiscard]] std::unique_ptr<http_stream> stream(const std::string &Prompt,
                                                     int AnswerTokens) const;
-  /// @return The state that /dump shows.
+  /// @return The JSON of /dump.
   [[nodiscard]] boost::json::value dump() const;
   /// @return The sum of all samples of a metric whose labels contain Label.
   [[nodiscard]] double metric(const std::string &Name, const std::string &Label = {}) const;
-  /// @return Whether nothing is left anywhere: no request, no attempt, no block of memory.
+  /// @return Whether no request, attempt or memory block is in use anywhere.
   [[nodiscard]] bool isIdle();
 
 private:
@@ -67,11 +67,11 @@
   std::string Announcements;
 };
 
-/// The caller's key, as a header.
+/// @return The Authorization header with the key of the caller.
 http_headers callerKey();
-/// @return The "error" object of an answer, or an empty one.
+/// @return The "error" object of an answer, or an empty object.
 boost::json::object errorOf(const http_answer &Answer);
-/// @return A member's text, or an empty one.
+/// @return The string member, or an empty string.
 std::string textIn(const boost::json::object &Object, std::string_view Name);
 
 } // namespace pollenstall
--- a/tests/entry/leaving_caller_test.cpp
+++ b/tests/entry/leaving_caller_test.cpp
@@ -1,4 +1,4 @@
-/** @file leaving_caller_test.cpp Callers that leave or stop reading give everything back. */
+/** @file leaving_caller_test.cpp Resources are released when callers disconnect or stop reading. */
 #include "entry_fleet_base.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace pollenstall {
 namespace {
 
-/// Answers of these engines take long enough to leave in the middle.
+/// Engines slow enough for a caller to disconnect during an answer.
 fleet_options slowFleet() {
   return {.EntryLimits = "write_stall_ms = 300\n",
           .ServiceLines = "default_timeout_ms = 800000\n",
@@ -27,8 +27,8 @@
 };
 
 TEST_F(LeavingCallerTest, MidwayThroughAStreamFreesTheEnginesMemory) {
-  // A caller closes the connection while tokens arrive. The entry sees the end of the connection,
-  // has the engine end the attempt, and the engine's blocks come back to rest.
+  // A caller closes the connection while tokens arrive. The entry detects this and cancels the
+  // attempt, and the engine releases its blocks.
   const auto Stream = Fleet.stream("a question", 4'000);
   ASSERT_TRUE(Stream->next());
   waitForWork();
@@ -38,7 +38,7 @@
 }
 
 TEST_F(LeavingCallerTest, BeforeTheFirstTokenFreesTheEnginesMemory) {
-  // Here no write can fail, because nothing is written yet: only watching the connection tells.
+  // No write can fail yet, because nothing is written: the entry must watch the connection.
   raw_socket Socket(Fleet.callersAddress());
   const std::string Body = chatBody("m", std::string(60'000, 'p'), true, 10);
   ASSERT_TRUE(Socket.send("POST /v1/chat/completions HTTP/1.1\r\nHost: e\r\n"
@@ -48,12 +48,12 @@
   Socket.close();
   expectIdle();
   EXPECT_EQ(Fleet.engine().stat("cancels"), 1);
-  EXPECT_EQ(Fleet.engine().stat("events_sent"), 0) << "it ran on to the first token";
+  EXPECT_EQ(Fleet.engine().stat("events_sent"), 0) << "the engine ran on to the first token";
 }
 
-TEST_F(LeavingCallerTest, WhoStopsReadingStopsTheEngineAndIsCutOffInTheEnd) {
-  // The caller's buffers fill, the entry stops reading from the engine, holds no more than one
-  // read, and after the stall limit counts the caller as gone.
+TEST_F(LeavingCallerTest, WhoStopsReadingPausesTheEngineAndIsDisconnected) {
+  // The caller's buffers fill up. The entry stops reading from the engine, buffers no more than one
+  // read, and closes the caller's connection after the stall limit.
   raw_socket Socket(Fleet.callersAddress(), 2'048);
   ASSERT_TRUE(Fleet.engine().faults(R"({"slow_factor":0.02})"));
   const std::string Body = chatBody("m", "q", true, 8'000);
@@ -65,9 +65,9 @@
   expectIdle();
 }
 
-TEST_F(LeavingCallerTest, ACancelThatIsLostIsRepeated) {
-  // The engine breaks off the first cancel without effect. Its memory counts as taken until a
-  // later cancel is confirmed; without repeats it would stay taken for good.
+TEST_F(LeavingCallerTest, LostCancelIsRepeated) {
+  // The engine drops the first cancel without effect. Its memory counts as used until a later
+  // cancel is confirmed; without repeats it would never be released.
   ASSERT_TRUE(Fleet.engine().faults(R"({"drop_cancel_next":1})"));
   const auto Stream = Fleet.stream("a question", 4'000);
   ASSERT_TRUE(Stream->next());
@@ -75,10 +75,10 @@
   expectIdle();
 }
 
-TEST(LostEntry, AnEnginesMemoryComesBackAfterTheEntryThatTookItIsGone) {
-  // The entry dies in the middle of a stream, and the engine keeps the attempt for a resume that
-  // nobody will ask for. The next life of the entry finds the attempt in the engine's list, sees
-  // that its owner is an earlier life, and ends it; nobody else knows of it any more.
+TEST(LostEntry, OrphanedAttemptsAreCancelledAfterARestart) {
+  // The entry is killed during a stream, and the engine keeps the attempt for a resume that never
+  // comes. Only the restarted entry can release it: it finds the attempt in the engine's list, sees
+  // that its owner is an earlier incarnation, and cancels it.
   entry_fleet Fleet({.ServiceLines = "default_timeout_ms = 800000\n",
                      .EngineTop = "resume_window_ms = 3600000\n",
                      .EngineTables = "[step]\nbase_us = 5000\n"});
--- a/tests/entry/log_reader_test.cpp
+++ b/tests/entry/log_reader_test.cpp
@@ -1,4 +1,4 @@
-/** @file log_reader_test.cpp An entry whose log nobody reads. */
+/** @file log_reader_test.cpp An entry whose log pipe is not read. */
 #include "entry_fleet_base.h"
 
 #include <gtest/gtest.h>
@@ -9,10 +9,10 @@
 /// Each request logs more than 300 bytes; a pipe holds 64 KB.
 constexpr int RequestsThatFillThePipe = 400;
 
-// The collector of the logs stands still. The pipe to it is full after some two hundred requests;
-// an entry that waited for it would answer nobody any more. All are answered, and when the
-// collector reads on it finds a line for each.
-TEST(ALogThatNobodyReads, DelaysNoRequest) {
+// Guards against an entry that blocks on its log. The log collector stops reading, and the pipe is
+// full after about two hundred requests. All requests are answered, and the collector gets a line
+// for each once it reads on.
+TEST(UnreadLog, DelaysNoRequest) {
   entry_fleet Fleet;
   Fleet.entry().pauseErrorReader();
   for (int Count = 0; Count < RequestsThatFillThePipe; ++Count)
--- a/tests/entry/stopping_test.cpp
+++ b/tests/entry/stopping_test.cpp
@@ -1,4 +1,4 @@
-/** @file stopping_test.cpp Settings checks and a stop that cuts off nobody. */
+/** @file stopping_test.cpp Settings checks and a graceful shutdown. */
 #include "entry_fleet_base.h"
 
 #include <gtest/gtest.h>
@@ -7,8 +7,8 @@
 namespace {
 
 TEST(Stopping, LetsRunningWorkEndAndRefusesNewWork) {
-  // SIGTERM comes while a stream runs. The balancer is told by /readyz, new calls are told "not
-  // run" with Retry-After, and the running stream ends whole before the process does.
+  // SIGTERM arrives during a stream. /readyz fails for the load balancer, new calls are refused as
+  // "not-run" with Retry-After, and the running stream completes before the process exits.
   entry_fleet Fleet({.EngineTables = "[step]\nbase_us = 20000\n"});
   const auto Stream = Fleet.stream("a question", 60);
   ASSERT_TRUE(Stream->next());
@@ -24,7 +24,7 @@
   EXPECT_EQ(Fleet.entry().wait(), 0);
 }
 
-TEST(Stopping, EndsWorkAtTheLimitAndSaysSo) {
+TEST(Stopping, EndsWorkAtTheLimitWithAnError) {
   entry_fleet Fleet({.EntryTop = "shutdown_limit_s = 0.2\n",
                      .ServiceLines = "default_timeout_ms = 800000\n",
                      .EngineTables = "[step]\nbase_us = 20000\n"});
@@ -38,9 +38,9 @@
   EXPECT_TRUE(eventually([&] { return Fleet.engine().stat("used_blocks") == 0; }));
 }
 
-// The platform sends SIGHUP where a settings file changed. By default it ends a process: every
-// stream that the entry carries would be cut.
-TEST(Stopping, ASettingsChangeEndsNothing) {
+// The platform sends SIGHUP when a settings file has changed. Its default action ends the process,
+// which would interrupt every stream of the entry.
+TEST(Stopping, SettingsChangeEndsNothing) {
   entry_fleet Fleet({.EngineTables = "[step]\nbase_us = 20000\n"});
   const auto Stream = Fleet.stream("a question", 30);
   ASSERT_TRUE(Stream->next());
@@ -52,7 +52,7 @@
   EXPECT_EQ(Fleet.chat("and another").Status, 200);
 }
 
-TEST(Stopping, WrongSettingsEndAtOnceWithTheirPlace) {
+TEST(Stopping, InvalidSettingsAreReportedWithTheirLine) {
   const auto Process = child_process::withSettings("pollenstall-entry", "[host]\nnam = \"a\"\n");
   EXPECT_EQ(Process->wait(), 2);
   const std::vector<std::string> Lines = Process->errorLines();
--- a/tests/entry/whole_path_test.cpp
+++ b/tests/entry/whole_path_test.cpp
@@ -1,4 +1,4 @@
-/** @file whole_path_test.cpp From a caller to a backend server and back. */
+/** @file whole_path_test.cpp Calls from a caller to a backend server and back. */
 #include "entry_fleet_base.h"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
   entry_fleet Fleet{{.Engines = 2, .Plain = 1}};
 };
 
-TEST_F(WholePathTest, AWholeAnswerArrivesAsTheEngineGaveIt) {
+TEST_F(WholePathTest, CompleteAnswerArrivesUnchanged) {
   const http_answer Answer = Fleet.chat("a question", 3);
   ASSERT_TRUE(Answer.ok()) << Answer.Error << Answer.Body;
   EXPECT_EQ(Answer.header("Content-Type"), "application/json");
@@ -33,7 +33,7 @@
   EXPECT_EQ(Answer.json().at("usage").at("completion_tokens"), 3);
 }
 
-TEST_F(WholePathTest, AStreamHasEveryEventOnceAndItsEnd) {
+TEST_F(WholePathTest, StreamDeliversEveryEventOnceAndEnds) {
   const auto Stream = Fleet.stream("a question", 40);
   ASSERT_EQ(Stream->status(), 200);
   const std::vector<sse_event> Events = Stream->remainingEvents();
@@ -42,18 +42,18 @@
     EXPECT_EQ(Events[Index].Id, std::to_string(Index + 1));
   EXPECT_EQ(Events.back().Data, "[DONE]");
   EXPECT_TRUE(Stream->endedCleanly());
-  const std::string Whole(Fleet.chat("a question", 40)
-                              .json()
-                              .at("choices")
-                              .at(0)
-                              .at("message")
-                              .at("content")
-                              .as_string());
-  EXPECT_EQ(contentOf(Events), Whole);
+  const std::string CompleteAnswer(Fleet.chat("a question", 40)
+                                       .json()
+                                       .at("choices")
+                                       .at(0)
+                                       .at("message")
+                                       .at("content")
+                                       .as_string());
+  EXPECT_EQ(contentOf(Events), CompleteAnswer);
   EXPECT_TRUE(eventually([this] { return Fleet.isIdle(); }));
 }
 
-TEST_F(WholePathTest, TheOlderInterfaceAndTheListOfModelsWork) {
+TEST_F(WholePathTest, CompletionsInterfaceAndModelListWork) {
   const http_answer Answer = Fleet.caller().post(
       "/v1/completions", R"({"model":"m","prompt":"once","max_tokens":2})", callerKey());
   EXPECT_TRUE(Answer.ok()) << Answer.Body;
@@ -64,7 +64,7 @@
   EXPECT_EQ(Fleet.caller().get("/v1/models/x", callerKey()).Status, 404);
 }
 
-TEST_F(WholePathTest, APlainCallKeepsMethodPathQueryBodyAndItsOwnHeaders) {
+TEST_F(WholePathTest, PlainCallKeepsMethodPathQueryBodyAndHeaders) {
   http_headers Headers = callerKey();
   Headers.emplace_back("X-Mine", "kept");
   Headers.emplace_back("X-Pollenstall-Account", "someone-else");
@@ -83,14 +83,14 @@
   EXPECT_FALSE(Echo.at("headers").as_object().contains("Authorization"));
 }
 
-TEST_F(WholePathTest, ABodyOfAMillionTokensPassesAndIsNotHeldAfterwards) {
+TEST_F(WholePathTest, BodyOfAMillionTokensPassesAndIsReleased) {
   const http_answer Answer = Fleet.chat(std::string(6'000'000, 'w'), 1);
-  // The engine of this test has no memory for it and says so; the body has passed all the same.
+  // The engine lacks the memory and refuses the prompt, but the body was transferred.
   EXPECT_TRUE(Answer.Error.empty()) << Answer.Error;
   EXPECT_TRUE(eventually([this] { return Fleet.metric("pollenstall_body_bytes") == 0; }));
 }
 
-TEST_F(WholePathTest, ChunkedBodiesExpectationsAndPipelinedRequestsAreRead) {
+TEST_F(WholePathTest, ReadsChunkedBodiesExpectationsAndPipelinedRequests) {
   raw_socket Socket(Fleet.callersAddress());
   const std::string Body = chatBody("m", "x", false, 1);
   const std::string Key = "Host: e\r\nAuthorization: Bearer caller-key\r\n";
@@ -100,13 +100,13 @@
   EXPECT_NE(Socket.receiveUntil("\r\n\r\n").find("100 Continue"), std::string::npos);
   ASSERT_TRUE(Socket.send(Body));
   EXPECT_NE(Socket.receiveUntil("}}").find("200 OK"), std::string::npos);
-  const std::string Half = Body.substr(0, Body.size() / 2);
-  const std::string Rest = Body.substr(Body.size() / 2);
+  const std::string FirstHalf = Body.substr(0, Body.size() / 2);
+  const std::string SecondHalf = Body.substr(Body.size() / 2);
   std::ostringstream Chunks;
-  Chunks << std::hex << Half.size() << "\r\n"
-         << Half << "\r\n"
-         << Rest.size() << ";ext=1\r\n"
-         << Rest << "\r\n0\r\nTrailer: t\r\n\r\n";
+  Chunks << std::hex << FirstHalf.size() << "\r\n"
+         << FirstHalf << "\r\n"
+         << SecondHalf.size() << ";ext=1\r\n"
+         << SecondHalf << "\r\n0\r\nTrailer: t\r\n\r\n";
   ASSERT_TRUE(Socket.send("POST /v1/chat/completions HTTP/1.1\r\n" + Key +
                           "Transfer-Encoding: chunked\r\n\r\n" + Chunks.str() +
                           "GET /v1/models HTTP/1.1\r\n" + Key + "\r\n"));
