--- a/tests/system/completion_test.cpp
+++ b/tests/system/completion_test.cpp
@@ -1,4 +1,4 @@
-/** @file completion_test.cpp Work that may be repeated, and what must never reach its caller. */
+/** @file completion_test.cpp Idempotent work, retries and answers that must not reach a caller. */
 #include "running_system_base.h"
 
 #include <gtest/gtest.h>
@@ -17,9 +17,9 @@
   return !Events.empty() && Events.back().Data.find("\"outcome\":\"unknown\"") != std::string::npos;
 }
 
-class WorkThatMayBeRepeatedTest : public testing::Test {
+class IdempotentWorkTest : public testing::Test {
 protected:
-  explicit WorkThatMayBeRepeatedTest(const system_options &Plan = {}) : System(Plan) {}
+  explicit IdempotentWorkTest(const system_options &Plan = {}) : System(Plan) {}
 
   bool engineFaults(const std::string &Json) {
     for (std::size_t Index = 0; Index < System.engines(); ++Index)
@@ -31,23 +31,23 @@
   running_system System;
 };
 
-TEST_F(WorkThatMayBeRepeatedTest, CompletesElsewhereWhenItsEngineDies) {
-  // The engine is killed after it took the question and before it answered. No answer byte has
-  // reached the caller, and running the question twice does no harm: it is asked elsewhere, and
-  // the caller sees one whole answer.
+TEST_F(IdempotentWorkTest, CompletesOnAnotherEngineAfterACrash) {
+  // The engine is killed after it received the question and before it answered. The caller has no
+  // answer byte yet, and a second run is harmless: the question is retried on the other engine, and
+  // the caller gets one complete answer.
   ASSERT_TRUE(engineFaults(R"({"late_ms":600000})"));
-  auto Asked = std::async(std::launch::async, [this] { return System.chat(0, "a question", 3); });
+  auto Pending = std::async(std::launch::async, [this] { return System.chat(0, "a question", 3); });
   const std::size_t Busy = System.busyEngine();
   ASSERT_TRUE(System.engine(1 - Busy).faults(R"({"late_ms":0})"));
   System.engine(Busy).process().kill();
-  const http_answer Answer = Asked.get();
+  const http_answer Answer = Pending.get();
   EXPECT_TRUE(Answer.ok()) << Answer.Error << Answer.Body;
   EXPECT_EQ(System.engine(1 - Busy).stat("starts"), 1);
 }
 
-TEST_F(WorkThatMayBeRepeatedTest, CompletesElsewhereWhenEnginesDeclineOrRefuse) {
-  // One engine declines each question that comes, then its port is closed, while its
-  // announcements go on: every question is answered by the other one.
+TEST_F(IdempotentWorkTest, CompletesOnAnotherEngineAfterARefusal) {
+  // One engine first declines questions and then closes its port, but still announces itself. The
+  // other engine answers every question.
   ASSERT_TRUE(System.engine(0).faults(R"({"decline_next":3})"));
   for (std::size_t Entry = 0; Entry < running_system::EntryCount; ++Entry)
     EXPECT_TRUE(System.chat(Entry, "declined " + std::to_string(Entry)).ok());
@@ -58,10 +58,10 @@
   }
 }
 
-TEST_F(WorkThatMayBeRepeatedTest, IsNeverAnsweredWithTheAnswerOfAnotherAttempt) {
-  // Many callers ask at once while engines answer under other attempts' names, as answers do that
-  // come late on crossed connections. Each caller gets the answer to its own question or a
-  // definite failure, never another's.
+TEST_F(IdempotentWorkTest, NeverGetsTheAnswerOfAnotherAttempt) {
+  // Many callers ask concurrently while engines answer with the ids of other attempts, as late
+  // answers on mixed-up connections do. Each caller gets the answer to its own question or a
+  // definite failure, never the answer to another question.
   constexpr int Callers = 16;
   const auto Question = [](int Caller) { return "question of caller " + std::to_string(Caller); };
   std::vector<std::string> Expected;
@@ -69,15 +69,15 @@
   for (int Caller = 0; Caller < Callers; ++Caller)
     Expected.push_back(contentOf(System.chat(0, Question(Caller), 4)));
   ASSERT_TRUE(engineFaults(R"({"wrong_attempt_next":4})"));
-  std::vector<std::future<http_answer>> Asked;
-  Asked.reserve(Callers);
+  std::vector<std::future<http_answer>> Pending;
+  Pending.reserve(Callers);
   for (int Caller = 0; Caller < Callers; ++Caller)
-    Asked.push_back(std::async(std::launch::async, [this, Caller, &Question] {
+    Pending.push_back(std::async(std::launch::async, [this, Caller, &Question] {
       return System.chat(static_cast<std::size_t>(Caller) % 3, Question(Caller), 4);
     }));
   int Answered = 0;
-  for (std::size_t Caller = 0; Caller < Asked.size(); ++Caller) {
-    const http_answer Answer = Asked[Caller].get();
+  for (std::size_t Caller = 0; Caller < Pending.size(); ++Caller) {
+    const http_answer Answer = Pending[Caller].get();
     Answered += Answer.ok() ? 1 : 0;
     EXPECT_TRUE(Answer.ok() || !outcomeOf(Answer).empty()) << Answer.Error << Answer.Body;
     if (Answer.ok()) {
@@ -87,9 +87,9 @@
   EXPECT_GE(Answered, Callers / 2);
 }
 
-TEST_F(WorkThatMayBeRepeatedTest, GoesOnExactlyWhereItsStreamBroke) {
-  // The connection to the engine breaks after five events; the engine still holds the stream. The
-  // entry asks for the sixth, and the caller reads every event once.
+TEST_F(IdempotentWorkTest, ResumesAtTheNextEvent) {
+  // The connection to the engine breaks after five events, and the engine keeps the stream. The
+  // entry resumes at the sixth event, and the caller reads every event once.
   ASSERT_TRUE(engineFaults(R"({"cut_after_events":5})"));
   for (std::size_t Entry = 0; Entry < running_system::EntryCount; ++Entry) {
     const auto Events = System.stream(Entry, "cut " + std::to_string(Entry), 40)->remainingEvents();
@@ -97,16 +97,16 @@
   }
 }
 
-class AStreamThatCannotGoOnTest : public WorkThatMayBeRepeatedTest {
+class NonResumableStreamTest : public IdempotentWorkTest {
 protected:
-  AStreamThatCannotGoOnTest()
-      : WorkThatMayBeRepeatedTest(
+  NonResumableStreamTest()
+      : IdempotentWorkTest(
             {.EngineTables = "[capabilities]\nresumes = false\n[step]\nbase_us = 5000\n"}) {}
 };
 
-TEST_F(AStreamThatCannotGoOnTest, NeverLooksWholeAfterACut) {
-  // These engines cannot resume. After a cut the caller reads an error event that says "unknown",
-  // and the HTTP body stays unfinished, so that neither reader takes the part for the whole.
+TEST_F(NonResumableStreamTest, IsIncompleteAfterAnInterruption) {
+  // These engines cannot resume. After an interruption the caller gets an error event with the
+  // outcome "unknown" and an unterminated HTTP body, so that no reader accepts the partial answer.
   ASSERT_TRUE(engineFaults(R"({"cut_after_events":5})"));
   const auto Stream = System.stream(0, "cut", 40);
   const auto Events = Stream->remainingEvents();
@@ -115,8 +115,8 @@
   EXPECT_FALSE(Stream->endedCleanly());
 }
 
-TEST_F(AStreamThatCannotGoOnTest, NeverLooksWholeAfterItsEngineDied) {
-  // The same where the engine itself is killed while its tokens are on their way.
+TEST_F(NonResumableStreamTest, IsIncompleteAfterAnEngineCrash) {
+  // The same if the engine is killed while it sends tokens.
   const auto Stream = System.stream(1, "killed", 400);
   ASSERT_TRUE(Stream->next());
   System.engine(System.busyEngine()).process().kill();
@@ -126,9 +126,9 @@
   EXPECT_FALSE(Stream->endedCleanly());
 }
 
-TEST_F(AStreamThatCannotGoOnTest, NeverLooksWholeAfterItsEntryDied) {
-  // The entry is killed: nothing can send an error event, but the body ends without its last chunk
-  // and without its end mark.
+TEST_F(NonResumableStreamTest, IsIncompleteAfterAnEntryCrash) {
+  // The entry is killed, so no error event can be sent, but the body ends without its last chunk
+  // and without a [DONE] event.
   const auto Stream = System.stream(2, "killed", 400);
   ASSERT_TRUE(Stream->next());
   System.killEntry(2);
--- a/tests/system/crashing_request_test.cpp
+++ b/tests/system/crashing_request_test.cpp
@@ -1,4 +1,4 @@
-/** @file crashing_request_test.cpp A request under which each engine that begins it crashes. */
+/** @file crashing_request_test.cpp A request that crashes every engine that starts it. */
 #include "running_system_base.h"
 
 #include <gtest/gtest.h>
@@ -21,34 +21,34 @@
       {.Engines = 6, .EngineTop = "faults = '{\"die_on_prompt\":\"" + Crashing + "\"}'\n"}};
 };
 
-// Guards against one request that, sent again and again, ends one engine after the other.
+// Guards against a request that is sent repeatedly and crashes one engine after another.
 TEST_F(CrashingRequestTest, IsRefusedByEveryEntryOnceItHasCrashedThreeEngines) {
-  constexpr int MostRounds = 60;
+  constexpr int MaxRounds = 60;
   bool Refused = false;
   std::size_t Lost = 0;
-  for (int Round = 0; Round < MostRounds && !Refused; ++Round) {
+  for (int Round = 0; Round < MaxRounds && !Refused; ++Round) {
     Refused = isRefused(System.chat(Round % running_system::EntryCount, Crashing));
     Lost += System.restartEndedEngines();
     ASSERT_TRUE(Refused || eventually([this] { return System.allReady(); }));
   }
-  ASSERT_TRUE(Refused) << Lost << " engines were lost in " << MostRounds << " rounds";
+  ASSERT_TRUE(Refused) << Lost << " engines were lost in " << MaxRounds << " rounds";
   EXPECT_GE(Lost, 3U);
   for (std::size_t Entry = 0; Entry < running_system::EntryCount; ++Entry)
     ASSERT_TRUE(eventually([&] { return isRefused(System.chat(Entry, Crashing)); }))
         << Entry << " " << System.chat(Entry, Crashing).Body;
   System.restartEndedEngines();
   for (std::size_t Entry = 0; Entry < running_system::EntryCount; ++Entry) {
-    const http_answer Again = System.chat(Entry, Crashing);
-    EXPECT_TRUE(isRefused(Again)) << Again.Status << Again.Body;
-    EXPECT_EQ(outcomeOf(Again), "not-run");
+    const http_answer RefusedAnswer = System.chat(Entry, Crashing);
+    EXPECT_TRUE(isRefused(RefusedAnswer)) << RefusedAnswer.Status << RefusedAnswer.Body;
+    EXPECT_EQ(outcomeOf(RefusedAnswer), "not-run");
     EXPECT_EQ(System.chat(Entry, "another prompt").Status, Ok);
   }
   EXPECT_EQ(System.restartEndedEngines(), 0U);
   EXPECT_EQ(System.ctl({"suspects"}), 0);
 }
 
-// Guards against operators who cannot let a request run again that they have mended servers for.
-TEST_F(CrashingRequestTest, RunsAgainOnceAnOperatorSaysSo) {
+// Guards against a block that operators cannot lift after they have repaired the servers.
+TEST_F(CrashingRequestTest, RunsAgainOnceAnOperatorUnblocksIt) {
   std::string Answer;
   const auto Send = [&] { return System.chat(0, Crashing); };
   ASSERT_TRUE(eventually([&] {
--- a/tests/system/declaration_test.cpp
+++ b/tests/system/declaration_test.cpp
@@ -1,4 +1,4 @@
-/** @file declaration_test.cpp Accepted changes, from the operator to every entry. */
+/** @file declaration_test.cpp Accepted declaration changes, from the operator to every entry. */
 #include "running_system_base.h"
 
 #include "operators/operators.h"
@@ -35,7 +35,7 @@
       System.control().start(Host);
   }
 
-  /// A refusal must say that nothing ran and when to come back.
+  /// Expects a refusal with the outcome "not-run" and a Retry-After header.
   void expectRefused(std::size_t Entry) {
     const http_answer Refused = System.chat(Entry, "a question");
     EXPECT_EQ(Refused.Status, 503) << Refused.Error << Refused.Body;
@@ -46,10 +46,10 @@
   running_system System{{.EngineTables = "[step]\nbase_us = 5000\n", .ServiceLines = ""}};
 };
 
-TEST_F(AcceptedChangesTest, OfTwoOperatorsAtOnceAreExactlyOneAndInForceEverywhere) {
-  // Two operators read the same revision and send different changes at the same moment. One is
-  // accepted and in force at every entry; the other is told of the conflict, and its content is
-  // used nowhere.
+TEST_F(AcceptedChangesTest, OfTwoConcurrentOperatorsExactlyOneIsInForceEverywhere) {
+  // Two operators read the same revision and send different changes concurrently. One is accepted
+  // and comes into force at every entry; the other gets a conflict, and its content is used
+  // nowhere.
   for (std::uint64_t Base = System.revision(); Base < System.revision() + 5; ++Base) {
     http_answer Other;
     std::thread Second([&] {
@@ -65,54 +65,54 @@
   }
 }
 
-TEST_F(AcceptedChangesTest, GetTheFirstAnswerAgainThoughTheLeaderWasKilled) {
-  // The leader accepts a change and is killed before the operator reads the answer. Sent again, the
-  // change gets its first answer, not a conflict with itself, and nothing that came after it is
-  // undone at any entry.
+TEST_F(AcceptedChangesTest, GetTheFirstAnswerAgainAfterALeaderCrash) {
+  // The leader accepts a change and is killed before the operator reads the answer. When it is sent
+  // again, the change gets its first answer instead of a conflict with itself, and no later change
+  // is undone at any entry.
   const std::uint64_t Base = System.revision();
   const std::size_t Leader = System.control().waitForLeader();
   const std::string Text = System.declarationWith(30);
   ASSERT_EQ(System.control().change("lost", Base, Text).Status, Ok);
   ASSERT_EQ(System.control().change("later", Base + 1, System.declarationWith(40)).Status, Ok);
   System.control().kill(Leader);
-  const auto Again = System.control().change("lost", Base, Text);
-  EXPECT_EQ(Again.Status, Ok) << Again.Body;
-  EXPECT_EQ(revisionIn(Again), Base + 1);
-  EXPECT_TRUE(repeatedIn(Again));
+  const auto RepeatedAnswer = System.control().change("lost", Base, Text);
+  EXPECT_EQ(RepeatedAnswer.Status, Ok) << RepeatedAnswer.Body;
+  EXPECT_EQ(revisionIn(RepeatedAnswer), Base + 1);
+  EXPECT_TRUE(repeatedIn(RepeatedAnswer));
   EXPECT_TRUE(eventually([&] { return System.inForce(Base + 2); }));
 }
 
-TEST_F(AcceptedChangesTest, AreNotMadeByALeaderThatWasFrozen) {
-  // The leader is stopped until another one has been elected and has accepted a change. When it
-  // goes on it still believes that it leads: a change sent to it must not be accepted, and no entry
-  // may go back. With the two others gone it must not keep the entries ready by itself either.
+TEST_F(AcceptedChangesTest, AreNotAcceptedByAStaleLeader) {
+  // The leader is frozen until another one has been elected and has accepted a change. When it
+  // resumes it still believes that it leads: it must not accept a change, and no entry may go back
+  // to an older revision. Without the two other hosts it must not keep the entries ready either.
   const std::uint64_t Base = System.revision();
-  const std::size_t Old = System.control().waitForLeader();
-  System.control().freeze(Old);
-  const std::size_t New = System.control().waitForLeader(Old);
+  const std::size_t OldLeader = System.control().waitForLeader();
+  System.control().freeze(OldLeader);
+  const std::size_t NewLeader = System.control().waitForLeader(OldLeader);
   const std::string Body = changeBody("new", Base, System.declarationWith(50));
-  ASSERT_TRUE(
-      eventually([&] { return System.control().post(New, "/v1/changes", Body).Status == Ok; }));
+  ASSERT_TRUE(eventually(
+      [&] { return System.control().post(NewLeader, "/v1/changes", Body).Status == Ok; }));
   EXPECT_TRUE(eventually([&] { return System.inForce(Base + 1); }));
-  System.control().thaw(Old);
-  const auto Answer = System.control().post(Old, "/v1/changes",
+  System.control().thaw(OldLeader);
+  const auto Answer = System.control().post(OldLeader, "/v1/changes",
                                             changeBody("old", Base, System.declarationWith(60)));
   EXPECT_NE(Answer.Status, Ok) << Answer.Body;
   EXPECT_TRUE(eventually([&] { return System.inForce(Base + 1); }));
   for (std::size_t Host = 0; Host < System.control().size(); ++Host)
-    if (Host != Old)
+    if (Host != OldLeader)
       System.control().kill(Host);
   for (std::size_t Entry = 0; Entry < running_system::EntryCount; ++Entry) {
     EXPECT_TRUE(eventually([&] { return !System.ready(Entry); })) << Entry;
     EXPECT_EQ(System.revisionInUse(Entry), Base + 1);
   }
-  EXPECT_FALSE(System.control().status(Old).at("serving").as_bool());
+  EXPECT_FALSE(System.control().status(OldLeader).at("serving").as_bool());
 }
 
 TEST_F(AcceptedChangesTest, AreConfirmedByARestartedEntryBeforeItServes) {
-  // An entry is killed, changes pass it by, and it starts while no control host answers. It must
-  // act on nothing that it may remember: it is not ready and runs nothing until it has confirmed
-  // the revision in force in this life.
+  // An entry is killed, misses changes and restarts while no control host answers. It must not use
+  // an older declaration: it is not ready and runs nothing until this incarnation has confirmed the
+  // revision in force.
   System.killEntry(0);
   std::uint64_t Last = System.revision();
   for (int Change = 0; Change < 5; ++Change, ++Last) {
@@ -134,10 +134,10 @@
   EXPECT_TRUE(eventually([&] { return System.inForce(Last); }));
 }
 
-TEST_F(AcceptedChangesTest, BindAnEntryThatWasFrozenWhileTheyWereMade) {
-  // An entry is stopped, and the operator takes the account's key away. Requests with that key wait
-  // in the frozen entry's sockets. When it goes on, it remembers a declaration that admits them;
-  // its lease is over, and not one of them may run.
+TEST_F(AcceptedChangesTest, ApplyToAnEntryThatWasFrozenMeanwhile) {
+  // An entry is frozen, and the operator revokes the key of the account. Requests with that key
+  // wait in the sockets of the entry. When it resumes, its declaration still admits them, but its
+  // lease has expired, and none of them may run.
   System.entry(0).stop();
   std::string Text = System.declarationWith(110);
   const std::string Hash = keyHash("caller-key");
@@ -145,9 +145,9 @@
   ASSERT_EQ(System.control().change("revoke", System.revision(), Text).Status, Ok);
   const auto InForce = [this] {
     const auto Status = System.control().status(System.control().waitForLeader());
-    const boost::json::value *Number = Status.if_contains("in_force_revision");
-    return Number && Number->is_number() &&
-           Number->to_number<std::uint64_t>() == System.revision() + 1;
+    const boost::json::value *InForceRevision = Status.if_contains("in_force_revision");
+    return InForceRevision && InForceRevision->is_number() &&
+           InForceRevision->to_number<std::uint64_t>() == System.revision() + 1;
   };
   constexpr int Callers = 12;
   std::vector<std::future<http_answer>> Waiting;
@@ -160,18 +160,20 @@
   System.entry(0).resume();
   for (auto &Waited : Waiting) {
     const http_answer Answer = Waited.get();
-    EXPECT_NE(Answer.Status, Ok) << "it ran under a declaration that is not in force";
+    EXPECT_NE(Answer.Status, Ok) << "the request ran under a declaration that is not in force";
     EXPECT_EQ(outcomeOf(Answer), "not-run") << Answer.Status << Answer.Error << Answer.Body;
   }
   for (std::size_t Index = 0; Index < System.engines(); ++Index)
     EXPECT_EQ(System.engine(Index).stat("starts"), 0) << Index;
 }
 
-TEST_F(AcceptedChangesTest, LeaveAnEntryThatWasFrozenPastItsLeaseUnready) {
-  // An entry and all control hosts are stopped until the entry's lease is over; the balancer's
-  // checks wait in its sockets. When the entry goes on, nobody can renew the lease: a check that is
-  // answered "ready" by what held before would bring callers who are then refused.
-  constexpr std::chrono::milliseconds Lease{2'000}; // As these systems' control hosts give it.
+TEST_F(AcceptedChangesTest, LeaveAnEntryUnreadyAfterItsLeaseExpiredWhileFrozen) {
+  // An entry and all control hosts are frozen until the lease of the entry has expired; health
+  // checks of the load balancer wait in its sockets. When the entry resumes, no host can renew the
+  // lease: a check that is answered with the stale "ready" would bring callers that are then
+  // refused.
+  constexpr std::chrono::milliseconds Lease{
+      2'000}; // As set in the control hosts of running_system.
   constexpr int Rounds = 4;
   constexpr int Checks = 4;
   for (int Round = 0; Round < Rounds; ++Round) {
@@ -192,10 +194,10 @@
   }
 }
 
-TEST_F(AcceptedChangesTest, SurviveTheLossAndReturnOfAllControlHosts) {
-  // All control hosts are killed. When their leases run out the entries refuse new requests as not
-  // run, while the admitted stream ends whole. When the hosts come back the declaration is there
-  // and the entries serve again.
+TEST_F(AcceptedChangesTest, SurviveARestartOfAllControlHosts) {
+  // All control hosts are killed. When their leases expire the entries refuse new requests as
+  // "not-run", while an admitted stream completes. After the hosts restart, the declaration is
+  // still in force and the entries serve again.
   const std::uint64_t Base = System.revision();
   ASSERT_EQ(System.control().change("kept", Base, System.declarationWith(70)).Status, Ok);
   ASSERT_TRUE(eventually([&] { return System.inForce(Base + 1); }));
@@ -211,9 +213,9 @@
   EXPECT_EQ(Events.back().Data, "[DONE]");
   startAllControl();
   EXPECT_TRUE(eventually([&] { return System.inForce(Base + 1); }));
-  const auto Again = System.control().change("kept", Base, System.declarationWith(70));
-  EXPECT_EQ(Again.Status, Ok);
-  EXPECT_TRUE(repeatedIn(Again));
+  const auto RepeatedAnswer = System.control().change("kept", Base, System.declarationWith(70));
+  EXPECT_EQ(RepeatedAnswer.Status, Ok);
+  EXPECT_TRUE(repeatedIn(RepeatedAnswer));
   EXPECT_TRUE(System.chat(0, "served again").ok());
 }
 
--- a/tests/system/once_test.cpp
+++ b/tests/system/once_test.cpp
@@ -1,4 +1,4 @@
-/** @file once_test.cpp Work that must run once, while what serves it is killed and frozen. */
+/** @file once_test.cpp Work that must run at most once while its processes are killed or frozen. */
 #include "running_system_base.h"
 
 #include <gtest/gtest.h>
@@ -11,29 +11,29 @@
 
 class WorkThatMustRunOnceTest : public testing::Test {
 protected:
-  /// What every story ends with: whoever was told "not run", nothing ran.
+  /// Checks that the work started at most once, and not at all if the outcome is "not-run".
   void expectAtMostOneStart(const std::string &Key, const http_answer &Answer) const {
     const std::int64_t Starts = System.startsByKey(Key);
     EXPECT_LE(Starts, 1) << Key;
     EXPECT_FALSE(Starts > 0 && outcomeOf(Answer) == "not-run") << Key << ": " << Answer.Body;
   }
 
-  /// A resend through another entry must meet the claim of the first send.
+  /// Expects that a resend through another entry is refused by the claim of the first send.
   void expectRefusedResend(std::size_t Entry, const std::string &Key) const {
-    const http_answer Again = System.send(Entry, Key);
-    EXPECT_EQ(Again.Status, Conflict) << Again.Error << Again.Body;
-    EXPECT_EQ(outcomeOf(Again), "unknown") << Again.Body;
-    expectAtMostOneStart(Key, Again);
+    const http_answer ResendAnswer = System.send(Entry, Key);
+    EXPECT_EQ(ResendAnswer.Status, Conflict) << ResendAnswer.Error << ResendAnswer.Body;
+    EXPECT_EQ(outcomeOf(ResendAnswer), "unknown") << ResendAnswer.Body;
+    expectAtMostOneStart(Key, ResendAnswer);
   }
 
   running_system System;
 };
 
-TEST_F(WorkThatMustRunOnceTest, IsNotRunAgainWhenItsEntryDies) {
-  // The caller sends a letter; the entry is killed while the backend server works on it, so the
-  // caller sees its connection break and sends again through another entry. The first send may
-  // have had its effect: the resend meets the claim that was durable before the first byte went
-  // out, is told "unknown", and nothing starts a second time.
+TEST_F(WorkThatMustRunOnceTest, IsNotRunAgainAfterAnEntryCrash) {
+  // The entry is killed while the backend server works on a letter, so the caller's connection
+  // breaks and it sends again through another entry. The first send may have had its effect. Its
+  // claim was durable before the first byte went out, so the resend gets "unknown" and nothing
+  // starts again.
   ASSERT_TRUE(System.plainFaults(Slow));
   auto First = System.sendAsync(0, "letter");
   (void)System.waitForStart("letter");
@@ -44,10 +44,10 @@
   EXPECT_EQ(System.startsByKey("letter"), 1);
 }
 
-TEST_F(WorkThatMustRunOnceTest, IsNotRunByAnEntryKilledAtAnyStepBeforeItsAnswer) {
-  // The entry is killed at a moment nobody chose: before the claim, between claim and send, or
-  // after. Wherever it was, the resends together start the work at most once, and one that is told
-  // "not run" finds no start at the backend servers.
+TEST_F(WorkThatMustRunOnceTest, IsRunAtMostOnceIfItsEntryIsKilledAtAnyStep) {
+  // The entry is killed at an arbitrary time: before the claim, between claim and send, or after
+  // the send. In each case all sends together start the work at most once, and after the outcome
+  // "not-run" no backend server has started it.
   ASSERT_TRUE(System.plainFaults(R"({"late_ms":50})"));
   constexpr int Letters = 12;
   std::vector<std::future<http_answer>> Sends;
@@ -66,16 +66,16 @@
 }
 
 TEST_F(WorkThatMustRunOnceTest, IsNotRunElsewhereWhileItsBackendServerIsFrozen) {
-  // The backend server is stopped with the letter in hand, and the caller sends again through
-  // another entry. Another server is free, but the letter may go out yet, and does when the first
-  // one goes on: both sends and a later one together start it once.
+  // The backend server is frozen while it works on the letter, and the caller sends again through
+  // another entry. Another backend server is free, but the first one may still send the letter, and
+  // does when it resumes: both sends and a later one together start the work once.
   ASSERT_TRUE(System.plainFaults(R"({"late_ms":300})"));
   auto First = System.sendAsync(0, "frozen");
   const std::size_t Server = System.waitForStart("frozen");
   System.plain(Server).process().stop();
-  auto Resend = System.sendAsync(1, "frozen");
-  const http_answer Again = Resend.get();
-  EXPECT_EQ(Again.Status, Conflict) << Again.Body;
+  auto PendingResend = System.sendAsync(1, "frozen");
+  const http_answer ResendAnswer = PendingResend.get();
+  EXPECT_EQ(ResendAnswer.Status, Conflict) << ResendAnswer.Body;
   System.plain(Server).process().resume();
   const http_answer Answer = First.get();
   expectAtMostOneStart("frozen", Answer);
@@ -86,44 +86,44 @@
   EXPECT_EQ(System.startsByKey("frozen"), 1);
 }
 
-TEST_F(WorkThatMustRunOnceTest, IsNotRunElsewhereWhenItsBackendServerDies) {
-  // The backend server is killed midway. Nobody can tell whether the letter left, so the caller is
-  // told "unknown" at once, by the first entry and by any other, and the second server gets none.
+TEST_F(WorkThatMustRunOnceTest, IsNotRunElsewhereAfterABackendServerCrash) {
+  // The backend server is killed during the work. Whether the letter was sent is unknown, so the
+  // first entry and any other answer "unknown" at once, and the second backend server gets nothing.
   ASSERT_TRUE(System.plainFaults(Slow));
   auto First = System.sendAsync(0, "killed");
   const std::size_t Server = System.waitForStart("killed");
   System.plain(Server).process().kill();
   const http_answer Answer = First.get();
   EXPECT_EQ(outcomeOf(Answer), "unknown") << Answer.Error << Answer.Body;
-  const http_answer Again = System.send(1, "killed");
-  EXPECT_EQ(Again.Status, Conflict) << Again.Body;
+  const http_answer ResendAnswer = System.send(1, "killed");
+  EXPECT_EQ(ResendAnswer.Status, Conflict) << ResendAnswer.Body;
   EXPECT_EQ(System.plain(1 - Server).startsByKey("killed"), 0);
 }
 
-TEST_F(WorkThatMustRunOnceTest, IsNotRunAgainByTheNextLeader) {
-  // Between the send and the resend the leader that granted the claim is killed. Its successor
+TEST_F(WorkThatMustRunOnceTest, IsNotRunAgainAfterALeaderChange) {
+  // The leader that granted the claim is killed between the send and the resend. Its successor
   // knows the claim, because a quorum had it on disk before the first byte went out.
   ASSERT_TRUE(System.plainFaults(Slow));
   auto First = System.sendAsync(0, "leader");
   (void)System.waitForStart("leader");
-  const std::size_t Old = System.control().waitForLeader();
-  System.control().kill(Old);
-  (void)System.control().waitForLeader(Old);
+  const std::size_t OldLeader = System.control().waitForLeader();
+  System.control().kill(OldLeader);
+  (void)System.control().waitForLeader(OldLeader);
   System.killEntry(0);
   (void)First.get();
-  http_answer Again;
+  http_answer ResendAnswer;
   ASSERT_TRUE(eventually([&] {
-    Again = System.send(1, "leader");
-    expectAtMostOneStart("leader", Again);
-    return Again.Status == Conflict;
-  })) << Again.Body;
+    ResendAnswer = System.send(1, "leader");
+    expectAtMostOneStart("leader", ResendAnswer);
+    return ResendAnswer.Status == Conflict;
+  })) << ResendAnswer.Body;
   EXPECT_EQ(System.startsByKey("leader"), 1);
 }
 
 TEST_F(WorkThatMustRunOnceTest, WaitsForAQuorumAndItsKeyStaysSafe) {
-  // Two of three control hosts are down: no claim can be made durable. A send is refused, before
-  // any byte goes out. After recovery a key that was used before is still held, and the refused
-  // one runs once, whatever claim of it was under way.
+  // Two of three control hosts are down, so no claim can become durable, and a send is refused
+  // before any byte goes out. After recovery a key that was used before is still claimed, and the
+  // refused work runs once, whatever claim for it was in flight.
   ASSERT_TRUE(System.plainFaults(R"({"late_ms":0})"));
   EXPECT_TRUE(System.send(0, "before").ok());
   System.control().kill(0);
@@ -148,9 +148,9 @@
   EXPECT_EQ(System.startsByKey("before"), 1);
 }
 
-TEST_F(WorkThatMustRunOnceTest, ThatWasToldNotRunTrulyDidNotRun) {
-  // The backend servers decline and refuse connections, which proves that nothing started. The
-  // caller may send the same key again, and then it runs, once.
+TEST_F(WorkThatMustRunOnceTest, MayBeSentAgainAfterNotRun) {
+  // The backend servers decline the work, which proves that nothing started. The caller may send
+  // the same key again, and then the work runs once.
   ASSERT_TRUE(System.plainFaults(R"({"decline_next":1000})"));
   const http_answer Declined = System.send(0, "declined");
   EXPECT_EQ(outcomeOf(Declined), "not-run") << Declined.Body;
--- a/tests/system/running_system.cpp
+++ b/tests/system/running_system.cpp
@@ -1,4 +1,4 @@
-/** @file running_system.cpp Settings and start of the processes. */
+/** @file running_system.cpp Writes the settings and starts the processes. */
 #include "running_system_base.h"
 
 #include "core/core.h"
@@ -56,10 +56,12 @@
   return !Events.empty() && Events.back().Data == "[DONE]";
 }
 
-running_system::running_system(const system_options &Wanted) : Plan(Wanted), Control(3, ShortTimes) {
+running_system::running_system(const system_options &InitialOptions)
+    : Plan(InitialOptions), Control(3, ShortTimes) {
   (void)Folder.write("fleet.key", FleetKey);
   (void)Folder.write("operator.key", control_cluster::operatorKey());
-  (void)Control.waitForLeader(); // Its hosts hold their ports now, and none is drawn twice.
+  (void)Control
+      .waitForLeader(); // Its hosts are bound to their ports now, so no port is allocated twice.
   const auto Addresses = freeTcpAddresses(3 * EntryCount);
   const auto Gossip = freeUdpAddresses(EntryCount);
   for (std::size_t Index = 0; Index < EntryCount; ++Index)
@@ -154,8 +156,8 @@
   for (const entry_process &Entry : Entries)
     AnnounceAddresses.push_back(Entry.Announcements);
   return "fleet = " + quoted(control_cluster::fleet()) + "\n" + Top +
-         "[announce]\nto = " + listOf(AnnounceAddresses) + "\nkey_file = " + quoted(Folder.path("fleet.key")) +
-         "\ninterval_ms = 100\n" + Tables;
+         "[announce]\nto = " + listOf(AnnounceAddresses) +
+         "\nkey_file = " + quoted(Folder.path("fleet.key")) + "\ninterval_ms = 100\n" + Tables;
 }
 
 void running_system::restartEngine(std::size_t Index) {
@@ -207,7 +209,7 @@
   boost::json::error_code Code;
   const boost::json::value *Records = State.find_pointer("/decisions/scheduling/backends", Code);
   if (!Records || !Records->is_array())
-    return true; // Not known: whoever waits for the news waits on.
+    return true; // Unknown state: a test that waits for an update keeps waiting.
   const auto &List = Records->get_array();
   return std::any_of(List.begin(), List.end(), [&Backend](const boost::json::value &Record) {
     const std::string Name(Record.at("backend").as_string());
@@ -215,9 +217,9 @@
   });
 }
 
-bool running_system::inForce(std::uint64_t Number) const {
+bool running_system::inForce(std::uint64_t ExpectedRevision) const {
   for (std::size_t Entry = 0; Entry < EntryCount; ++Entry)
-    if (!ready(Entry) || revisionInUse(Entry) != Number)
+    if (!ready(Entry) || revisionInUse(Entry) != ExpectedRevision)
       return false;
   return true;
 }
@@ -276,7 +278,8 @@
 }
 
 std::unique_ptr<http_stream> running_system::stream(std::size_t Entry, const std::string &Prompt,
-                                                    int AnswerTokens, http_headers ExtraHeaders) const {
+                                                    int AnswerTokens,
+                                                    http_headers ExtraHeaders) const {
   return std::make_unique<http_stream>(Entries.at(Entry).Callers, "POST", "/v1/chat/completions",
                                        chatBody("m", Prompt, true, AnswerTokens),
                                        asCaller(std::move(ExtraHeaders)));
@@ -305,12 +308,12 @@
   return true;
 }
 
-int running_system::ctl(std::vector<std::string> Words) const {
+int running_system::ctl(std::vector<std::string> CommandArguments) const {
   std::string Urls;
   for (std::size_t Host = 0; Host < Control.size(); ++Host)
     Urls += (Host == 0 ? "http://" : ",http://") + Control.operatorAddress(Host);
   std::vector<std::string> Arguments{"--control", Urls, "--key-file", Folder.path("operator.key")};
-  Arguments.insert(Arguments.end(), Words.begin(), Words.end());
+  Arguments.insert(Arguments.end(), CommandArguments.begin(), CommandArguments.end());
   child_process Tool("pollenstallctl", std::move(Arguments));
   const int Code = Tool.wait().value_or(-1);
   if (Code != 0) {
--- a/tests/system/running_system_base.h
+++ b/tests/system/running_system_base.h
@@ -1,4 +1,4 @@
-/** @file running_system_base.h Control hosts, entries and backend servers, all real processes. */
+/** @file running_system_base.h Control hosts, entries and backend servers as real processes. */
 #ifndef POLLENSTALL_TESTS_SYSTEM_RUNNING_SYSTEM_BASE_H
 #define POLLENSTALL_TESTS_SYSTEM_RUNNING_SYSTEM_BASE_H
 
@@ -12,7 +12,7 @@
 
 namespace pollenstall {
 
-/// What differs between the systems of the tests.
+/// Options of a test system.
 struct system_options {
   int Engines{2};
   int Plain{2};
@@ -21,13 +21,13 @@
   std::string ServiceLines{}; ///< Lines of the model service.
 };
 
-/// Three control hosts and three entries with their backend servers, known everywhere and with a
-/// declaration in force once constructed.
+/// Three control hosts, three entries and their backend servers. Once constructed, every entry
+/// knows all backend servers and a declaration is in force.
 class running_system {
 public:
   static constexpr std::size_t EntryCount = 3;
 
-  explicit running_system(const system_options &Wanted = {});
+  explicit running_system(const system_options &InitialOptions = {});
 
   control_cluster &control() { return Control; }
   [[nodiscard]] child_process &entry(std::size_t Index) { return *Entries.at(Index).Process; }
@@ -39,55 +39,59 @@
   [[nodiscard]] http_client operators(std::size_t Entry) const;
 
   void killEntry(std::size_t Index);
-  /// Starts a killed entry under its old name and addresses.
+  /// Restarts a killed entry under its old name and addresses.
   void startEntry(std::size_t Index);
-  /// Starts a new life of an engine at its old address; the old one must have ended.
+  /// Restarts an engine at its old address; its old process must have exited.
   void restartEngine(std::size_t Index);
-  /// Starts a new life of each engine that has ended. @return How many.
+  /// Restarts each engine that has exited. @return How many.
   std::size_t restartEndedEngines();
 
   /// @return Whether the entry admits new requests.
   [[nodiscard]] bool ready(std::size_t Entry) const;
-  /// @return Whether all entries do, with every backend server known to them.
+  /// @return Whether all entries admit new requests and know every backend server.
   [[nodiscard]] bool allReady() const;
-  /// @return What /dump shows.
+  /// @return The JSON of /dump.
   [[nodiscard]] boost::json::value dump(std::size_t Entry) const;
-  /// @return Whether the entry's scheduler would give the backend server at the address new work.
+  /// @return Whether the scheduler of the entry would place new work on the backend server at the
+  /// address; true if the state is unknown.
   [[nodiscard]] bool acceptsWork(std::size_t Entry, const std::string &Backend) const;
-  /// @return The revision that the entry uses, by its metrics.
+  /// @return The revision that the entry uses, according to its metrics.
   [[nodiscard]] std::uint64_t revisionInUse(std::size_t Entry) const;
-  /// @return How many attempts the entry gave up whose end nobody has confirmed.
+  /// @return Number of abandoned attempts of the entry whose end is not confirmed.
   [[nodiscard]] std::size_t abandoned(std::size_t Entry) const;
-  /// @return The revision of the last declaration that the system accepted from this object.
+  /// @return The last revision that the system accepted from declare().
   [[nodiscard]] std::uint64_t revision() const { return Revision; }
-  /// @return Whether that revision, and no other, is in use at every entry, which admits requests.
-  [[nodiscard]] bool inForce(std::uint64_t Number) const;
-  /// Declares the fleet with a bound that tells the changes apart. @return Whether accepted.
+  /// @return Whether every entry uses exactly this revision and admits requests.
+  [[nodiscard]] bool inForce(std::uint64_t ExpectedRevision) const;
+  /// Declares the fleet with a queue limit that tells changes apart. @return Whether it was
+  /// accepted.
   bool declare(int MaxQueued);
   [[nodiscard]] std::string declarationWith(int MaxQueued) const;
 
-  /// @return The whole answer to a call that must run once, sent with the key.
+  /// Sends a call that must run once, with the idempotency key. @return The complete answer.
   [[nodiscard]] http_answer send(std::size_t Entry, const std::string &Key) const;
-  /// The same, while the test goes on.
+  /// Does the same asynchronously.
   [[nodiscard]] std::future<http_answer> sendAsync(std::size_t Entry, const std::string &Key) const;
-  /// @return How often any plain server started work under the key.
+  /// @return Number of starts of work with the key at all plain servers.
   [[nodiscard]] std::int64_t startsByKey(const std::string &Key) const;
-  /// Waits until a plain server has started work under the key. @return Which.
+  /// Waits until a plain server has started work with the key. @return Its index.
   [[nodiscard]] std::size_t waitForStart(const std::string &Key) const;
-  /// The same faults on every plain server. @return Whether all took them.
+  /// Enables faults on every plain server. @return Whether all accepted them.
   bool plainFaults(const std::string &Json) const;
 
   [[nodiscard]] http_answer chat(std::size_t Entry, const std::string &Prompt, int AnswerTokens = 2,
                                  http_headers ExtraHeaders = {}) const;
   [[nodiscard]] std::unique_ptr<http_stream> stream(std::size_t Entry, const std::string &Prompt,
-                                                    int AnswerTokens, http_headers ExtraHeaders = {}) const;
-  /// @return The engine that runs something; waits for it.
+                                                    int AnswerTokens,
+                                                    http_headers ExtraHeaders = {}) const;
+  /// Waits until an engine runs an attempt. @return Its index.
   [[nodiscard]] std::size_t busyEngine() const;
-  /// @return Whether every engine's memory is free and no entry has an attempt left to confirm.
+  /// @return Whether all engine memory is free and no entry has a request or an unconfirmed
+  /// attempt.
   [[nodiscard]] bool isMemoryReleased() const;
 
   /// Runs pollenstallctl. @return Its exit code.
-  int ctl(std::vector<std::string> Words) const;
+  int ctl(std::vector<std::string> CommandArguments) const;
 
 private:
   struct entry_process {
@@ -113,9 +117,9 @@
   std::uint64_t Revision{0};
 };
 
-/// @return "not-run", "unknown" or nothing, as the answer's head says.
+/// @return The outcome header of an answer: "not-run", "unknown" or empty.
 std::string outcomeOf(const http_answer &Answer);
-/// @return Whether the events are numbered from one without a gap and end with the end mark.
+/// @return Whether the events are numbered from 1 without a gap and end with [DONE].
 bool isCompleteStream(const std::vector<sse_event> &Events);
 
 } // namespace pollenstall
