--- a/tests/relay/crash_detector_test.cpp
+++ b/tests/relay/crash_detector_test.cpp
@@ -68,7 +68,8 @@
 
 // Guards against treating a connection that broke in the network as a server crash.
 TEST_F(request_on_a_crashing_server, IsNotReportedIfTheServerStillListens) {
-  const scripted_server Resets([](auto &Socket, const seen_request &) { resetConnection(Socket); });
+  const scripted_server Resets(
+      [](auto &Socket, const received_request &) { resetConnection(Socket); });
   Relay.call("the prompt");
   Relay.start(Resets);
   Relay.next<attempt_failed>();
@@ -94,7 +95,7 @@
 // Guards against sending a request that was blocked while it waited in the queue.
 TEST_F(request_on_a_crashing_server, IsNotSentIfItIsBlockedBeforeItsAttempt) {
   const request_fingerprint CrashFingerprint = crashOnce();
-  const scripted_server Server([](auto &Socket, const seen_request &) {
+  const scripted_server Server([](auto &Socket, const received_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s1\r\nContent-Length: 2\r\n\r\nok");
   });
   Relay.call("the prompt");
@@ -108,7 +109,7 @@
 TEST_F(request_on_a_crashing_server, IsReportedAsClearedIfItWasSuspected) {
   const request_fingerprint CrashFingerprint = crashOnce();
   suspect(CrashFingerprint, std::chrono::milliseconds(0));
-  const scripted_server Server([](auto &Socket, const seen_request &) {
+  const scripted_server Server([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)) + "0\r\n\r\n");
   });
   Relay.call("the prompt");
--- a/tests/relay/header_routed_call_test.cpp
+++ b/tests/relay/header_routed_call_test.cpp
@@ -24,11 +24,11 @@
 // same body and the number of the last complete event, and continues after it. The caller reads one
 // stream without duplicate, missing or partial events.
 TEST(BrokenStream, ResumesElsewhereAfterItsLastCompleteEvent) {
-  const scripted_server Breaks([](auto &Socket, const seen_request &) {
+  const scripted_server Breaks([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1) + eventText(2) + "id: 3\ndata: ha"));
     resetConnection(Socket);
   });
-  const scripted_server Continuation([](auto &Socket, const seen_request &) {
+  const scripted_server Continuation([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(3) + eventText(4)) + "0\r\n\r\n");
   });
   relay_harness Relay;
@@ -66,7 +66,7 @@
 // without power sends no reset. The caller would leave after two seconds; the rest is requested
 // from another engine three gaps after the last event.
 TEST(StalledStream, IsAbandonedIfAnotherAttemptMayFollow) {
-  const scripted_server Silent([](auto &Socket, const seen_request &) {
+  const scripted_server Silent([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)));
     waitForClose(Socket);
   });
@@ -80,7 +80,7 @@
 
 // If no other attempt may follow, a stalled engine must not end its answer.
 TEST(StalledStream, IsWaitedForIfNoOtherAttemptMayFollow) {
-  const scripted_server Slow([](auto &Socket, const seen_request &) {
+  const scripted_server Slow([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)));
     std::this_thread::sleep_for(std::chrono::milliseconds(900));
     sendText(Socket, chunkOf(eventText(2)) + "0\r\n\r\n");
@@ -97,14 +97,14 @@
 // record must contain the longest gap, even if the next event came from another engine.
 TEST(StreamWithAPause, IsRecordedWithItsLongestGap) {
   constexpr std::chrono::milliseconds Pause{60};
-  const scripted_server Breaks([&](auto &Socket, const seen_request &) {
+  const scripted_server Breaks([&](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)));
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
     sendText(Socket, chunkOf(eventText(2)));
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
     resetConnection(Socket);
   });
-  const scripted_server Resumes([&](auto &Socket, const seen_request &) {
+  const scripted_server Resumes([&](auto &Socket, const received_request &) {
     std::this_thread::sleep_for(Pause);
     sendText(Socket, streamHead() + chunkOf(eventText(3)) + "0\r\n\r\n");
   });
@@ -126,7 +126,7 @@
 // the network.
 TEST(QueuedRequest, IsRecordedWithTheTimeUntilItWasSent) {
   constexpr std::chrono::milliseconds QueueTime{30};
-  const scripted_server Server([](auto &Socket, const seen_request &) {
+  const scripted_server Server([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)) + "0\r\n\r\n");
   });
   relay_harness Relay;
@@ -143,7 +143,7 @@
 }
 
 TEST(StreamWithAPause, HasNoGapIfThereIsOneEvent) {
-  const scripted_server SingleEvent([](auto &Socket, const seen_request &) {
+  const scripted_server SingleEvent([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)) + "0\r\n\r\n");
   });
   relay_harness Relay;
@@ -211,11 +211,11 @@
 // The second engine was asked to resume after event 2 but counts differently and starts one event
 // too early. The caller already has event 2.
 TEST(BrokenStream, DropsEventsThatTheCallerAlreadyHas) {
-  const scripted_server Breaks([](auto &Socket, const seen_request &) {
+  const scripted_server Breaks([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1) + eventText(2)));
     resetConnection(Socket);
   });
-  const scripted_server Early([](auto &Socket, const seen_request &) {
+  const scripted_server Early([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(2) + eventText(3)) + "0\r\n\r\n");
   });
   relay_harness Relay;
@@ -233,11 +233,11 @@
 // The second engine skips an event. If it were relayed, the stream would lack a part and still look
 // complete.
 TEST(BrokenStream, EndsTruncatedIfTheNextEngineSkipsAnEvent) {
-  const scripted_server Breaks([](auto &Socket, const seen_request &) {
+  const scripted_server Breaks([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)));
     resetConnection(Socket);
   });
-  const scripted_server Skips([](auto &Socket, const seen_request &) {
+  const scripted_server Skips([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(3)) + "0\r\n\r\n");
   });
   relay_harness Relay;
@@ -255,7 +255,7 @@
 // An answer without a length ends with its connection. It is complete if the server closes and
 // truncated if it resets, and the caller must not mistake a part for the complete answer.
 TEST(AnswerWithoutALength, IsCompleteIfTheServerCloses) {
-  const scripted_server Closes([](auto &Socket, const seen_request &) {
+  const scripted_server Closes([](auto &Socket, const received_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s1\r\nConnection: close\r\n\r\nall of it");
   });
   relay_harness Relay(repeat_rule::Never);
@@ -269,7 +269,7 @@
 }
 
 TEST(AnswerWithoutALength, IsTruncatedIfTheServerResets) {
-  const scripted_server Resets([](auto &Socket, const seen_request &) {
+  const scripted_server Resets([](auto &Socket, const received_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s1\r\nConnection: close\r\n\r\nhalf");
     std::this_thread::sleep_for(std::chrono::milliseconds(20)); // Lets the bytes be sent first.
     resetConnection(Socket);
@@ -286,13 +286,13 @@
 // yet, so another server's answer can be used: the caller reads one complete answer.
 TEST(AnswerWithALength, IsRetriedElsewhereIfItBreaksOff) {
   const std::string Head = "HTTP/1.1 200 OK\r\nX-Send: s1\r\nContent-Length: 10\r\n\r\n";
-  const scripted_server Breaks([&Head](auto &Socket, const seen_request &) {
+  const scripted_server Breaks([&Head](auto &Socket, const received_request &) {
     sendText(Socket, Head + "half:");
     std::this_thread::sleep_for(std::chrono::milliseconds(20)); // Lets the bytes be sent first.
     resetConnection(Socket);
   });
   const scripted_server Answers(
-      [&Head](auto &Socket, const seen_request &) { sendText(Socket, Head + "all of it."); });
+      [&Head](auto &Socket, const received_request &) { sendText(Socket, Head + "all of it."); });
   relay_harness Relay(repeat_rule::Always);
   Relay.call("p");
   Relay.start(Breaks, 1);
@@ -309,7 +309,7 @@
 // A pooled connection delivers an answer to another send. If it were relayed, a caller would read
 // somebody else's answer.
 TEST(BackendAnswer, ToAnotherSendIsNotRelayed) {
-  const scripted_server Crossed([](auto &Socket, const seen_request &) {
+  const scripted_server Crossed([](auto &Socket, const received_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s0\r\nContent-Length: 6\r\n\r\nsecret");
   });
   relay_harness Relay(repeat_rule::Never);
@@ -325,7 +325,7 @@
 // A server states that it did not start the request. The caller may receive the one status
 // that guarantees it.
 TEST(BackendAnswer, ThatSaysNotRunBecomesA503) {
-  const scripted_server Full([](auto &Socket, const seen_request &) {
+  const scripted_server Full([](auto &Socket, const received_request &) {
     sendText(Socket,
              "HTTP/1.1 503 Full\r\nX-Send: s1\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
   });
@@ -342,7 +342,7 @@
 // If no other attempt may follow, the server's error answer is relayed with its status and body
 // unchanged.
 TEST(BackendAnswer, WithAnErrorIsRelayedIfNoOtherAttemptMayFollow) {
-  const scripted_server Fails([](auto &Socket, const seen_request &) {
+  const scripted_server Fails([](auto &Socket, const received_request &) {
     sendText(Socket,
              "HTTP/1.1 500 Oops\r\nX-Send: s1\r\nX-Sign: 7\r\nContent-Length: 4\r\n\r\noops");
   });
@@ -362,7 +362,7 @@
 // All control hosts were lost for a moment. A request arrives while the entry has no declaration in
 // force, and the next declaration arrives before ReadyWait ends: the request is served.
 TEST(EntryWithoutADeclaration, LetsARequestWaitForTheNextOne) {
-  const scripted_server Server([](auto &Socket, const seen_request &) {
+  const scripted_server Server([](auto &Socket, const received_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s1\r\nContent-Length: 2\r\n\r\nok");
   });
   relay_limits Limits;
@@ -392,7 +392,7 @@
 }
 
 TEST(StoppingHost, ServesRequestsAndClosesTheConnectionAfterTheAnswer) {
-  const scripted_server Server([](auto &Socket, const seen_request &) {
+  const scripted_server Server([](auto &Socket, const received_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s1\r\nContent-Length: 2\r\n\r\nok");
   });
   relay_harness Relay(repeat_rule::Never);
@@ -408,7 +408,7 @@
 // cancels the attempt, the server sees its connection end.
 TEST(DisconnectedCaller, EndsTheWorkOfItsStream) {
   std::promise<bool> Ended;
-  const scripted_server Endless([&Ended](auto &Socket, const seen_request &) {
+  const scripted_server Endless([&Ended](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)));
     char Byte = 0;
     boost::system::error_code Code;
--- a/tests/relay/late_send_test.cpp
+++ b/tests/relay/late_send_test.cpp
@@ -24,14 +24,14 @@
 
   std::promise<void> HoldRequested;
   std::promise<void> MayAnswer;
-  const scripted_server Holder{[this](auto &Socket, const seen_request &Request) {
+  const scripted_server Holder{[this](auto &Socket, const received_request &Request) {
     if (Request.Head.find("/hold/") != std::string::npos) {
       HoldRequested.set_value();
       MayAnswer.get_future().wait();
     }
     sendText(Socket, Held);
   }};
-  const scripted_server Writer{[](auto &Socket, const seen_request &) {
+  const scripted_server Writer{[](auto &Socket, const received_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s1\r\nContent-Length: 2\r\n\r\nok");
   }};
 };
@@ -59,7 +59,8 @@
 
 // Guards against holding memory for a caller that has disconnected.
 TEST_F(request_waiting_for_memory, AsksNoFurtherEngineAfterItsCallerHasDisconnected) {
-  const scripted_server Second([](auto &Socket, const seen_request &) { sendText(Socket, Held); });
+  const scripted_server Second(
+      [](auto &Socket, const received_request &) { sendText(Socket, Held); });
   relay_harness Relay;
   Relay.call("p");
   Relay.start(Writer, 1, true, {{Holder.key(), Amount}, {Second.key(), Amount}});
@@ -68,7 +69,7 @@
   Relay.next<caller_left>();
   MayAnswer.set_value();
   Relay.next<attempt_failed>();
-  for (const seen_request &Request : Second.requests())
+  for (const received_request &Request : Second.requests())
     EXPECT_EQ(Request.Head.find("/hold/"), std::string::npos) << Request.Head;
 }
 
@@ -76,7 +77,7 @@
 struct request_on_a_pooled_connection : testing::Test {
   const std::string Ok = "HTTP/1.1 200 OK\r\nX-Send: s1\r\nContent-Length: 2\r\n\r\nok";
   std::promise<bool> ReceivedMore;
-  const scripted_server Server{[this](auto &Socket, const seen_request &) {
+  const scripted_server Server{[this](auto &Socket, const received_request &) {
     sendText(Socket, Ok);
     char Byte = 0;
     boost::system::error_code Code;
--- a/tests/relay/memory_holds_test.cpp
+++ b/tests/relay/memory_holds_test.cpp
@@ -16,7 +16,7 @@
 /// The requests that several servers received, in one order.
 class request_log {
 public:
-  void note(const std::string &Server, const seen_request &Request) {
+  void note(const std::string &Server, const received_request &Request) {
     const std::lock_guard<std::mutex> Lock(Guard);
     const std::size_t From = Request.Head.find('/');
     Seen.push_back(Server + " " +
@@ -43,7 +43,7 @@
 
 struct memory_holds_of_two_engines : testing::Test {
   scripted_server::script answering(const std::string &Server, const std::string &Answer) {
-    return [this, Server, Answer](auto &Socket, const seen_request &Request) {
+    return [this, Server, Answer](auto &Socket, const received_request &Request) {
       Requests.note(Server, Request);
       sendText(Socket, Answer);
     };
@@ -95,12 +95,12 @@
   std::promise<void> Cancelled;
   std::promise<bool> Overtaken;
   scripted_server *Self = nullptr;
-  scripted_server First([&](auto &Socket, const seen_request &Request) {
+  scripted_server First([&](auto &Socket, const received_request &Request) {
     Requests.note("first", Request);
     if (Request.Head.find("/hold/") != std::string::npos) {
       HoldRequested.set_value();
       Cancelled.get_future().wait();
-      Overtaken.set_value(Self->anotherWaits());
+      Overtaken.set_value(Self->hasPendingConnection());
     }
     sendText(Socket, Held);
   });
