--- a/programs/pollenstall-fake-backend/main.cpp
+++ b/programs/pollenstall-fake-backend/main.cpp
@@ -1,4 +1,4 @@
-/** @file main.cpp pollenstall-fake-backend: serves until SIGTERM and until its work has ended. */
+/** @file main.cpp pollenstall-fake-backend: serves until SIGTERM, then drains. */
 #include "fake_backend/fake_backend.h"
 #include "program/program.h"
 
@@ -19,13 +19,13 @@
     logEvent(log_level::Error, "start_failed", {{"reason", errorOf(Listening).Message}});
     return exit_code::Failure;
   }
-  const auto Served = std::async(std::launch::async, [&Server] { Server.run(); });
+  const auto ServerFinished = std::async(std::launch::async, [&Server] { Server.run(); });
   Stop.wait();
   Server.leave();
-  if (Served.wait_for(Settings.ShutdownLimit) == std::future_status::ready)
+  if (ServerFinished.wait_for(Settings.ShutdownLimit) == std::future_status::ready)
     return exit_code::Ok;
   logEvent(log_level::Warning, "shutdown_limit");
-  // The serving thread is in the middle of work that will not end: there is nothing to wait for.
+  // The serving thread did not finish its work in time. Exits without waiting for it.
   std::_Exit(static_cast<int>(exit_code::ShutdownLimit));
 }
 
@@ -34,6 +34,6 @@
 int main(int Count, const char **Values) {
   return runProgram<backend_settings>(
       Count, Values,
-      {"pollenstall-fake-backend", "a stand-in for a model engine or a plain service, with faults"},
+      {"pollenstall-fake-backend", "a fake model engine or plain service with fault injection"},
       backendSettings(), serve);
 }
--- a/programs/pollenstall-load/main.cpp
+++ b/programs/pollenstall-load/main.cpp
@@ -1,4 +1,4 @@
-/** @file main.cpp pollenstall-load: one run, one JSON object on standard output. */
+/** @file main.cpp pollenstall-load: runs a load and prints the report as a JSON object. */
 #include "load/load.h"
 #include "program/program.h"
 
@@ -7,20 +7,20 @@
 
 int main(int Count, const char **Values) {
   using namespace pollenstall;
-  const auto Request = readLoadOptions(Count, Values);
-  if (!succeeded(Request))
-    return static_cast<int>(errorOf(Request));
-  const load_settings &Settings = valueOf(Request).Settings;
-  if (valueOf(Request).CheckOnly) {
+  const auto CommandLine = readLoadOptions(Count, Values);
+  if (!succeeded(CommandLine))
+    return static_cast<int>(errorOf(CommandLine));
+  const load_settings &Settings = valueOf(CommandLine).Settings;
+  if (valueOf(CommandLine).CheckOnly) {
     std::cout << "settings are valid\n";
     return static_cast<int>(exit_code::Ok);
   }
   const load_metrics Metrics = runLoad(Settings);
   std::cout << reportJson(Metrics, Settings.Bounds) << "\n";
-  const bool Held = std::all_of(Settings.Bounds.begin(), Settings.Bounds.end(),
-                                [&Metrics](const std::string &Text) {
-                                  const auto Bound = parseBound(Text);
-                                  return Bound && boundHolds(*Bound, Metrics);
-                                });
-  return static_cast<int>(Held ? exit_code::Ok : exit_code::Failure);
+  const bool AllHold = std::all_of(Settings.Bounds.begin(), Settings.Bounds.end(),
+                                   [&Metrics](const std::string &BoundText) {
+                                     const auto Bound = parseBound(BoundText);
+                                     return Bound && boundHolds(*Bound, Metrics);
+                                   });
+  return static_cast<int>(AllHold ? exit_code::Ok : exit_code::Failure);
 }
--- a/programs/pollenstall-model/main.cpp
+++ b/programs/pollenstall-model/main.cpp
@@ -1,5 +1,4 @@
-/** @file main.cpp pollenstall-model: plays a load file on modelled engines, one JSON line a policy.
- */
+/** @file main.cpp pollenstall-model: simulates a load file, with a JSON line per policy. */
 #include "fleet_model/fleet_model.h"
 #include "program/program.h"
 
@@ -19,13 +18,13 @@
   void operator()(poptContext Context) const { poptFreeContext(Context); }
 };
 
-/// What the command line asks for.
+/// The parsed command line.
 struct model_options {
   std::string LoadFile;
   std::string Policy{"all"};
   std::string PlotFile;
   int Seed{1};
-  int Seeds{4};
+  int Runs{4};
 };
 
 int fail(const std::string &Text) {
@@ -39,26 +38,26 @@
   char *Plot = nullptr;
   const poptOption Table[] = {
       {"seed", 's', POPT_ARG_INT, &Options.Seed, 0, "first seed (1)", "NUMBER"},
-      {"seeds", 'n', POPT_ARG_INT, &Options.Seeds, 0, "runs, with seeds that follow it (4)",
+      {"seeds", 'n', POPT_ARG_INT, &Options.Runs, 0, "number of runs, with consecutive seeds (4)",
        "NUMBER"},
       {"policy", 'p', POPT_ARG_STRING, &Policy, 0,
        "placement, least_outstanding, power_of_two or all", "NAME"},
       {"plot", '\0', POPT_ARG_STRING, &Plot, 0,
-       "write times to the first event of the first run under placement, for gnuplot", "FILE"},
+       "write times to the first event of the first run with placement, for gnuplot", "FILE"},
       POPT_AUTOHELP{nullptr, '\0', 0, nullptr, 0, nullptr, nullptr}};
   const std::unique_ptr<poptContext_s, context_deleter> Context(
       poptGetContext(Program, Count, Values, Table, 0));
   poptSetOtherOptionHelp(Context.get(), "[OPTION...] LOAD.toml");
-  const int Read = poptGetNextOpt(Context.get());
+  const int PoptResult = poptGetNextOpt(Context.get());
   const std::unique_ptr<char, decltype(&std::free)> PolicyText(Policy, &std::free);
   const std::unique_ptr<char, decltype(&std::free)> PlotText(Plot, &std::free);
-  if (Read < -1)
-    return fail(std::string(poptBadOption(Context.get(), 0)) + ": " + poptStrerror(Read));
+  if (PoptResult < -1)
+    return fail(std::string(poptBadOption(Context.get(), 0)) + ": " + poptStrerror(PoptResult));
   const char *File = poptGetArg(Context.get());
   if (!File || poptPeekArg(Context.get()))
-    return fail("one load file is needed; see --help");
-  if (Options.Seeds < 1 || Options.Seed < 0)
-    return fail("--seeds takes 1 or more, --seed 0 or more");
+    return fail("exactly one load file is required; see --help");
+  if (Options.Runs < 1 || Options.Seed < 0)
+    return fail("--seeds must be 1 or more and --seed 0 or more");
   Options.LoadFile = File;
   if (PolicyText)
     Options.Policy = PolicyText.get();
@@ -68,11 +67,11 @@
 }
 
 result<model_load, int> readLoad(const std::string &File) {
-  std::ifstream In(File);
-  if (!In)
-    return fail(File + ": can't be read");
+  std::ifstream Input(File);
+  if (!Input)
+    return fail(File + ": cannot read the file");
   std::ostringstream Text;
-  Text << In.rdbuf();
+  Text << Input.rdbuf();
   auto Parsed = parseModelLoad(Text.str());
   if (succeeded(Parsed))
     return valueOf(std::move(Parsed));
@@ -82,25 +81,26 @@
   return static_cast<int>(exit_code::BadUsage);
 }
 
-int playAll(const model_options &Options, const model_load &Load) {
+int simulateAll(const model_options &Options, const model_load &Load) {
   std::vector<named_model_policy> Policies = baselineModelPolicies();
   Policies.insert(Policies.begin(), placementPolicy());
-  bool Played = false;
+  bool PolicyFound = false;
   for (const named_model_policy &Policy : Policies) {
     if (Options.Policy != "all" && Options.Policy != Policy.Name)
       continue;
-    Played = true;
-    const run_summary Summary = playLoad(Load, Policy, static_cast<std::uint64_t>(Options.Seed),
-                                         static_cast<std::size_t>(Options.Seeds));
+    PolicyFound = true;
+    const run_summary Summary = simulateLoad(Load, Policy, static_cast<std::uint64_t>(Options.Seed),
+                                             static_cast<std::size_t>(Options.Runs));
     std::cout << toJson(Load, Summary) << std::endl;
   }
-  if (!Played)
+  if (!PolicyFound)
     return fail("--policy: no policy is named \"" + Options.Policy + "\"");
   if (Options.PlotFile.empty())
     return static_cast<int>(exit_code::Ok);
   std::ofstream Plot(Options.PlotFile);
   Plot << plotRows(
-      Load, fleet_run(Load, placementPolicy(), static_cast<std::uint64_t>(Options.Seed)).play());
+      Load,
+      fleet_run(Load, placementPolicy(), static_cast<std::uint64_t>(Options.Seed)).simulate());
   return static_cast<int>(Plot ? exit_code::Ok : exit_code::Failure);
 }
 
@@ -115,5 +115,5 @@
   const auto Load = readLoad(valueOf(Options).LoadFile);
   if (!succeeded(Load))
     return errorOf(Load);
-  return playAll(valueOf(Options), valueOf(Load));
+  return simulateAll(valueOf(Options), valueOf(Load));
 }
--- a/programs/pollenstallctl/control_client.cpp
+++ b/programs/pollenstallctl/control_client.cpp
@@ -1,4 +1,4 @@
-/** @file control_client.cpp Rounds over the control hosts; what each reaction proves. */
+/** @file control_client.cpp Retry rounds over the control hosts. */
 #include "control_client_base.h"
 
 #include "json_text_func.h"
@@ -15,15 +15,15 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds MaxTry{5'000};
+constexpr milliseconds MaxTimePerHost{5'000};
 constexpr milliseconds PauseBetweenRounds{200};
-constexpr int MaxHints = 4; ///< Hosts that point at each other must not be followed for ever.
+constexpr int MaxRedirects = 4; ///< Bounds redirects between hosts that name each other.
 
 constexpr unsigned int MisdirectedRequest = 421;
 constexpr unsigned int ServiceUnavailable = 503;
 constexpr unsigned int FirstServerError = 500;
 
-/// @return The body, or nothing where it is not JSON.
+/// @return The parsed body, null if it is empty, or nothing if it is not JSON.
 std::optional<boost::json::value> parseBody(const std::string &Body) {
   if (Body.empty())
     return boost::json::value();
@@ -47,7 +47,7 @@
   return call({"POST", Path, boost::json::serialize(Body), Key}, false);
 }
 
-bool control_client::prefer(const std::string &Url) {
+bool control_client::preferHost(const std::string &Url) {
   const auto Parsed = parseUrl(Url);
   if (Parsed)
     Leader = Parsed;
@@ -55,46 +55,46 @@
 }
 
 milliseconds control_client::remaining() const {
-  const auto Left =
+  const auto TimeLeft =
       std::chrono::duration_cast<milliseconds>(Deadline - std::chrono::steady_clock::now());
-  return std::max(Left, milliseconds(0));
+  return std::max(TimeLeft, milliseconds(0));
 }
 
-bool control_client::pause() const {
+bool control_client::waitBeforeRetry() const {
   std::this_thread::sleep_for(std::min(PauseBetweenRounds, remaining()));
   return remaining() > milliseconds(0);
 }
 
-control_result control_client::call(const http_call &Call, bool GiveUpUnconnected) {
+control_result control_client::call(const http_request &Request, bool FailIfUnconnected) {
   Failure = {false, "no control host was tried"};
   do {
     round_state Round;
-    if (tryRound(Call, Round))
-      return std::move(Round.Answer);
-    if (GiveUpUnconnected && !Round.AnyConnected)
+    if (tryRound(Request, Round))
+      return std::move(Round.Response);
+    if (FailIfUnconnected && !Round.AnyConnected)
       break;
-  } while (pause());
+  } while (waitBeforeRetry());
   return Failure;
 }
 
-bool control_client::tryRound(const http_call &Call, round_state &Round) {
-  if (Leader && followHints(Call, Round))
+bool control_client::tryRound(const http_request &Request, round_state &Round) {
+  if (Leader && followRedirects(Request, Round))
     return true;
   for (const http_url &Host : Hosts) {
-    const reaction Reaction = tryHost(Host, Call, Round);
-    if (Reaction == reaction::Definite)
+    const host_outcome Outcome = tryHost(Host, Request, Round);
+    if (Outcome == host_outcome::Conclusive)
       return true;
-    if (Reaction == reaction::FollowHint && followHints(Call, Round))
+    if (Outcome == host_outcome::FollowRedirect && followRedirects(Request, Round))
       return true;
   }
   return false;
 }
 
-bool control_client::followHints(const http_call &Call, round_state &Round) {
-  for (int Hint = 0; Hint < MaxHints && Leader; ++Hint) {
+bool control_client::followRedirects(const http_request &Request, round_state &Round) {
+  for (int Redirect = 0; Redirect < MaxRedirects && Leader; ++Redirect) {
     const http_url Target = *Leader;
     Leader.reset();
-    if (tryHost(Target, Call, Round) == reaction::Definite) {
+    if (tryHost(Target, Request, Round) == host_outcome::Conclusive) {
       Leader = Target;
       return true;
     }
@@ -102,47 +102,50 @@
   return false;
 }
 
-control_client::reaction control_client::tryHost(const http_url &Url, const http_call &Call,
-                                                 round_state &Round) {
-  const milliseconds Limit = std::min(MaxTry, remaining());
+control_client::host_outcome
+control_client::tryHost(const http_url &Url, const http_request &Request, round_state &Round) {
+  const milliseconds Limit = std::min(MaxTimePerHost, remaining());
   if (Limit == milliseconds(0))
-    return reaction::TryNext;
-  const auto Result = exchange(Url, Call, Limit);
+    return host_outcome::TryNext;
+  const auto Result = sendRequest(Url, Request, Limit);
   if (succeeded(Result)) {
     Round.AnyConnected = true;
-    return judge(valueOf(Result), Round);
+    return classifyResponse(valueOf(Result), Round);
   }
-  const bool Lost = errorOf(Result).Kind == http_failure_kind::Lost;
-  Round.AnyConnected = Round.AnyConnected || Lost;
-  noteFailure(errorOf(Result).Message, Lost);
-  return reaction::TryNext;
+  const bool ResponseLost = errorOf(Result).Kind == http_failure_kind::ResponseLost;
+  Round.AnyConnected = Round.AnyConnected || ResponseLost;
+  recordFailure(errorOf(Result).Message, ResponseLost);
+  return host_outcome::TryNext;
 }
 
-control_client::reaction control_client::judge(const http_answer &Answer, round_state &Round) {
-  const auto Body = parseBody(Answer.Body);
+control_client::host_outcome control_client::classifyResponse(const http_response &Response,
+                                                              round_state &Round) {
+  const auto Body = parseBody(Response.Body);
   if (!Body) {
-    noteFailure("an answer with status " + std::to_string(Answer.Status) + " is not JSON", true);
-    return reaction::TryNext;
+    recordFailure("the response with status " + std::to_string(Response.Status) + " is not JSON",
+                  true);
+    return host_outcome::TryNext;
   }
-  if (Answer.Status == MisdirectedRequest) {
+  if (Response.Status == MisdirectedRequest) {
     Leader = parseUrl(textAt(*Body, "leader"));
-    noteFailure("no control host leads", false);
-    return Leader ? reaction::FollowHint : reaction::TryNext;
+    recordFailure("no control host leads", false);
+    return Leader ? host_outcome::FollowRedirect : host_outcome::TryNext;
   }
-  if (Answer.Status >= FirstServerError) {
-    // Only a plain 503 says that the change was not taken up.
+  if (Response.Status >= FirstServerError) {
+    // Among server errors, only a 503 without unknown_outcome means that no change was accepted.
     const bool Refused =
-        Answer.Status == ServiceUnavailable && errorCode(*Body) != "unknown_outcome";
-    noteFailure("status " + std::to_string(Answer.Status) + ": " + errorMessage(*Body), !Refused);
-    return reaction::TryNext;
+        Response.Status == ServiceUnavailable && errorCode(*Body) != "unknown_outcome";
+    recordFailure("status " + std::to_string(Response.Status) + ": " + errorMessage(*Body),
+                  !Refused);
+    return host_outcome::TryNext;
   }
-  Round.Answer = {Answer.Status, *Body};
-  return reaction::Definite;
+  Round.Response = {Response.Status, *Body};
+  return host_outcome::Conclusive;
 }
 
-void control_client::noteFailure(std::string Message, bool MayBeAccepted) {
+void control_client::recordFailure(std::string Message, bool MayBeAccepted) {
   Failure.Message = std::move(Message);
-  // Once an answer was lost, no later refusal to talk proves that the change was not accepted.
+  // After a lost response, a later refusal does not prove that the change was not accepted.
   Failure.MayBeAccepted = Failure.MayBeAccepted || MayBeAccepted;
 }
 
--- a/programs/pollenstallctl/ctl_options.cpp
+++ b/programs/pollenstallctl/ctl_options.cpp
@@ -1,4 +1,4 @@
-/** @file ctl_options.cpp The command line by popt. */
+/** @file ctl_options.cpp Parses the command line with popt. */
 #include "ctl_options_func.h"
 
 #include "core/core.h"
@@ -47,10 +47,11 @@
 using context_holder = std::unique_ptr<poptContext_s, context_deleter>;
 
 constexpr std::int64_t MaxTimeoutSeconds = 86'400;
-constexpr std::size_t MaxChangeId = 128;
+constexpr std::size_t MaxChangeIdSize = 128;
 
-poptOption textOption(const char *Name, option_value Value, const char *Help, const char *Word) {
-  return {Name, '\0', POPT_ARG_STRING, nullptr, Value, Help, Word};
+poptOption textOption(const char *Name, option_value Value, const char *Help,
+                      const char *ValueName) {
+  return {Name, '\0', POPT_ARG_STRING, nullptr, Value, Help, ValueName};
 }
 
 poptOption flagOption(const char *Name, option_value Value, const char *Help) {
@@ -59,92 +60,96 @@
 
 const poptOption *optionTable() {
   static const poptOption Table[] = {
-      textOption("control", ControlOption, "operators' addresses of the control hosts",
+      textOption("control", ControlOption, "operator API URLs of the control hosts",
                  "URL[,URL...]"),
       textOption("key-file", KeyFileOption, "file with the operators' bearer key", "FILE"),
-      textOption("timeout", TimeoutOption, "seconds for the whole call (20)", "SECONDS"),
-      textOption("config", ConfigOption, "settings: control, key_file, timeout_ms, in TOML",
+      textOption("timeout", TimeoutOption, "time limit for the whole command in seconds (20)",
+                 "SECONDS"),
+      textOption("config", ConfigOption, "TOML settings file: control, key_file, timeout_ms",
                  "FILE"),
-      flagOption("check", CheckOption, "check the settings and stop"),
+      flagOption("check", CheckOption, "check the settings and exit"),
       flagOption("json", JsonOption, "print JSON"),
       flagOption("wait", WaitOption, "apply: until the change is in force everywhere"),
-      flagOption("undo", UndoOption, "drain: let it take new work again"),
+      flagOption("undo", UndoOption, "drain: resume new work on the backend server"),
       textOption("base-revision", BaseRevisionOption,
                  "apply: the revision that the change was made against", "N"),
-      textOption("change-id", ChangeIdOption, "apply, drain: the id of an earlier try", "ID"),
-      textOption("target", TargetOption, "dump: operators' address of the process", "URL"),
+      textOption("change-id", ChangeIdOption, "apply, drain: the change id of an earlier attempt",
+                 "ID"),
+      textOption("target", TargetOption, "dump: operator API URL of the process", "URL"),
       textOption("account", AccountOption, "explain: client account", "NAME"),
       textOption("service", ServiceOption, "explain: service", "NAME"),
       textOption("model", ModelOption, "explain: model, instead of the service", "NAME"),
       textOption("tokens", TokensOption, "explain: length of the prompt", "N"),
-      textOption("header", HeaderOption, "explain: a header, may be repeated", "NAME=VALUE"),
-      textOption("file", FileOption, "explain: a file instead of what is in force", "FILE"),
-      flagOption("manual", ManualOption, "print every setting and stop"),
-      {"version", 'V', POPT_ARG_NONE, nullptr, VersionOption, "print the version and stop",
+      textOption("header", HeaderOption, "explain: a header; may be repeated", "NAME=VALUE"),
+      textOption("file", FileOption, "explain: a file to use instead of the declaration in force",
+                 "FILE"),
+      flagOption("manual", ManualOption, "print every setting and exit"),
+      {"version", 'V', POPT_ARG_NONE, nullptr, VersionOption, "print the version and exit",
        nullptr},
-      {"help", 'h', POPT_ARG_NONE, nullptr, HelpOption, "print this page and stop", nullptr},
+      {"help", 'h', POPT_ARG_NONE, nullptr, HelpOption, "print this page and exit", nullptr},
       {nullptr, '\0', 0, nullptr, 0, nullptr, nullptr}};
   return Table;
 }
 
-std::optional<std::int64_t> numberIn(const std::string &Text, std::int64_t Max) {
+std::optional<std::int64_t> parseNumberUpTo(const std::string &Text, std::int64_t Max) {
   const auto Value = parseNumber<std::int64_t>(Text);
   return Value && *Value >= 0 && *Value <= Max ? Value : std::nullopt;
 }
 
 std::vector<std::string> splitAtCommas(const std::string &Text) {
   std::vector<std::string> Parts;
-  std::istringstream Stream(Text);
-  for (std::string Part; std::getline(Stream, Part, ',');)
+  std::istringstream Input(Text);
+  for (std::string Part; std::getline(Input, Part, ',');)
     Parts.push_back(Part);
   return Parts;
 }
 
-/// What the command line asks for besides the options proper.
+/// The parsed command line.
 struct command_line {
   ctl_options Options;
   std::string ConfigFile;
   bool CheckOnly{false};
-  bool TimeoutGiven{false};
+  bool HasTimeout{false};
 };
 
-/// Stores the value of one option. @return What is allowed, where the value is not.
-using option_store = std::function<std::optional<std::string>(command_line &, const std::string &)>;
+/// Stores the value of an option. @return A description of valid values if the value is invalid.
+using option_setter =
+    std::function<std::optional<std::string>(command_line &, const std::string &)>;
 
-/// For options that take any text.
-template <typename Assign> option_store anyText(Assign Set) {
-  return [Set](command_line &Line, const std::string &Text) -> std::optional<std::string> {
-    Set(Line, Text);
+/// Returns a setter for an option that accepts any text.
+template <typename SetFunction> option_setter anyTextSetter(SetFunction Setter) {
+  return [Setter](command_line &Line, const std::string &Text) -> std::optional<std::string> {
+    Setter(Line, Text);
     return std::nullopt;
   };
 }
 
-std::optional<std::string> storeTimeout(command_line &Line, const std::string &Text) {
-  const auto Seconds = numberIn(Text, MaxTimeoutSeconds);
+std::optional<std::string> setTimeout(command_line &Line, const std::string &Text) {
+  const auto Seconds = parseNumberUpTo(Text, MaxTimeoutSeconds);
   if (!Seconds || *Seconds == 0)
     return "a whole number of seconds from 1 to " + std::to_string(MaxTimeoutSeconds);
   Line.Options.Timeout = std::chrono::seconds(*Seconds);
-  Line.TimeoutGiven = true;
+  Line.HasTimeout = true;
   return std::nullopt;
 }
 
-std::optional<std::string> storeBase(command_line &Line, const std::string &Text) {
-  const auto Number = numberIn(Text, INT64_MAX);
+std::optional<std::string> setBaseRevision(command_line &Line, const std::string &Text) {
+  const auto Number = parseNumberUpTo(Text, INT64_MAX);
   if (!Number)
     return "a revision, as status and plan print it";
   Line.Options.BaseRevision = revision(static_cast<std::uint64_t>(*Number));
   return std::nullopt;
 }
 
-std::optional<std::string> storeTokens(command_line &Line, const std::string &Text) {
-  const auto Number = numberIn(Text, INT64_MAX);
+std::optional<std::string> setTokens(command_line &Line, const std::string &Text) {
+  const auto Number = parseNumberUpTo(Text, INT64_MAX);
   if (!Number)
     return "a whole number from 0";
   Line.Options.Request.Prompt = tokens(*Number);
   return std::nullopt;
 }
 
-std::optional<std::string> storeHeader(command_line &Line, const std::string &Text) {
+std::optional<std::string> setHeader(command_line &Line, const std::string &Text) {
   const std::size_t Equals = Text.find('=');
   if (Equals == std::string::npos || Equals == 0)
     return "NAME=VALUE";
@@ -152,43 +157,51 @@
   return std::nullopt;
 }
 
-std::optional<std::string> storeChangeId(command_line &Line, const std::string &Text) {
-  const auto Plain = [](char C) { return C > ' ' && C <= '~'; };
-  if (Text.empty() || Text.size() > MaxChangeId || !std::all_of(Text.begin(), Text.end(), Plain))
+std::optional<std::string> setChangeId(command_line &Line, const std::string &Text) {
+  const auto IsVisible = [](char C) { return C > ' ' && C <= '~'; };
+  if (Text.empty() || Text.size() > MaxChangeIdSize ||
+      !std::all_of(Text.begin(), Text.end(), IsVisible))
     return "1 to 128 visible ASCII characters";
   Line.Options.ChangeId = Text;
   return std::nullopt;
 }
 
-const std::map<int, option_store> &optionStores() {
-  static const std::map<int, option_store> Stores = {
-      {ControlOption, anyText([](command_line &L, const std::string &T) {
+const std::map<int, option_setter> &optionSetters() {
+  static const std::map<int, option_setter> Setters = {
+      {ControlOption, anyTextSetter([](command_line &L, const std::string &T) {
          L.Options.ControlUrls = splitAtCommas(T);
        })},
       {KeyFileOption,
-       anyText([](command_line &L, const std::string &T) { L.Options.KeyFile = T; })},
-      {TimeoutOption, storeTimeout},
-      {ConfigOption, anyText([](command_line &L, const std::string &T) { L.ConfigFile = T; })},
-      {CheckOption, anyText([](command_line &L, const std::string &) { L.CheckOnly = true; })},
-      {JsonOption, anyText([](command_line &L, const std::string &) { L.Options.Json = true; })},
-      {WaitOption, anyText([](command_line &L, const std::string &) { L.Options.Wait = true; })},
-      {UndoOption, anyText([](command_line &L, const std::string &) { L.Options.Undo = true; })},
-      {BaseRevisionOption, storeBase},
-      {ChangeIdOption, storeChangeId},
-      {TargetOption, anyText([](command_line &L, const std::string &T) { L.Options.Target = T; })},
-      {AccountOption, anyText([](command_line &L, const std::string &T) {
+       anyTextSetter([](command_line &L, const std::string &T) { L.Options.KeyFile = T; })},
+      {TimeoutOption, setTimeout},
+      {ConfigOption,
+       anyTextSetter([](command_line &L, const std::string &T) { L.ConfigFile = T; })},
+      {CheckOption,
+       anyTextSetter([](command_line &L, const std::string &) { L.CheckOnly = true; })},
+      {JsonOption,
+       anyTextSetter([](command_line &L, const std::string &) { L.Options.Json = true; })},
+      {WaitOption,
+       anyTextSetter([](command_line &L, const std::string &) { L.Options.Wait = true; })},
+      {UndoOption,
+       anyTextSetter([](command_line &L, const std::string &) { L.Options.Undo = true; })},
+      {BaseRevisionOption, setBaseRevision},
+      {ChangeIdOption, setChangeId},
+      {TargetOption,
+       anyTextSetter([](command_line &L, const std::string &T) { L.Options.Target = T; })},
+      {AccountOption, anyTextSetter([](command_line &L, const std::string &T) {
          L.Options.Request.Account = client_account_name(T);
        })},
-      {ServiceOption, anyText([](command_line &L, const std::string &T) {
+      {ServiceOption, anyTextSetter([](command_line &L, const std::string &T) {
          L.Options.Request.Service = service_name(T);
        })},
-      {ModelOption, anyText([](command_line &L, const std::string &T) {
+      {ModelOption, anyTextSetter([](command_line &L, const std::string &T) {
          L.Options.Request.Model = model_name(T);
        })},
-      {TokensOption, storeTokens},
-      {HeaderOption, storeHeader},
-      {FileOption, anyText([](command_line &L, const std::string &T) { L.Options.File = T; })}};
-  return Stores;
+      {TokensOption, setTokens},
+      {HeaderOption, setHeader},
+      {FileOption,
+       anyTextSetter([](command_line &L, const std::string &T) { L.Options.File = T; })}};
+  return Setters;
 }
 
 ctl_exit usageError(const std::string &Message) {
@@ -215,15 +228,15 @@
               << Row.Meaning << " |\n";
 }
 
-/// The value of the option that popt read last; popt hands the copy over.
-std::string takeValue(poptContext Context) {
+/// Returns the value of the last parsed option. The caller of poptGetOptArg() owns and frees it.
+std::string optionValue(poptContext Context) {
   char *Value = poptGetOptArg(Context);
   std::string Text = Value ? Value : "";
   std::free(Value);
   return Text;
 }
 
-result<command_line, ctl_exit> readLine(poptContext Context) {
+result<command_line, ctl_exit> parseCommandLine(poptContext Context) {
   command_line Line;
   int Option = 0;
   while ((Option = poptGetNextOpt(Context)) > 0) {
@@ -239,8 +252,8 @@
       std::cout << "pollenstallctl " << POLLENSTALL_VERSION << "\n";
       return ctl_exit::Ok;
     }
-    const std::string Value = takeValue(Context);
-    if (const auto Allowed = optionStores().at(Option)(Line, Value))
+    const std::string Value = optionValue(Context);
+    if (const auto Allowed = optionSetters().at(Option)(Line, Value))
       return usageError("\"" + Value + "\": allowed: " + *Allowed);
   }
   if (Option < -1)
@@ -254,7 +267,7 @@
   return Line;
 }
 
-/// The settings file fills in what the command line left open.
+/// Sets options that the command line leaves unset from the settings file.
 result<done, ctl_exit> readConfig(command_line &Line) {
   if (Line.ConfigFile.empty())
     return done{};
@@ -264,7 +277,7 @@
     return ctl_exit::BadUsage;
   }
   const ctl_settings &Settings = valueOf(Loaded);
-  if (!Line.TimeoutGiven)
+  if (!Line.HasTimeout)
     Line.Options.Timeout = Settings.Timeout;
   if (Line.Options.ControlUrls.empty())
     Line.Options.ControlUrls = Settings.ControlUrls;
@@ -293,7 +306,7 @@
 result<ctl_options, ctl_exit> readCtlOptions(int Count, const char **Values) {
   const context_holder Context(poptGetContext("pollenstallctl", Count, Values, optionTable(), 0));
   poptSetOtherOptionHelp(Context.get(), "[OPTION...] VERB [ARGUMENT]");
-  auto Line = readLine(Context.get());
+  auto Line = parseCommandLine(Context.get());
   if (!succeeded(Line))
     return errorOf(Line);
   if (const auto Read = readConfig(valueOf(Line)); !succeeded(Read))
--- a/programs/pollenstallctl/ctl_options_func.h
+++ b/programs/pollenstallctl/ctl_options_func.h
@@ -1,4 +1,4 @@
-/** @file ctl_options_func.h The command line and the settings file of the tool. */
+/** @file ctl_options_func.h The command line and the settings file of pollenstallctl. */
 #ifndef POLLENSTALL_POLLENSTALLCTL_CTL_OPTIONS_FUNC_H
 #define POLLENSTALL_POLLENSTALLCTL_CTL_OPTIONS_FUNC_H
 
@@ -8,13 +8,13 @@
 namespace pollenstall {
 
 /**
- * Reads the command line by popt, and --config below it. Prints the pages of --help and --version,
- * and what is wrong.
- * @return The options, or the exit code where the process is to stop at once.
+ * Parses the command line with popt and takes unset options from the --config file. Prints the
+ * output of --help, --manual, --version and --check, and errors.
+ * @return The options, or the exit code if the process must exit at once.
  */
 result<ctl_options, ctl_exit> readCtlOptions(int Count, const char **Values);
 
-/// @return The rows of the settings file; the command line goes before it.
+/// @return The table of the settings file, which the command line overrides.
 const settings_table<ctl_settings> &ctlSettingsTable();
 
 } // namespace pollenstall
--- a/programs/pollenstallctl/ctl_settings.cpp
+++ b/programs/pollenstallctl/ctl_settings.cpp
@@ -1,4 +1,4 @@
-/** @file ctl_settings.cpp The settings file of the tool. */
+/** @file ctl_settings.cpp The settings file of pollenstallctl. */
 #include "ctl_options_func.h"
 
 #include "http_client_func.h"
@@ -22,11 +22,11 @@
   static const settings_table<ctl_settings> Table =
       settings_table<ctl_settings>()
           .texts("control", &ctl_settings::ControlUrls, presence::Optional, "http://IP:PORT",
-                 checkUrl, "Operators' addresses of the control hosts.")
+                 checkUrl, "Operator API URLs of the control hosts.")
           .text("key_file", &ctl_settings::KeyFile, presence::Optional, "the name of a file", {},
-                "Holds the operators' bearer key on one line.")
+                "File with the operators' bearer key on one line.")
           .span("timeout_ms", &ctl_settings::Timeout, TimeoutRange,
-                "For a whole call, repeats included.");
+                "Time limit for a whole command, including retries.");
   return Table;
 }
 
--- a/programs/pollenstallctl/http_client.cpp
+++ b/programs/pollenstallctl/http_client.cpp
@@ -1,4 +1,4 @@
-/** @file http_client.cpp The client by Boost.Beast. */
+/** @file http_client.cpp The HTTP client, built on Boost.Beast. */
 #include "http_client_func.h"
 
 #include "core/core.h"
@@ -19,9 +19,9 @@
 
 constexpr std::string_view Scheme = "http://";
 constexpr int HttpVersion11 = 11;
-constexpr std::uint64_t MaxAnswerBytes = 64ULL << 20U; ///< A dump of a large fleet.
+constexpr std::uint64_t MaxResponseBytes = 64ULL << 20U; ///< Fits the dump of a large fleet.
 
-/// Runs asynchronous steps one by one: only those obey Beast's time limit.
+/// Blocks on one asynchronous step at a time: Beast applies its timeout to those only.
 class blocking_connection {
 public:
   explicit blocking_connection(std::chrono::milliseconds Limit) : Stream(Context) {
@@ -32,9 +32,9 @@
     return await([&](auto Done) { Stream.async_connect(Peer, Done); });
   }
 
-  error_code send(const http::request<http::string_body> &Request) {
+  error_code send(const http::request<http::string_body> &Message) {
     return await([&](auto Done) {
-      http::async_write(Stream, Request, [Done](error_code Error, std::size_t) { Done(Error); });
+      http::async_write(Stream, Message, [Done](error_code Error, std::size_t) { Done(Error); });
     });
   }
 
@@ -46,7 +46,7 @@
   }
 
 private:
-  template <typename Start> error_code await(Start &&StartStep) {
+  template <typename StartFunction> error_code await(StartFunction &&StartStep) {
     error_code Result;
     StartStep([&Result](error_code Error) { Result = Error; });
     Context.restart();
@@ -59,25 +59,28 @@
   beast::flat_buffer Buffer;
 };
 
-http::request<http::string_body> requestOf(const http_url &Url, const http_call &Call) {
-  http::request<http::string_body> Request;
-  Request.version(HttpVersion11);
-  Request.method_string(Call.Method);
-  Request.target(Url.Path + Call.Path);
+http::request<http::string_body> makeBeastRequest(const http_url &Url,
+                                                  const http_request &Request) {
+  http::request<http::string_body> Message;
+  Message.version(HttpVersion11);
+  Message.method_string(Request.Method);
+  Message.target(Url.Path + Request.Path);
   const bool IsV6 = Url.Host.find(':') != std::string::npos;
-  Request.set(http::field::host,
+  Message.set(http::field::host,
               (IsV6 ? "[" + Url.Host + "]" : Url.Host) + ":" + std::to_string(Url.Port));
-  Request.set(http::field::connection, "close");
-  if (!Call.BearerKey.empty())
-    Request.set(http::field::authorization, "Bearer " + Call.BearerKey);
-  if (!Call.Body.empty())
-    Request.set(http::field::content_type, "application/json");
-  Request.body() = Call.Body;
-  Request.prepare_payload();
-  return Request;
+  Message.set(http::field::connection, "close");
+  if (!Request.BearerKey.empty())
+    Message.set(http::field::authorization, "Bearer " + Request.BearerKey);
+  if (!Request.Body.empty())
+    Message.set(http::field::content_type, "application/json");
+  Message.body() = Request.Body;
+  Message.prepare_payload();
+  return Message;
 }
 
-std::string nameOf(const http_url &Url) { return Url.Host + " port " + std::to_string(Url.Port); }
+std::string hostAndPort(const http_url &Url) {
+  return Url.Host + " port " + std::to_string(Url.Port);
+}
 
 } // namespace
 
@@ -103,19 +106,19 @@
   return http_url{std::string(Host), *Port, std::string(Path)};
 }
 
-result<http_answer, http_failure> exchange(const http_url &Url, const http_call &Call,
-                                           std::chrono::milliseconds Limit) {
+result<http_response, http_failure> sendRequest(const http_url &Url, const http_request &Request,
+                                                std::chrono::milliseconds Limit) {
   blocking_connection Connection(Limit);
   const asio::ip::tcp::endpoint Peer(asio::ip::make_address(Url.Host), Url.Port);
   if (const error_code Error = Connection.connect(Peer))
-    return http_failure{http_failure_kind::NotConnected, nameOf(Url) + ": " + Error.message()};
-  if (const error_code Error = Connection.send(requestOf(Url, Call)))
-    return http_failure{http_failure_kind::Lost, nameOf(Url) + ": " + Error.message()};
+    return http_failure{http_failure_kind::NotConnected, hostAndPort(Url) + ": " + Error.message()};
+  if (const error_code Error = Connection.send(makeBeastRequest(Url, Request)))
+    return http_failure{http_failure_kind::ResponseLost, hostAndPort(Url) + ": " + Error.message()};
   http::response_parser<http::string_body> Parser;
-  Parser.body_limit(MaxAnswerBytes);
+  Parser.body_limit(MaxResponseBytes);
   if (const error_code Error = Connection.receive(Parser))
-    return http_failure{http_failure_kind::Lost, nameOf(Url) + ": " + Error.message()};
-  return http_answer{Parser.get().result_int(), std::move(Parser.get().body())};
+    return http_failure{http_failure_kind::ResponseLost, hostAndPort(Url) + ": " + Error.message()};
+  return http_response{Parser.get().result_int(), std::move(Parser.get().body())};
 }
 
 } // namespace pollenstall
--- a/programs/pollenstallctl/http_client_func.h
+++ b/programs/pollenstallctl/http_client_func.h
@@ -1,4 +1,4 @@
-/** @file http_client_func.h One HTTP/1.1 request on a connection of its own, with a time limit. */
+/** @file http_client_func.h Sends one HTTP/1.1 request per connection, with a timeout. */
 #ifndef POLLENSTALL_POLLENSTALLCTL_HTTP_CLIENT_FUNC_H
 #define POLLENSTALL_POLLENSTALLCTL_HTTP_CLIENT_FUNC_H
 
@@ -19,38 +19,38 @@
   std::string Path; ///< Without a trailing slash; empty for the root.
 };
 
-/// What is sent.
-struct http_call {
+/// A request to send.
+struct http_request {
   std::string Method;
   std::string Path; ///< Appended to the URL's path.
   std::string Body;
   std::string BearerKey; ///< Empty for none.
 };
 
-/// What came back.
-struct http_answer {
+/// A complete response.
+struct http_response {
   unsigned int Status{0};
   std::string Body;
 };
 
-/// How far a call without an answer got.
+/// How far a request without a response got.
 enum class http_failure_kind : std::uint8_t {
   NotConnected, ///< No byte was sent.
-  Lost          ///< Something may have been sent and acted upon.
+  ResponseLost  ///< The server may have received and processed the request.
 };
 
-/// Why there is no answer.
+/// Why a request has no response.
 struct http_failure {
   http_failure_kind Kind{http_failure_kind::NotConnected};
   std::string Message;
 };
 
-/// @return The parts, or nothing where the text is not an http URL with a numeric address.
+/// @return The parts, or nothing if the text is not an http URL with a numeric address.
 std::optional<http_url> parseUrl(std::string_view Text);
 
-/// Sends and waits for the whole answer. @param Limit For all of it, connecting included.
-result<http_answer, http_failure> exchange(const http_url &Url, const http_call &Call,
-                                           std::chrono::milliseconds Limit);
+/// Sends a request and waits for the complete response. @param Limit Includes the connect time.
+result<http_response, http_failure> sendRequest(const http_url &Url, const http_request &Request,
+                                                std::chrono::milliseconds Limit);
 
 } // namespace pollenstall
 
--- a/programs/pollenstallctl/json_text.cpp
+++ b/programs/pollenstallctl/json_text.cpp
@@ -1,4 +1,4 @@
-/** @file json_text.cpp Members of JSON values; tables and indented lines. */
+/** @file json_text.cpp Access to members of JSON values, tables and indented lines. */
 #include "json_text_func.h"
 
 #include <boost/json/object.hpp>
@@ -41,11 +41,11 @@
 
 std::string indented(const std::string &Text, std::size_t Width) {
   std::string Result;
-  std::size_t At = 0;
-  while (At < Text.size()) {
-    const std::size_t End = std::min(Text.find('\n', At), Text.size() - 1);
-    Result += std::string(Width, ' ') + Text.substr(At, End - At + 1);
-    At = End + 1;
+  std::size_t Begin = 0;
+  while (Begin < Text.size()) {
+    const std::size_t End = std::min(Text.find('\n', Begin), Text.size() - 1);
+    Result += std::string(Width, ' ') + Text.substr(Begin, End - Begin + 1);
+    Begin = End + 1;
   }
   return Result;
 }
@@ -61,19 +61,19 @@
 
 } // namespace
 
-const boost::json::value *memberOf(const boost::json::value &Value, std::string_view Key) {
+const boost::json::value *findMember(const boost::json::value &Value, std::string_view Key) {
   const auto *Object = Value.if_object();
   return Object ? Object->if_contains(Key) : nullptr;
 }
 
 std::string textAt(const boost::json::value &Value, std::string_view Key) {
-  const auto *Member = memberOf(Value, Key);
+  const auto *Member = findMember(Value, Key);
   const auto *Text = Member ? Member->if_string() : nullptr;
   return Text ? std::string(*Text) : std::string();
 }
 
 std::optional<std::uint64_t> numberAt(const boost::json::value &Value, std::string_view Key) {
-  const auto *Member = memberOf(Value, Key);
+  const auto *Member = findMember(Value, Key);
   if (!Member || !Member->is_number())
     return std::nullopt;
   boost::system::error_code Error;
@@ -82,17 +82,17 @@
 }
 
 std::optional<bool> flagAt(const boost::json::value &Value, std::string_view Key) {
-  const auto *Member = memberOf(Value, Key);
+  const auto *Member = findMember(Value, Key);
   return Member && Member->is_bool() ? std::optional(Member->get_bool()) : std::nullopt;
 }
 
 std::string errorCode(const boost::json::value &Body) {
-  const auto *Error = memberOf(Body, "error");
+  const auto *Error = findMember(Body, "error");
   return Error ? textAt(*Error, "code") : std::string();
 }
 
 std::string errorMessage(const boost::json::value &Body) {
-  const auto *Error = memberOf(Body, "error");
+  const auto *Error = findMember(Body, "error");
   const std::string Message = Error ? textAt(*Error, "message") : std::string();
   return Message.empty() ? "no reason given" : Message;
 }
@@ -104,7 +104,7 @@
     std::vector<std::string> Cells;
     Cells.reserve(Columns.size());
     for (const std::string &Column : Columns)
-      Cells.push_back(cellText(memberOf(Row, Column)));
+      Cells.push_back(cellText(findMember(Row, Column)));
     Lines.push_back(std::move(Cells));
   }
   std::vector<std::size_t> Widths(Columns.size(), 0);
@@ -117,7 +117,7 @@
   return Text;
 }
 
-std::string readableText(const boost::json::value &Value) {
+std::string toReadableText(const boost::json::value &Value) {
   const auto *Object = Value.if_object();
   if (!Object)
     return cellText(&Value) + "\n";
@@ -127,7 +127,7 @@
     if (isListOfObjects(Member.value()))
       Text += Key + ":\n" + indented(tableText(Member.value().get_array()), IndentStep);
     else if (Member.value().is_object())
-      Text += Key + ":\n" + indented(readableText(Member.value()), IndentStep);
+      Text += Key + ":\n" + indented(toReadableText(Member.value()), IndentStep);
     else
       Text += Key + ": " + cellText(&Member.value()) + "\n";
   }
--- a/programs/pollenstallctl/json_text_func.h
+++ b/programs/pollenstallctl/json_text_func.h
@@ -1,4 +1,4 @@
-/** @file json_text_func.h Reads members of JSON answers and lays them out for people. */
+/** @file json_text_func.h Reads members of JSON responses and formats JSON as readable text. */
 #ifndef POLLENSTALL_POLLENSTALLCTL_JSON_TEXT_FUNC_H
 #define POLLENSTALL_POLLENSTALLCTL_JSON_TEXT_FUNC_H
 
@@ -12,28 +12,29 @@
 
 namespace pollenstall {
 
-/// @return The member, or null where the value is no object or lacks it.
-const boost::json::value *memberOf(const boost::json::value &Value, std::string_view Key);
+/// @return The member, or null if the value is not an object or lacks the member.
+const boost::json::value *findMember(const boost::json::value &Value, std::string_view Key);
 
-/// @return The member's text, or an empty one.
+/// @return The member's text, or an empty text if there is no such string.
 std::string textAt(const boost::json::value &Value, std::string_view Key);
 
-/// @return The member's whole number, if it is one and not negative.
+/// @return The member's value if it is a non-negative whole number.
 std::optional<std::uint64_t> numberAt(const boost::json::value &Value, std::string_view Key);
 
-/// @return The member, if it is a flag.
+/// @return The member's value if it is a boolean.
 std::optional<bool> flagAt(const boost::json::value &Value, std::string_view Key);
 
-/// @return error.code of an answer, or an empty text.
+/// @return error.code of a response, or an empty text.
 std::string errorCode(const boost::json::value &Body);
 
-/// @return error.message of an answer, or "no reason given".
+/// @return error.message of a response, or "no reason given".
 std::string errorMessage(const boost::json::value &Body);
 
-/// @return A line for each scalar, and a table for each list of objects.
-std::string readableText(const boost::json::value &Value);
+/// @return A line for each scalar, an indented block for each object and a table for each list of
+/// objects.
+std::string toReadableText(const boost::json::value &Value);
 
-/// @return Aligned columns under their keys.
+/// @return The rows in aligned columns, with the keys as headings.
 std::string tableText(const boost::json::array &Rows);
 
 } // namespace pollenstall
--- a/programs/pollenstallctl/pollenstallctl.cpp
+++ b/programs/pollenstallctl/pollenstallctl.cpp
@@ -1,4 +1,4 @@
-/** @file pollenstallctl.cpp The operators' tool: reads the command line, runs one verb, prints. */
+/** @file pollenstallctl.cpp The operators' tool: runs one verb and prints its result. */
 #include "ctl_options_func.h"
 #include "table/verbs.h"
 
@@ -12,7 +12,7 @@
 
 using namespace pollenstall;
 
-std::string_view codeText(ctl_exit Exit) {
+std::string_view exitCodeText(ctl_exit Exit) {
   switch (Exit) {
   case ctl_exit::Ok:
     return "ok";
@@ -38,8 +38,9 @@
 }
 
 ctl_exit print(const verb_failure &Failure, bool Json) {
-  const boost::json::object Error{
-      {"code", codeText(Failure.Exit)}, {"message", Failure.Message}, {"details", Failure.Details}};
+  const boost::json::object Error{{"code", exitCodeText(Failure.Exit)},
+                                  {"message", Failure.Message},
+                                  {"details", Failure.Details}};
   if (Json)
     std::cout << boost::json::serialize(boost::json::object{{"error", Error}}) << "\n";
   else
@@ -58,6 +59,8 @@
     return valueOf(Options).Verb == Row.Name;
   });
   const verb_result Result = Verb->Run(valueOf(Options));
-  const auto Print = [&Options](const auto &What) { return print(What, valueOf(Options).Json); };
+  const auto Print = [&Options](const auto &Outcome) {
+    return print(Outcome, valueOf(Options).Json);
+  };
   return static_cast<int>(std::visit(Print, Result));
 }
--- a/programs/pollenstallctl/verb_apply.cpp
+++ b/programs/pollenstallctl/verb_apply.cpp
@@ -1,4 +1,4 @@
-/** @file verb_apply.cpp apply FILE: sends a declaration as a change, and waits where asked to. */
+/** @file verb_apply.cpp apply FILE: sends a declaration as a change. */
 #include "json_text_func.h"
 #include "verb_common_func.h"
 #include "verb_func.h"
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// @return What the serving leader knows to be in force; an isolated host knows nothing of that.
+/// Returns the revision in force if the host is the serving leader: an isolated host cannot know
+/// it.
 std::optional<std::uint64_t> revisionInForce(const boost::json::value &Status) {
   if (!flagAt(Status, "serving").value_or(false))
     return std::nullopt;
@@ -17,30 +18,31 @@
 }
 
 result<done, verb_failure> waitInForce(control_client &Client, std::uint64_t Revision) {
-  std::string Last = "no control host tells what is";
+  std::string LastReport = "no control host reported the revision in force";
   do {
     const auto Status = fetchStatus(Client);
     const auto InForce = succeeded(Status) ? revisionInForce(valueOf(Status)) : std::nullopt;
     if (InForce && *InForce >= Revision)
       return done{};
     if (InForce)
-      Last = "revision " + std::to_string(*InForce) + " is";
+      LastReport = "only revision " + std::to_string(*InForce) + " is in force";
     else if (!succeeded(Status))
-      Last = errorOf(Status).Message;
-  } while (Client.pause());
+      LastReport = errorOf(Status).Message;
+  } while (Client.waitBeforeRetry());
   return verb_failure{ctl_exit::NotInForce,
                       "accepted as revision " + std::to_string(Revision) +
-                          ", but not seen in force everywhere in time: " + Last,
+                          ", but not seen in force everywhere in time: " + LastReport,
                       boost::json::object{{"revision", Revision}}};
 }
 
 result<revision, verb_failure> baseRevision(control_client &Client, const ctl_options &Options) {
   if (Options.BaseRevision)
     return *Options.BaseRevision;
-  // Once the first try was accepted, the revision in force is another base: another change.
+  // If the first attempt was accepted, the revision in force has advanced. Using it as the base
+  // would make the resend a different change.
   if (!Options.ChangeId.empty())
     return verb_failure{ctl_exit::BadUsage,
-                        "--change-id needs the --base-revision of the first try, which apply "
+                        "--change-id needs the --base-revision of the first attempt, which apply "
                         "printed with the id",
                         {}};
   const auto Body = fetch(Client, "/v1/declaration");
@@ -68,14 +70,14 @@
   if (!succeeded(Base))
     return errorOf(Base);
   const std::string Id = announceChangeId(Options, valueOf(Base));
-  const auto Answer = sendChange(Client, "/v1/changes",
-                                 boost::json::object{{"change_id", Id},
-                                                     {"base_revision", valueOf(Base).value()},
-                                                     {"text", toCanonicalText(valueOf(Read))}});
-  if (!succeeded(Answer))
-    return errorOf(Answer);
-  const std::uint64_t Revision = numberAt(valueOf(Answer), "revision").value_or(0);
-  const bool Repeated = flagAt(valueOf(Answer), "repeated").value_or(false);
+  const auto Response = sendChange(Client, "/v1/changes",
+                                   boost::json::object{{"change_id", Id},
+                                                       {"base_revision", valueOf(Base).value()},
+                                                       {"text", toCanonicalText(valueOf(Read))}});
+  if (!succeeded(Response))
+    return errorOf(Response);
+  const std::uint64_t Revision = numberAt(valueOf(Response), "revision").value_or(0);
+  const bool Repeated = flagAt(valueOf(Response), "repeated").value_or(false);
   if (Options.Wait)
     if (const auto Waited = waitInForce(Client, Revision); !succeeded(Waited))
       return errorOf(Waited);
--- a/programs/pollenstallctl/verb_common.cpp
+++ b/programs/pollenstallctl/verb_common.cpp
@@ -1,4 +1,4 @@
-/** @file verb_common.cpp Files, keys, fetching, and changes with their ids. */
+/** @file verb_common.cpp Reads files and keys, fetches from control, sends changes. */
 #include "verb_common_func.h"
 
 #include "json_text_func.h"
@@ -29,10 +29,10 @@
   return List;
 }
 
-/// "file:line: key: allowed: …" for each detail of a refusal.
+/// Returns a line "file:line: key: allowed: ..." for each detail of a rejection.
 std::string detailText(const boost::json::value &Body) {
-  const auto *Error = memberOf(Body, "error");
-  const auto *Details = Error ? memberOf(*Error, "details") : nullptr;
+  const auto *Error = findMember(Body, "error");
+  const auto *Details = Error ? findMember(*Error, "details") : nullptr;
   if (!Details || !Details->is_array())
     return {};
   std::string Text;
@@ -43,49 +43,50 @@
   return Text;
 }
 
-verb_failure failureOf(const control_answer &Answer) {
-  const std::string Status = "status " + std::to_string(Answer.Status);
-  // The same status also tells of a change id that was used for another change.
-  if (Answer.Status != StatusConflict || errorCode(Answer.Body) != "conflict")
+verb_failure failureOf(const control_response &Response) {
+  const std::string Status = "status " + std::to_string(Response.Status);
+  // The status 409 is also returned for a change id that was used for another change.
+  if (Response.Status != StatusConflict || errorCode(Response.Body) != "conflict")
     return {ctl_exit::Refused,
-            "refused with " + Status + ": " + errorMessage(Answer.Body) + detailText(Answer.Body),
-            Answer.Body};
-  const auto InForce = numberAt(Answer.Body, "revision");
+            "refused with " + Status + ": " + errorMessage(Response.Body) +
+                detailText(Response.Body),
+            Response.Body};
+  const auto InForce = numberAt(Response.Body, "revision");
   return {ctl_exit::Conflict,
-          "conflict: " + errorMessage(Answer.Body) +
+          "conflict: " + errorMessage(Response.Body) +
               (InForce ? "; the revision in force is " + std::to_string(*InForce) : ""),
-          Answer.Body};
+          Response.Body};
 }
 
-/// @return 128 random bits in hex.
+/// Returns 128 random bits in hex.
 std::string randomId() {
-  constexpr int Words = 4;
-  constexpr int DigitsOfWord = 8;
+  constexpr int WordCount = 4;
+  constexpr int DigitsPerWord = 8;
   std::random_device Device;
   std::ostringstream Text;
   Text << std::hex << std::setfill('0');
-  for (int Word = 0; Word < Words; ++Word)
-    Text << std::setw(DigitsOfWord) << Device();
+  for (int Word = 0; Word < WordCount; ++Word)
+    Text << std::setw(DigitsPerWord) << Device();
   return Text.str();
 }
 
-/// @return What to say of a change whose answer was lost, with all that a resend has to repeat.
+/// Returns the failure for a lost response, with the options that a resend must repeat.
 verb_failure unknownOutcome(const control_failure &Failure, const boost::json::value &Change) {
   const std::string Id = textAt(Change, "change_id");
   const auto Base = numberAt(Change, "base_revision");
-  std::string Again = Id.empty() ? "the same command" : "--change-id " + Id;
+  std::string ResendOptions = Id.empty() ? "the same command" : "--change-id " + Id;
   if (Base)
-    Again += " --base-revision " + std::to_string(*Base);
+    ResendOptions += " --base-revision " + std::to_string(*Base);
   boost::json::object Details{{"change_id", Id}};
   if (Base)
     Details["base_revision"] = *Base;
   return {ctl_exit::UnknownOutcome,
-          "the outcome is unknown: " + Failure.Message + "; resend with " + Again,
+          "the outcome is unknown: " + Failure.Message + "; resend with " + ResendOptions,
           std::move(Details)};
 }
 
-verb_failure badAnswer(const std::string &What) {
-  return {ctl_exit::Refused, "an answer of the control host lacks " + What, {}};
+verb_failure incompleteResponse(const std::string &MissingField) {
+  return {ctl_exit::Refused, "the response of the control host lacks " + MissingField, {}};
 }
 
 } // namespace
@@ -116,7 +117,7 @@
     return Text;
   std::string Key = valueOf(std::move(Text));
   Key.erase(Key.find_last_not_of("\r\n") + 1);
-  // A line break inside would end the header and begin another one.
+  // A line break in the key would end the header and start another one.
   if (Key.empty() || Key.find_first_of("\r\n") != std::string::npos)
     return verb_failure{ctl_exit::BadUsage, Options.KeyFile + ": allowed: one line with a key", {}};
   return Key;
@@ -150,14 +151,15 @@
 }
 
 result<boost::json::value, verb_failure> fetchStatus(control_client &Client) {
-  auto First = fetch(Client, "/v1/status");
-  if (!succeeded(First) || flagAt(valueOf(First), "serving").value_or(false))
-    return First;
-  // Any host answers for itself; only the leader knows of entries and of what is in force.
-  if (!Client.prefer(textAt(valueOf(First), "leader_url")))
-    return First;
-  auto FromLeader = fetch(Client, "/v1/status");
-  return succeeded(FromLeader) ? FromLeader : First;
+  auto AnyHostStatus = fetch(Client, "/v1/status");
+  if (!succeeded(AnyHostStatus) || flagAt(valueOf(AnyHostStatus), "serving").value_or(false))
+    return AnyHostStatus;
+  // Followers report only their own state. Only the leader knows the entries and the revision in
+  // force.
+  if (!Client.preferHost(textAt(valueOf(AnyHostStatus), "leader_url")))
+    return AnyHostStatus;
+  auto LeaderStatus = fetch(Client, "/v1/status");
+  return succeeded(LeaderStatus) ? LeaderStatus : AnyHostStatus;
 }
 
 result<accepted_declaration, verb_failure> fetchDeclaration(control_client &Client) {
@@ -166,13 +168,13 @@
     return errorOf(Body);
   const auto Revision = numberAt(valueOf(Body), "revision");
   if (!Revision)
-    return badAnswer("the revision");
+    return incompleteResponse("the revision");
   auto Parsed =
       parseDeclaration(textAt(valueOf(Body), "text"), "revision-" + std::to_string(*Revision));
   if (!succeeded(Parsed))
     return verb_failure{ctl_exit::Refused,
-                        "the declaration in force is not understood; is this tool older than the "
-                        "control hosts?\n" +
+                        "cannot parse the declaration in force; this tool may be older than the "
+                        "control hosts:\n" +
                             toText(errorOf(Parsed)),
                         toJson(errorOf(Parsed))};
   return accepted_declaration{revision(*Revision), valueOf(std::move(Parsed))};
@@ -185,7 +187,8 @@
     return unknownOutcome(errorOf(Result), Body);
   if (!succeeded(Result))
     return verb_failure{ctl_exit::NotReachable,
-                        "not accepted, no control host took it: " + errorOf(Result).Message,
+                        "not accepted; no control host processed the change: " +
+                            errorOf(Result).Message,
                         {}};
   if (valueOf(Result).Status != StatusOk)
     return failureOf(valueOf(Result));
--- a/programs/pollenstallctl/verb_drain.cpp
+++ b/programs/pollenstallctl/verb_drain.cpp
@@ -1,4 +1,4 @@
-/** @file verb_drain.cpp drain BACKEND_ADDRESS: no new work there, or again with --undo. */
+/** @file verb_drain.cpp drain IP:PORT: stops new work on a backend server; --undo resumes it. */
 #include "json_text_func.h"
 #include "verb_common_func.h"
 #include "verb_func.h"
@@ -15,13 +15,13 @@
   if (!succeeded(Client))
     return errorOf(Client);
   const std::string Id = announceChangeId(Options, std::nullopt);
-  const auto Answer = sendChange(
+  const auto Response = sendChange(
       valueOf(Client), "/v1/drains",
       boost::json::object{{"backend", Backend}, {"undo", Options.Undo}, {"change_id", Id}});
-  if (!succeeded(Answer))
-    return errorOf(Answer);
-  const std::string What = Options.Undo ? " takes new work again\n" : " takes no new work\n";
-  return verb_output{"accepted: " + Backend + What, valueOf(Answer)};
+  if (!succeeded(Response))
+    return errorOf(Response);
+  const std::string Effect = Options.Undo ? " takes new work again\n" : " takes no new work\n";
+  return verb_output{"accepted: " + Backend + Effect, valueOf(Response)};
 }
 
 } // namespace pollenstall
--- a/programs/pollenstallctl/verb_dump.cpp
+++ b/programs/pollenstallctl/verb_dump.cpp
@@ -1,4 +1,4 @@
-/** @file verb_dump.cpp dump --target URL: the state of one process. */
+/** @file verb_dump.cpp dump --target URL: prints the state of one process. */
 #include "json_text_func.h"
 #include "verb_common_func.h"
 #include "verb_func.h"
@@ -15,20 +15,20 @@
   const auto Key = readKey(Options);
   if (!succeeded(Key))
     return errorOf(Key);
-  const auto Answer = exchange(*Url, {"GET", "/dump", "", valueOf(Key)}, Options.Timeout);
-  if (!succeeded(Answer))
-    return verb_failure{ctl_exit::NotReachable, errorOf(Answer).Message, {}};
-  boost::system::error_code NotJson;
-  const auto Body = boost::json::parse(valueOf(Answer).Body, NotJson);
+  const auto Response = sendRequest(*Url, {"GET", "/dump", "", valueOf(Key)}, Options.Timeout);
+  if (!succeeded(Response))
+    return verb_failure{ctl_exit::NotReachable, errorOf(Response).Message, {}};
+  boost::system::error_code ParseError;
+  const auto Body = boost::json::parse(valueOf(Response).Body, ParseError);
   constexpr unsigned int StatusOk = 200;
-  if (valueOf(Answer).Status != StatusOk)
+  if (valueOf(Response).Status != StatusOk)
     return verb_failure{ctl_exit::Refused,
-                        "refused with status " + std::to_string(valueOf(Answer).Status) + ": " +
-                            errorMessage(NotJson ? boost::json::value() : Body),
+                        "refused with status " + std::to_string(valueOf(Response).Status) + ": " +
+                            errorMessage(ParseError ? boost::json::value() : Body),
                         {}};
-  if (NotJson)
+  if (ParseError)
     return verb_failure{ctl_exit::Refused, "the dump is not JSON", {}};
-  return verb_output{readableText(Body), Body};
+  return verb_output{toReadableText(Body), Body};
 }
 
 } // namespace pollenstall
--- a/programs/pollenstallctl/verb_explain.cpp
+++ b/programs/pollenstallctl/verb_explain.cpp
@@ -1,4 +1,4 @@
-/** @file verb_explain.cpp explain: which selector a request would match, and why no earlier one. */
+/** @file verb_explain.cpp explain: which selector a request matches, and why no earlier one. */
 #include "verb_common_func.h"
 #include "verb_func.h"
 
@@ -12,15 +12,15 @@
 
 namespace {
 
-constexpr std::uint64_t PercentOfWhole = 100;
+constexpr std::uint64_t HundredPercent = 100;
 
-/// The declaration to explain by and where it comes from.
+/// The declaration that a request is matched against, and its source.
 struct explained_declaration {
   fleet_declaration Fleet;
   std::string Source;
 };
 
-result<explained_declaration, verb_failure> obtain(const ctl_options &Options) {
+result<explained_declaration, verb_failure> loadDeclaration(const ctl_options &Options) {
   if (!Options.File.empty()) {
     auto Read = readDeclaration(Options.File);
     if (!succeeded(Read))
@@ -37,8 +37,9 @@
                                "revision " + std::to_string(valueOf(Accepted).Revision.value())};
 }
 
-/// Why the request would be refused before any selector is tested, if it would.
-std::optional<std::string> refusalOf(const declaration_index &Index, const selector_input &Input) {
+/// Returns why the request would be refused before selectors are tested, or nothing.
+std::optional<std::string> findRefusal(const declaration_index &Index,
+                                       const selector_input &Input) {
   if (!Index.findAccountByName(Input.Account))
     return "account " + Input.Account.str() + " is not declared";
   const service_declaration *Service = Index.findService(Input.Service);
@@ -65,7 +66,7 @@
     Text += "  group " + Share.Group.str() + ": ";
     Text += Share.Weight == 0
                 ? "only when no other group has a server\n"
-                : std::to_string(Share.Weight * PercentOfWhole / totalWeight(Groups)) + " %\n";
+                : std::to_string(Share.Weight * HundredPercent / totalWeight(Groups)) + " %\n";
   }
   return Text;
 }
@@ -77,13 +78,13 @@
   return List;
 }
 
-verb_output outputOf(const explained_declaration &By, const selector_input &Input) {
-  const selection Selection = select(By.Fleet, Input);
-  std::string Text = "by " + By.Source + ", service " + Input.Service.str() + ":\n";
+verb_output makeOutput(const explained_declaration &Declaration, const selector_input &Input) {
+  const selection Selection = select(Declaration.Fleet, Input);
+  std::string Text = "using " + Declaration.Source + ", service " + Input.Service.str() + ":\n";
   boost::json::array Misses;
   for (const selector_miss &Miss : Selection.Misses) {
     const auto Selector =
-        std::find_if(By.Fleet.Selectors.begin(), By.Fleet.Selectors.end(),
+        std::find_if(Declaration.Fleet.Selectors.begin(), Declaration.Fleet.Selectors.end(),
                      [&](const selector_declaration &S) { return S.Name == Miss.Selector; });
     const std::string Reason = explainMiss(Miss, *Selector, Input);
     Text += "  selector " + Miss.Selector.str() + " does not match: " + Reason + "\n";
@@ -91,7 +92,7 @@
   }
   Text += "  selector " + Selection.Selector.str() + " matches\ngoes to\n" +
           groupText(Selection.Groups);
-  return {std::move(Text), boost::json::object{{"source", By.Source},
+  return {std::move(Text), boost::json::object{{"source", Declaration.Source},
                                                {"service", Input.Service.str()},
                                                {"selector", Selection.Selector.str()},
                                                {"groups", groupJson(Selection.Groups)},
@@ -105,17 +106,17 @@
       (Options.Request.Service.empty() && Options.Request.Model.empty()))
     return verb_failure{
         ctl_exit::BadUsage, "explain needs --account and one of --service and --model", {}};
-  auto Obtained = obtain(Options);
-  if (!succeeded(Obtained))
-    return errorOf(Obtained);
-  const declaration_index Index(valueOf(Obtained).Fleet);
+  auto Loaded = loadDeclaration(Options);
+  if (!succeeded(Loaded))
+    return errorOf(Loaded);
+  const declaration_index Index(valueOf(Loaded).Fleet);
   selector_input Input = Options.Request;
   if (Input.Service.empty())
     if (const service_declaration *Service = Index.findModel(Input.Model.str()))
       Input.Service = Service->Name;
-  if (const auto Refusal = refusalOf(Index, Input))
+  if (const auto Refusal = findRefusal(Index, Input))
     return verb_failure{ctl_exit::Refused, "the request would be refused: " + *Refusal, {}};
-  return outputOf(valueOf(Obtained), Input);
+  return makeOutput(valueOf(Loaded), Input);
 }
 
 } // namespace pollenstall
--- a/programs/pollenstallctl/verb_history.cpp
+++ b/programs/pollenstallctl/verb_history.cpp
@@ -1,4 +1,4 @@
-/** @file verb_history.cpp history: the accepted changes, newest last. */
+/** @file verb_history.cpp history: lists the accepted changes, newest last. */
 #include "json_text_func.h"
 #include "verb_common_func.h"
 #include "verb_func.h"
@@ -16,13 +16,13 @@
 constexpr std::uint64_t MillisecondsPerSecond = 1'000;
 constexpr std::size_t TimeTextSize = 32;
 
-/// @return "2026-12-02 17:43:35Z".
+/// Returns the UTC time, such as "2026-12-02 17:43:35Z".
 std::string timeText(std::uint64_t UnixMs) {
   const auto Seconds = static_cast<std::time_t>(UnixMs / MillisecondsPerSecond);
-  std::tm Parts{};
-  gmtime_r(&Seconds, &Parts);
+  std::tm UtcTime{};
+  gmtime_r(&Seconds, &UtcTime);
   std::array<char, TimeTextSize> Text{};
-  const std::size_t Length = std::strftime(Text.data(), Text.size(), "%F %TZ", &Parts);
+  const std::size_t Length = std::strftime(Text.data(), Text.size(), "%F %TZ", &UtcTime);
   return {Text.data(), Length};
 }
 
@@ -46,9 +46,10 @@
   const auto Body = fetch(valueOf(Client), "/v1/history");
   if (!succeeded(Body))
     return errorOf(Body);
-  const auto *Changes = memberOf(valueOf(Body), "changes");
-  const bool Any = Changes && Changes->is_array() && !Changes->get_array().empty();
-  return verb_output{Any ? tableText(readableRows(Changes->get_array())) : "no change so far\n",
+  const auto *Changes = findMember(valueOf(Body), "changes");
+  const bool HasChanges = Changes && Changes->is_array() && !Changes->get_array().empty();
+  return verb_output{HasChanges ? tableText(readableRows(Changes->get_array()))
+                                : "no accepted changes\n",
                      valueOf(Body)};
 }
 
--- a/programs/pollenstallctl/verb_member.cpp
+++ b/programs/pollenstallctl/verb_member.cpp
@@ -1,4 +1,4 @@
-/** @file verb_member.cpp member admit|remove NUMBER: changes which control hosts keep the log. */
+/** @file verb_member.cpp member admit|remove NUMBER: changes the members of the log. */
 #include "core/core.h"
 #include "json_text_func.h"
 #include "verb_common_func.h"
@@ -17,13 +17,13 @@
   auto Client = makeClient(Options);
   if (!succeeded(Client))
     return errorOf(Client);
-  const auto Answer = sendChange(valueOf(Client), "/v1/members",
-                                 boost::json::object{{"action", Action}, {"member", *Member}});
-  if (!succeeded(Answer))
-    return errorOf(Answer);
+  const auto Response = sendChange(valueOf(Client), "/v1/members",
+                                   boost::json::object{{"action", Action}, {"member", *Member}});
+  if (!succeeded(Response))
+    return errorOf(Response);
   return verb_output{"accepted: " + Action + " " + std::to_string(*Member) +
-                         "; status tells when it has caught up\n",
-                     valueOf(Answer)};
+                         "; status reports when it has caught up\n",
+                     valueOf(Response)};
 }
 
 } // namespace pollenstall
--- a/programs/pollenstallctl/verb_plan.cpp
+++ b/programs/pollenstallctl/verb_plan.cpp
@@ -1,4 +1,4 @@
-/** @file verb_plan.cpp plan FILE: what applying the file would change. */
+/** @file verb_plan.cpp plan FILE: shows what applying the file would change. */
 #include "verb_common_func.h"
 #include "verb_func.h"
 
--- a/programs/pollenstallctl/verb_status.cpp
+++ b/programs/pollenstallctl/verb_status.cpp
@@ -1,5 +1,4 @@
-/** @file verb_status.cpp status: leader, members, entries and backend servers as control sees them.
- */
+/** @file verb_status.cpp status: prints the state of the fleet as control sees it. */
 #include "json_text_func.h"
 #include "verb_common_func.h"
 #include "verb_func.h"
@@ -13,7 +12,7 @@
   const auto Body = fetchStatus(valueOf(Client));
   if (!succeeded(Body))
     return errorOf(Body);
-  return verb_output{readableText(valueOf(Body)), valueOf(Body)};
+  return verb_output{toReadableText(valueOf(Body)), valueOf(Body)};
 }
 
 } // namespace pollenstall
--- a/programs/pollenstallctl/verb_validate.cpp
+++ b/programs/pollenstallctl/verb_validate.cpp
@@ -1,4 +1,5 @@
-/** @file verb_validate.cpp validate FILE: checks a declaration without asking anyone. */
+/** @file verb_validate.cpp validate FILE: validates a declaration without contacting a control
+ * host. */
 #include "verb_common_func.h"
 #include "verb_func.h"
 
--- a/src/fleet_model/engine_model.cpp
+++ b/src/fleet_model/engine_model.cpp
@@ -1,4 +1,4 @@
-/** @file engine_model.cpp Passes of one engine. */
+/** @file engine_model.cpp The passes of a simulated engine. */
 #include "fleet_model/engine_model_base.h"
 
 #include <algorithm>
@@ -9,180 +9,191 @@
 
 constexpr double Thousand = 1e3;
 constexpr double Million = 1e6;
-/// Less than this is read: sums of parts of a prompt miss its length by rounding.
-constexpr double ReadOver = 0.5;
-
-template <typename List, typename Entry> void insertByUrgency(List &Into, const Entry &New) {
-  const auto Place = std::find_if(Into.begin(), Into.end(), [&New](const auto &Other) {
-    return Other.Job.Urgency > New.Job.Urgency;
+/// Fewer remaining tokens count as prefilled: the parts of a prompt add up to its length only up to
+/// rounding errors.
+constexpr double PrefillTolerance = 0.5;
+
+template <typename JobList, typename JobType>
+void insertByUrgency(JobList &Jobs, const JobType &Added) {
+  const auto Position = std::find_if(Jobs.begin(), Jobs.end(), [&Added](const auto &Existing) {
+    return Existing.Job.Urgency > Added.Job.Urgency;
   });
-  Into.insert(Place, New);
+  Jobs.insert(Position, Added);
 }
 
 } // namespace
 
-void engine_model::take(const engine_job &Job) {
-  active_job Entry;
-  Entry.Job = Job;
-  Entry.ToRead = Job.Prompt / static_cast<double>(Job.Readers);
-  Entry.PartsOpen = Job.Readers - 1;
-  insertByUrgency(Waiting, Entry);
+void engine_model::addJob(const engine_job &Job) {
+  active_job Active;
+  Active.Job = Job;
+  Active.RemainingPrefill = Job.Prompt / static_cast<double>(Job.PrefillEngines);
+  Active.PendingParts = Job.PrefillEngines - 1;
+  insertByUrgency(Waiting, Active);
 }
 
-void engine_model::takePart(std::size_t Number, double Tokens, double Prompt) {
-  // A part has its share of the pairs of the whole prompt: on average half of it lies before.
+void engine_model::addRemotePart(std::size_t JobId, double Tokens, double Prompt) {
+  // Token pairs of attention are divided evenly among the parts: on average, half of the prompt
+  // precedes a token.
   const double PerToken =
       Thousand / Figures.ReadPerSecond + Prompt / 2.0 / Million * Figures.PairsMs;
-  Parts.push_back({Number, Tokens, 0, PerToken});
+  RemoteParts.push_back({JobId, Tokens, 0, PerToken});
 }
 
-pass_outcome engine_model::partRead(std::size_t Number) {
+pass_outcome engine_model::completeRemotePart(std::size_t JobId) {
   pass_outcome Outcome;
-  for (auto *List : {&Running, &Waiting})
-    for (active_job &Entry : *List) {
-      if (Entry.Job.Number != Number || Entry.PartsOpen == 0)
+  for (auto *JobList : {&Running, &Waiting})
+    for (active_job &Active : *JobList) {
+      if (Active.Job.JobId != JobId || Active.PendingParts == 0)
         continue;
-      --Entry.PartsOpen;
-      // The first token follows the last part at once; each later event takes a pass.
-      if (Entry.writes())
-        writeEvent(Entry, Outcome);
+      --Active.PendingParts;
+      // The first event follows the last part at once. Each later event takes a pass.
+      if (Active.isDecoding())
+        emitEvent(Active, Outcome);
     }
-  dropEnded();
+  removeEnded();
   return Outcome;
 }
 
-void engine_model::writeEvent(active_job &Entry, pass_outcome &Outcome) {
-  ++Entry.Written;
-  Outcome.Events.push_back(Entry.Job.Number);
-  if (Entry.Written >= Entry.Job.Events)
-    Outcome.Ended.push_back(Entry.Job.Number);
+void engine_model::emitEvent(active_job &Active, pass_outcome &Outcome) {
+  ++Active.EmittedEvents;
+  Outcome.Events.push_back(Active.Job.JobId);
+  if (Active.EmittedEvents >= Active.Job.Events)
+    Outcome.EndedJobs.push_back(Active.Job.JobId);
 }
 
-void engine_model::dropEnded() {
-  std::erase_if(Running, [](const active_job &Entry) { return Entry.Written >= Entry.Job.Events; });
+void engine_model::removeEnded() {
+  std::erase_if(Running,
+                [](const active_job &Active) { return Active.EmittedEvents >= Active.Job.Events; });
 }
 
-void engine_model::cancel(std::size_t Number) {
-  const auto Is = [Number](const active_job &Entry) { return Entry.Job.Number == Number; };
-  std::erase_if(Running, Is);
-  std::erase_if(Waiting, Is);
-  std::erase_if(Parts, [Number](const foreign_part &Part) { return Part.Number == Number; });
-  std::erase_if(Held, [Number](const held_memory &Hold) { return Hold.Number == Number; });
+void engine_model::cancel(std::size_t JobId) {
+  const auto Matches = [JobId](const active_job &Active) { return Active.Job.JobId == JobId; };
+  std::erase_if(Running, Matches);
+  std::erase_if(Waiting, Matches);
+  std::erase_if(RemoteParts, [JobId](const remote_part &Part) { return Part.JobId == JobId; });
+  std::erase_if(Reservations, [JobId](const memory_reservation &Reservation) {
+    return Reservation.JobId == JobId;
+  });
 }
 
-std::vector<std::size_t> engine_model::lose() {
-  std::vector<std::size_t> Numbers;
-  for (const auto *List : {&Running, &Waiting})
-    for (const active_job &Entry : *List)
-      Numbers.push_back(Entry.Job.Number);
+std::vector<std::size_t> engine_model::reset() {
+  std::vector<std::size_t> JobIds;
+  for (const auto *JobList : {&Running, &Waiting})
+    for (const active_job &Active : *JobList)
+      JobIds.push_back(Active.Job.JobId);
   Running.clear();
   Waiting.clear();
-  Parts.clear();
-  Held.clear();
+  RemoteParts.clear();
+  Reservations.clear();
   InPass = false;
-  return Numbers;
+  return JobIds;
 }
 
 bool engine_model::canStart() const {
-  const bool Reads = std::any_of(Running.begin(), Running.end(), [](const active_job &Entry) {
-    return Entry.reads() || Entry.writes();
+  const bool AnyActive = std::any_of(Running.begin(), Running.end(), [](const active_job &Active) {
+    return Active.isPrefilling() || Active.isDecoding();
   });
-  return !InPass && (Reads || !Waiting.empty() || !Parts.empty());
+  return !InPass && (AnyActive || !Waiting.empty() || !RemoteParts.empty());
 }
 
-double engine_model::contextHere(const active_job &Entry) const {
-  return Entry.Job.Prompt - Entry.Job.HeldElsewhere + Entry.Written * EventTokens;
+double engine_model::localContext(const active_job &Active) const {
+  return Active.Job.Prompt - Active.Job.ReservedElsewhere + Active.EmittedEvents * EventTokens;
 }
 
 double engine_model::memoryUsed() const {
   double Used = 0;
-  for (const active_job &Entry : Running)
-    Used += contextHere(Entry);
-  for (const held_memory &Hold : Held)
-    Used += Hold.Tokens;
+  for (const active_job &Active : Running)
+    Used += localContext(Active);
+  for (const memory_reservation &Reservation : Reservations)
+    Used += Reservation.Tokens;
   return Used;
 }
 
 void engine_model::admit() {
   const auto Memory = static_cast<double>(Figures.Memory.value());
   while (!Waiting.empty() && Running.size() < Figures.Places) {
-    active_job &Entry = Waiting.front();
-    if (memoryUsed() + Entry.Job.Prompt - Entry.Job.HeldElsewhere + Entry.Job.Answer > Memory)
+    active_job &Active = Waiting.front();
+    if (memoryUsed() + Active.Job.Prompt - Active.Job.ReservedElsewhere + Active.Job.Answer >
+        Memory)
       return;
-    insertByUrgency(Running, Entry);
+    insertByUrgency(Running, Active);
     Waiting.pop_front();
   }
 }
 
-double engine_model::readCost(const active_job &Entry, double Tokens) const {
-  const double Own = Entry.Job.Prompt / static_cast<double>(Entry.Job.Readers);
-  // Alone, a token meets those before it; one of several readers has its share of all pairs.
-  const double Before =
-      Entry.Job.Readers > 1 ? Entry.Job.Prompt / 2.0 : Own - Entry.ToRead + Tokens / 2.0;
-  return Tokens / Figures.ReadPerSecond * Thousand + Tokens * Before / Million * Figures.PairsMs;
+double engine_model::prefillCostMs(const active_job &Active, double Tokens) const {
+  const double OwnPart = Active.Job.Prompt / static_cast<double>(Active.Job.PrefillEngines);
+  // A single engine pairs each token with those before it. Each of several engines processes an
+  // even share of all pairs.
+  const double PrecedingTokens = Active.Job.PrefillEngines > 1
+                                     ? Active.Job.Prompt / 2.0
+                                     : OwnPart - Active.RemainingPrefill + Tokens / 2.0;
+  return Tokens / Figures.ReadPerSecond * Thousand +
+         Tokens * PrecedingTokens / Million * Figures.PairsMs;
 }
 
-double engine_model::readParts(double &Budget) {
+double engine_model::prefillParts(double &Budget) {
   double Ms = 0;
-  for (foreign_part &Part : Parts) {
-    Part.ThisPass = std::min(Budget, Part.ToRead);
-    Budget -= Part.ThisPass;
-    Ms += Part.ThisPass * Part.MsPerToken;
+  for (remote_part &Part : RemoteParts) {
+    Part.PrefillThisPass = std::min(Budget, Part.RemainingPrefill);
+    Budget -= Part.PrefillThisPass;
+    Ms += Part.PrefillThisPass * Part.MsPerToken;
   }
   return Ms;
 }
 
-double engine_model::readJobs(double &Budget) {
+double engine_model::prefillJobs(double &Budget) {
   double Ms = 0;
-  for (active_job &Entry : Running) {
-    Entry.ThisPass = std::min(Budget, Entry.ToRead);
-    Budget -= Entry.ThisPass;
-    Ms += readCost(Entry, Entry.ThisPass);
+  for (active_job &Active : Running) {
+    Active.PrefillThisPass = std::min(Budget, Active.RemainingPrefill);
+    Budget -= Active.PrefillThisPass;
+    Ms += prefillCostMs(Active, Active.PrefillThisPass);
   }
   return Ms;
 }
 
-double engine_model::start() {
+double engine_model::startPass() {
   InPass = true;
   admit();
   double StepMs = Figures.StepMs;
-  bool Writes = false;
-  for (active_job &Entry : Running) {
-    Entry.WritesThisPass = Entry.writes();
-    if (!Entry.WritesThisPass)
+  bool AnyDecoding = false;
+  for (active_job &Active : Running) {
+    Active.DecodesThisPass = Active.isDecoding();
+    if (!Active.DecodesThisPass)
       continue;
-    Writes = true;
-    StepMs += Figures.PerSequenceMs + contextHere(Entry) / Thousand * Figures.PerContextMs;
+    AnyDecoding = true;
+    StepMs += Figures.PerSequenceMs + localContext(Active) / Thousand * Figures.PerContextMs;
   }
-  const double Steps = Writes ? static_cast<double>(Figures.StepsPerPass) : 1.0;
+  const double Steps = AnyDecoding ? static_cast<double>(Figures.StepsPerPass) : 1.0;
   double Budget = Steps * static_cast<double>(Figures.Chunk.value());
-  const double PrefillMs = readParts(Budget) + readJobs(Budget);
-  Spent.Read += PrefillMs;
-  Spent.Write += Writes ? Steps * StepMs : 0;
+  const double PrefillMs = prefillParts(Budget) + prefillJobs(Budget);
+  TimeSpent.Prefill += PrefillMs;
+  TimeSpent.Decode += AnyDecoding ? Steps * StepMs : 0;
   return Steps * StepMs + PrefillMs;
 }
 
-pass_outcome engine_model::finish() {
+pass_outcome engine_model::finishPass() {
   InPass = false;
   pass_outcome Outcome;
-  for (foreign_part &Part : Parts) {
-    Part.ToRead -= Part.ThisPass;
-    if (Part.ToRead < ReadOver)
-      Outcome.ReadParts.push_back(Part.Number);
+  for (remote_part &Part : RemoteParts) {
+    Part.RemainingPrefill -= Part.PrefillThisPass;
+    if (Part.RemainingPrefill < PrefillTolerance)
+      Outcome.PrefilledParts.push_back(Part.JobId);
   }
-  std::erase_if(Parts, [](const foreign_part &Part) { return Part.ToRead < ReadOver; });
-  for (active_job &Entry : Running) {
-    const bool Read = Entry.ThisPass > 0;
-    Entry.ToRead -= Entry.ThisPass;
-    Entry.ThisPass = 0;
-    if (Entry.ToRead < ReadOver)
-      Entry.ToRead = 0;
-    const bool First = Read && Entry.Written == 0 && Entry.writes();
-    if (First || Entry.WritesThisPass)
-      writeEvent(Entry, Outcome);
-    Entry.WritesThisPass = false;
+  std::erase_if(RemoteParts,
+                [](const remote_part &Part) { return Part.RemainingPrefill < PrefillTolerance; });
+  for (active_job &Active : Running) {
+    const bool Prefilled = Active.PrefillThisPass > 0;
+    Active.RemainingPrefill -= Active.PrefillThisPass;
+    Active.PrefillThisPass = 0;
+    if (Active.RemainingPrefill < PrefillTolerance)
+      Active.RemainingPrefill = 0;
+    const bool First = Prefilled && Active.EmittedEvents == 0 && Active.isDecoding();
+    if (First || Active.DecodesThisPass)
+      emitEvent(Active, Outcome);
+    Active.DecodesThisPass = false;
   }
-  dropEnded();
+  removeEnded();
   return Outcome;
 }
 
--- a/src/fleet_model/engine_model_base.h
+++ b/src/fleet_model/engine_model_base.h
@@ -1,4 +1,5 @@
-/** @file engine_model_base.h One engine by its declared figures: passes, reading, helpers. */
+/** @file engine_model_base.h Simulates an engine from its declared figures: passes, prefill and
+ * helpers. */
 #ifndef POLLENSTALL_FLEET_MODEL_ENGINE_MODEL_BASE_H
 #define POLLENSTALL_FLEET_MODEL_ENGINE_MODEL_BASE_H
 
@@ -11,102 +12,105 @@
 
 namespace pollenstall {
 
-/// A request as the engine that answers it sees it.
+/// A request on the engine that answers it.
 struct engine_job {
-  std::size_t Number{0}; ///< Unique in the run.
-  double Prompt{0};      ///< Tokens.
-  double Answer{0};      ///< Tokens that it is expected to write, for memory.
+  std::size_t JobId{0}; ///< Unique in the run.
+  double Prompt{0};     ///< Tokens.
+  double Answer{0};     ///< Expected answer tokens, for the memory check.
   std::uint32_t Events{1};
-  std::size_t Readers{1};   ///< Engines that read the prompt, this one included.
-  double HeldElsewhere{0};  ///< Tokens of it that helpers keep.
-  std::uint32_t Urgency{5}; ///< 0 goes first.
+  std::size_t PrefillEngines{1}; ///< Engines that prefill the prompt, including this one.
+  double ReservedElsewhere{0};   ///< Prompt tokens that helpers keep in their memory.
+  std::uint32_t Urgency{5};      ///< 0 is the most urgent.
 };
 
-/// How an engine has spent its time, in milliseconds.
+/// Time that an engine has spent, in milliseconds.
 struct engine_time {
-  double Read{0};  ///< Prompts, own ones and parts.
-  double Write{0}; ///< The rest of passes with writers.
+  double Prefill{0}; ///< Prefill of its own prompts and of remote parts.
+  double Decode{0};  ///< The rest of each pass that has decoding jobs.
 };
 
-/// What one pass brought.
+/// Results of a pass.
 struct pass_outcome {
-  std::vector<std::size_t> Events;    ///< Jobs that wrote an event.
-  std::vector<std::size_t> Ended;     ///< Of these, jobs whose last one it was.
-  std::vector<std::size_t> ReadParts; ///< Jobs of other engines whose part is read.
+  std::vector<std::size_t> Events;         ///< Jobs that emitted an event.
+  std::vector<std::size_t> EndedJobs;      ///< Jobs that emitted their last event.
+  std::vector<std::size_t> PrefilledParts; ///< Jobs of other engines whose part has been prefilled.
 };
 
 /**
- * Reading and writing in passes. A pass with writers has all steps of a pass, and each of them
- * writes one event; a pass without has one. In each step at most a chunk is read: parts for other
- * engines first, then prompts by urgency and age. Driven from outside: start() tells how long a
- * pass lasts, finish() what it brought.
+ * Simulates prefill and decoding in passes. A pass with decoding jobs has StepsPerPass steps, and
+ * each of those jobs emits one event; a pass without them has one step. Each step prefills at most
+ * one chunk: parts for other engines first, then prompts by urgency and age. The caller drives the
+ * passes: startPass() returns the duration of a pass and finishPass() its results.
  */
 class engine_model {
 public:
-  /// @param TokensPerEvent Written by a stream in one pass.
+  /// @param TokensPerEvent Tokens that a job emits per pass.
   engine_model(const engine_figures &Declared, double TokensPerEvent)
       : Figures(Declared), EventTokens(TokensPerEvent) {}
 
-  void take(const engine_job &Job);
-  /// Reads one part of another engine's prompt. @param Tokens Of the part. @param Prompt The whole.
-  void takePart(std::size_t Number, double Tokens, double Prompt);
-  /// One more part of the job's prompt is read at a helper. @return Its first event, where that was
-  /// the last part.
-  pass_outcome partRead(std::size_t Number);
-  /// Memory of this engine is set aside for a job of another one.
-  void hold(std::size_t Number, double Tokens) { Held.push_back({Number, Tokens}); }
-  /// Ends a job, a part or a hold, whichever it has.
-  void cancel(std::size_t Number);
-  /// @return Every job that it had; it holds nothing afterwards.
-  std::vector<std::size_t> lose();
+  /// Queues a job.
+  void addJob(const engine_job &Job);
+  /// Queues a part of another engine's prompt. @param Tokens Length of the part. @param Prompt
+  /// Length of the whole prompt.
+  void addRemotePart(std::size_t JobId, double Tokens, double Prompt);
+  /// Records that a helper has prefilled a part of the job's prompt. @return The job's first event
+  /// if this was the last part.
+  pass_outcome completeRemotePart(std::size_t JobId);
+  /// Reserves memory of this engine for another engine's job.
+  void reserveMemory(std::size_t JobId, double Tokens) { Reservations.push_back({JobId, Tokens}); }
+  /// Removes the job, remote part and memory reservation with this id, if any.
+  void cancel(std::size_t JobId);
+  /// Removes all jobs, parts and reservations, as in a failure. @return The ids of its own jobs.
+  std::vector<std::size_t> reset();
 
-  /// @return Whether there is anything to do and no pass is under way.
+  /// @return Whether there is work and no pass is running.
   [[nodiscard]] bool canStart() const;
-  /// Begins a pass. @return Its length in milliseconds.
-  double start();
-  pass_outcome finish();
-  [[nodiscard]] const engine_time &spent() const { return Spent; }
+  /// Starts a pass. @return Its duration in milliseconds.
+  double startPass();
+  /// Ends the running pass.
+  pass_outcome finishPass();
+  [[nodiscard]] const engine_time &timeSpent() const { return TimeSpent; }
 
 private:
   struct active_job {
     engine_job Job;
-    double ToRead{0};           ///< Tokens of its own part.
-    double ThisPass{0};         ///< Of these, in the pass that runs.
-    std::size_t PartsOpen{0};   ///< At helpers.
-    std::uint32_t Written{0};   ///< Events.
-    bool WritesThisPass{false}; ///< Takes part in the pass as a writer.
+    double RemainingPrefill{0};     ///< Tokens of its own part that are not prefilled yet.
+    double PrefillThisPass{0};      ///< Tokens prefilled in the running pass.
+    std::size_t PendingParts{0};    ///< Parts that helpers have not prefilled yet.
+    std::uint32_t EmittedEvents{0}; ///< Number of events.
+    bool DecodesThisPass{false};    ///< Whether it emits an event in the running pass.
 
-    [[nodiscard]] bool reads() const { return ToRead > 0; }
-    [[nodiscard]] bool writes() const { return ToRead <= 0 && PartsOpen == 0; }
+    [[nodiscard]] bool isPrefilling() const { return RemainingPrefill > 0; }
+    [[nodiscard]] bool isDecoding() const { return RemainingPrefill <= 0 && PendingParts == 0; }
   };
-  struct foreign_part {
-    std::size_t Number{0};
-    double ToRead{0};
-    double ThisPass{0};
+  struct remote_part {
+    std::size_t JobId{0};
+    double RemainingPrefill{0};
+    double PrefillThisPass{0};
     double MsPerToken{0};
   };
-  struct held_memory {
-    std::size_t Number{0};
+  struct memory_reservation {
+    std::size_t JobId{0};
     double Tokens{0};
   };
 
   void admit();
-  static void writeEvent(active_job &Entry, pass_outcome &Outcome);
-  void dropEnded();
+  static void emitEvent(active_job &Active, pass_outcome &Outcome);
+  void removeEnded();
   [[nodiscard]] double memoryUsed() const;
-  [[nodiscard]] double contextHere(const active_job &Entry) const;
-  [[nodiscard]] double readCost(const active_job &Entry, double Tokens) const;
-  double readParts(double &Budget);
-  double readJobs(double &Budget);
+  [[nodiscard]] double localContext(const active_job &Active) const;
+  [[nodiscard]] double prefillCostMs(const active_job &Active, double Tokens) const;
+  double prefillParts(double &Budget);
+  double prefillJobs(double &Budget);
 
   engine_figures Figures;
   double EventTokens;
   bool InPass{false};
-  std::list<active_job> Running; ///< By urgency and age.
-  std::list<active_job> Waiting; ///< The same.
-  std::list<foreign_part> Parts; ///< In the order in which they came.
-  std::vector<held_memory> Held;
-  engine_time Spent;
+  std::list<active_job> Running;      ///< Ordered by urgency and age.
+  std::list<active_job> Waiting;      ///< Ordered by urgency and age.
+  std::list<remote_part> RemoteParts; ///< In order of arrival.
+  std::vector<memory_reservation> Reservations;
+  engine_time TimeSpent;
 };
 
 } // namespace pollenstall
--- a/src/fleet_model/entry_policy.cpp
+++ b/src/fleet_model/entry_policy.cpp
@@ -1,4 +1,4 @@
-/** @file entry_policy.cpp The placer and two plain balancers behind the same hooks. */
+/** @file entry_policy.cpp Adapters of the placer and of two baseline balancers to model_policy. */
 #include "fleet_model/entry_policy_func.h"
 
 #include <algorithm>
@@ -46,19 +46,19 @@
     else
       Placer->updateBackend(Listing);
   };
-  Policy.Started = [Placer](const attempt_id &Attempt, const work_item &Item,
-                            const backend_key &Backend,
-                            mono_time Now) { Placer->attemptStarted(Attempt, Item, Backend, Now); };
-  Policy.Answering = [Placer](const attempt_id &Attempt, mono_time Now) {
-    Placer->attemptAnswering(Attempt, Now);
+  Policy.AttemptStarted = [Placer](const attempt_id &Attempt, const work_item &Item,
+                                   const backend_key &Backend, mono_time Now) {
+    Placer->attemptStarted(Attempt, Item, Backend, Now);
   };
-  Policy.Ended = [Placer](const attempt_id &Attempt, const attempt_report &End, mono_time Now) {
-    Placer->attemptEnded(Attempt, End, Now);
+  Policy.AttemptAnswering = [Placer](const attempt_id &Attempt, mono_time Now) {
+    Placer->attemptAnswering(Attempt, Now);
   };
+  Policy.AttemptEnded = [Placer](const attempt_id &Attempt, const attempt_report &Report,
+                                 mono_time Now) { Placer->attemptEnded(Attempt, Report, Now); };
   Policy.OwnLoads = [Placer](mono_time Now) { return Placer->ownLoads(Now); };
-  Policy.TakeOthers = [Placer](const peer_work_update &Others, mono_time Now) {
-    Placer->updateExchange(Others.Facts);
-    Placer->updateOthersLoads(Others.ChangedLoads, Now);
+  Policy.UpdatePeers = [Placer](const peer_work_update &Update, mono_time Now) {
+    Placer->updateExchange(Update.Facts);
+    Placer->updateOthersLoads(Update.ChangedLoads, Now);
   };
   Policy.ClaimsMade = [Placer] { return Placer->claimsMade(); };
   return Policy;
@@ -66,10 +66,11 @@
 
 enum class balancer_kind : std::uint8_t { LeastOutstanding, PowerOfTwo };
 
-/// Sends each request at once to one engine, by the count of requests alone.
-class plain_balancer {
+/// Places each request at once, by the number of requests per engine only.
+class request_count_balancer {
 public:
-  plain_balancer(balancer_kind Given, std::uint64_t Seed) : Kind(Given), Random(Seed) {}
+  request_count_balancer(balancer_kind BalancerKind, std::uint64_t Seed)
+      : Kind(BalancerKind), Random(Seed) {}
 
   void update(const backend_listing &Listing) {
     if (Listing.State == listing_state::Gone)
@@ -85,39 +86,39 @@
         Outcome.Placements.push_back({Item.Request, *Chosen});
     return Outcome;
   }
-  void started(const attempt_id &Attempt, const backend_key &Backend) {
+  void recordStart(const attempt_id &Attempt, const backend_key &Backend) {
     Attempts[Attempt] = Backend;
     if (const auto Found = Counts.find(Backend); Found != Counts.end())
-      ++Found->second.Own;
+      ++Found->second.OwnRequests;
   }
-  void ended(const attempt_id &Attempt) {
+  void recordEnd(const attempt_id &Attempt) {
     const auto Found = Attempts.find(Attempt);
     if (Found == Attempts.end())
       return;
     if (const auto Count = Counts.find(Found->second); Count != Counts.end())
-      --Count->second.Own;
+      --Count->second.OwnRequests;
     Attempts.erase(Found);
   }
   [[nodiscard]] std::vector<work_load> loads() const {
     std::vector<work_load> Loads;
     for (const auto &[Key, Count] : Counts)
-      if (Count.Own > 0)
-        Loads.push_back({Key.Incarnation, Count.Own, 0, 0, 0, 0, 0});
+      if (Count.OwnRequests > 0)
+        Loads.push_back({Key.Incarnation, Count.OwnRequests, 0, 0, 0, 0, 0});
     return Loads;
   }
   void updateOthersLoads(const std::vector<work_load> &Loads) {
     for (auto &[Key, Count] : Counts)
       for (const work_load &Load : Loads)
         if (Load.Incarnation == Key.Incarnation)
-          Count.Others = Load.Requests;
+          Count.PeerRequests = Load.Requests;
   }
 
 private:
   struct request_count {
-    std::uint32_t Own{0};
-    std::uint32_t Others{0};
+    std::uint32_t OwnRequests{0};
+    std::uint32_t PeerRequests{0};
 
-    [[nodiscard]] std::uint32_t all() const { return Own + Others; }
+    [[nodiscard]] std::uint32_t total() const { return OwnRequests + PeerRequests; }
   };
 
   std::optional<backend_key> choose() {
@@ -127,20 +128,20 @@
       return std::next(Counts.begin(), static_cast<std::ptrdiff_t>(Random.below(Counts.size())));
     };
     if (Kind == balancer_kind::PowerOfTwo) {
-      const auto A = Draw();
-      const auto B = Draw();
-      return A->second.all() <= B->second.all() ? A->first : B->first;
+      const auto First = Draw();
+      const auto Second = Draw();
+      return First->second.total() <= Second->second.total() ? First->first : Second->first;
     }
-    std::vector<backend_key> Best;
-    std::uint32_t Least = std::numeric_limits<std::uint32_t>::max();
+    std::vector<backend_key> Candidates;
+    std::uint32_t MinRequests = std::numeric_limits<std::uint32_t>::max();
     for (const auto &[Key, Count] : Counts) {
-      if (Count.all() < Least)
-        Best.clear();
-      Least = std::min(Least, Count.all());
-      if (Count.all() == Least)
-        Best.push_back(Key);
+      if (Count.total() < MinRequests)
+        Candidates.clear();
+      MinRequests = std::min(MinRequests, Count.total());
+      if (Count.total() == MinRequests)
+        Candidates.push_back(Key);
     }
-    return Best[Random.below(Best.size())];
+    return Candidates[Random.below(Candidates.size())];
   }
 
   balancer_kind Kind;
@@ -150,9 +151,9 @@
   std::vector<work_item> Pending;
 };
 
-model_policy_maker balancerOf(balancer_kind Kind) {
+model_policy_maker makeBalancer(balancer_kind Kind) {
   return [Kind](const model_load &, std::size_t, std::uint64_t Seed) {
-    const auto Balancer = std::make_shared<plain_balancer>(Kind, Seed);
+    const auto Balancer = std::make_shared<request_count_balancer>(Kind, Seed);
     model_policy Policy;
     Policy.Submit = [Balancer](const work_item &Item, mono_time) {
       Balancer->submit(Item);
@@ -164,16 +165,16 @@
     Policy.UpdateBackend = [Balancer](const backend_listing &Listing) {
       Balancer->update(Listing);
     };
-    Policy.Started = [Balancer](const attempt_id &Attempt, const work_item &,
-                                const backend_key &Backend,
-                                mono_time) { Balancer->started(Attempt, Backend); };
-    Policy.Answering = [](const attempt_id &, mono_time) {};
-    Policy.Ended = [Balancer](const attempt_id &Attempt, const attempt_report &, mono_time) {
-      Balancer->ended(Attempt);
+    Policy.AttemptStarted = [Balancer](const attempt_id &Attempt, const work_item &,
+                                       const backend_key &Backend,
+                                       mono_time) { Balancer->recordStart(Attempt, Backend); };
+    Policy.AttemptAnswering = [](const attempt_id &, mono_time) {};
+    Policy.AttemptEnded = [Balancer](const attempt_id &Attempt, const attempt_report &, mono_time) {
+      Balancer->recordEnd(Attempt);
     };
     Policy.OwnLoads = [Balancer](mono_time) { return Balancer->loads(); };
-    Policy.TakeOthers = [Balancer](const peer_work_update &Others, mono_time) {
-      Balancer->updateOthersLoads(Others.ChangedLoads);
+    Policy.UpdatePeers = [Balancer](const peer_work_update &Update, mono_time) {
+      Balancer->updateOthersLoads(Update.ChangedLoads);
     };
     Policy.ClaimsMade = [] { return std::uint64_t{0}; };
     return Policy;
@@ -187,8 +188,8 @@
 named_model_policy placementPolicy() { return {"placement", makePlacement}; }
 
 std::vector<named_model_policy> baselineModelPolicies() {
-  return {{"least_outstanding", balancerOf(balancer_kind::LeastOutstanding)},
-          {"power_of_two", balancerOf(balancer_kind::PowerOfTwo)}};
+  return {{"least_outstanding", makeBalancer(balancer_kind::LeastOutstanding)},
+          {"power_of_two", makeBalancer(balancer_kind::PowerOfTwo)}};
 }
 
 } // namespace pollenstall
--- a/src/fleet_model/entry_policy_func.h
+++ b/src/fleet_model/entry_policy_func.h
@@ -1,4 +1,4 @@
-/** @file entry_policy_func.h The project's placement, and baselines to beat. */
+/** @file entry_policy_func.h The placement policy and the baseline policies. */
 #ifndef POLLENSTALL_FLEET_MODEL_ENTRY_POLICY_FUNC_H
 #define POLLENSTALL_FLEET_MODEL_ENTRY_POLICY_FUNC_H
 
@@ -8,13 +8,13 @@
 
 namespace pollenstall {
 
-/// @return The name of the one service that the model's engines serve.
+/// @return The name of the service of all simulated engines.
 service_name modelService();
 
-/// @return What the project's entries run.
+/// @return The placement of the real entries.
 named_model_policy placementPolicy();
 
-/// @return Least outstanding and power of two choices, by the count of all entries' requests.
+/// @return Least outstanding and power of two choices, by the request counts of all entries.
 std::vector<named_model_policy> baselineModelPolicies();
 
 } // namespace pollenstall
--- a/src/fleet_model/entry_policy_type.h
+++ b/src/fleet_model/entry_policy_type.h
@@ -1,4 +1,4 @@
-/** @file entry_policy_type.h The hooks by which a modelled entry asks where its work is to run. */
+/** @file entry_policy_type.h Interface of the placement policies of simulated entries. */
 #ifndef POLLENSTALL_FLEET_MODEL_ENTRY_POLICY_TYPE_H
 #define POLLENSTALL_FLEET_MODEL_ENTRY_POLICY_TYPE_H
 
@@ -14,7 +14,7 @@
 
 namespace pollenstall {
 
-/// One entry's policy; the calls are those of placer.
+/// An entry's policy. Its functions correspond to those of placer.
 struct model_policy {
   std::function<std::variant<done, work_refusal>(const work_item &, mono_time)> Submit;
   std::function<void(request_number)> Withdraw;
@@ -22,20 +22,21 @@
   std::function<std::optional<mono_time>()> NextWake;
   std::function<void(const backend_listing &)> UpdateBackend;
   std::function<void(const attempt_id &, const work_item &, const backend_key &, mono_time)>
-      Started;
-  std::function<void(const attempt_id &, mono_time)> Answering;
-  std::function<void(const attempt_id &, const attempt_report &, mono_time)> Ended;
+      AttemptStarted;
+  std::function<void(const attempt_id &, mono_time)> AttemptAnswering;
+  std::function<void(const attempt_id &, const attempt_report &, mono_time)> AttemptEnded;
   std::function<std::vector<work_load>(mono_time)> OwnLoads;
-  /// What all other entries have under way, where that changed, and how it is told.
-  std::function<void(const peer_work_update &, mono_time)> TakeOthers;
-  std::function<std::uint64_t()> ClaimsMade; ///< A new one is told to the others at once.
+  /// Updates the changed loads of other entries and the facts about the exchange of work reports.
+  std::function<void(const peer_work_update &, mono_time)> UpdatePeers;
+  /// Returns the number of claims made. If it changes, the entry publishes its loads at once.
+  std::function<std::uint64_t()> ClaimsMade;
 };
 
-/// Makes the policy of the entry with that number.
+/// Creates the policy of an entry, given its index.
 using model_policy_maker =
     std::function<model_policy(const model_load &, std::size_t Entry, std::uint64_t Seed)>;
 
-/// A policy by name.
+/// A named policy.
 struct named_model_policy {
   std::string Name;
   model_policy_maker Make;
--- a/src/fleet_model/fleet_model.h
+++ b/src/fleet_model/fleet_model.h
@@ -1,5 +1,4 @@
-/** @file fleet_model.h Public header of the fleet model: entries, engines and callers on a virtual
- * clock. */
+/** @file fleet_model.h Public header of fleet_model, a discrete-event simulation of a fleet. */
 #ifndef POLLENSTALL_FLEET_MODEL_FLEET_MODEL_H
 #define POLLENSTALL_FLEET_MODEL_FLEET_MODEL_H
 
--- a/src/fleet_model/fleet_run_callers.cpp
+++ b/src/fleet_model/fleet_run_callers.cpp
@@ -1,6 +1,4 @@
-/** @file fleet_run_callers.cpp Requests between their callers and entries, and entries that are
- * lost.
- */
+/** @file fleet_run_callers.cpp Requests between callers and entries, and outages of entries. */
 #include "fleet_model/entry_policy_func.h"
 #include "fleet_model/fleet_run_base.h"
 
@@ -11,199 +9,203 @@
 
 namespace {
 
-constexpr double Second = 1e3; // ms
-/// A caller that is told to come back waits for this part of its time at most.
-constexpr double WaitPart = 1.0 / 3.0;
-constexpr double ReturnAfterMs = 50;
-constexpr std::size_t MostAttempts = 2;
+constexpr double MsPerSecond = 1e3;
+/// A refused caller waits for at most this fraction of its remaining time before it retries.
+constexpr double MaxWaitFraction = 1.0 / 3.0;
+constexpr double MinRetryDelayMs = 50;
+constexpr std::size_t MaxAttempts = 2;
 
 std::string reportAddress(std::size_t Entry) { return "entry-" + std::to_string(Entry); }
 
 } // namespace
 
-void fleet_run::arrive(std::size_t Request) {
-  if (Requests[Request].Over)
+void fleet_run::handleArrival(std::size_t Request) {
+  if (Requests[Request].Finished)
     return;
-  if (Entries[Requests[Request].Entry].Lost)
-    Requests[Request].Entry = drawEntry();
+  if (Entries[Requests[Request].Entry].Down)
+    Requests[Request].Entry = pickEntry();
   const double PatienceMs = Load.Kinds[Requests[Request].Record.Kind].PatienceMs;
   if (PatienceMs > 0)
-    push(Ms + PatienceMs - Load.CallerDelayMs, event_kind::Leave, Request,
-         Requests[Request].Returned ? 1 : 0);
+    schedule(Ms + PatienceMs - Load.CallerDelayMs, event_kind::CallerDeparture, Request,
+             Requests[Request].Retried ? 1 : 0);
   submit(Request);
-  turn(Requests[Request].Entry);
+  pollEntry(Requests[Request].Entry);
 }
 
-work_item fleet_run::itemOf(std::size_t Request) const {
+work_item fleet_run::makeWorkItem(std::size_t Request) const {
   const request_state &State = Requests[Request];
   const request_kind &Kind = Load.Kinds[State.Record.Kind];
   const double Answer = State.Record.Events * Load.TokensPerEvent;
-  work_item Item;
-  Item.Request = request_number(Request + 1);
-  Item.Service = service_name(Kind.Name);
-  Item.Groups = {{group_name(modelService().str()), 1}};
-  Item.Prompt = tokens(std::llround(State.Record.Prompt));
-  Item.AnswerLimit = tokens(std::llround(Answer));
-  Item.Avoid = State.Avoid;
-  Item.Arrived = momentOf(State.Record.ArrivedMs + Load.CallerDelayMs);
-  Item.Deadline = momentOf(State.GivenUpMs - Load.CallerDelayMs);
-  Item.Urgency = Kind.Urgency;
-  Item.Target = std::chrono::milliseconds(std::llround(Kind.TargetMs));
-  Item.LongestGap = std::chrono::milliseconds(std::llround(Kind.GapMs));
-  Item.Resumed = State.EventsSeen > 0;
-  return Item;
+  work_item WorkItem;
+  WorkItem.Request = request_number(Request + 1);
+  WorkItem.Service = service_name(Kind.Name);
+  WorkItem.Groups = {{group_name(modelService().str()), 1}};
+  WorkItem.Prompt = tokens(std::llround(State.Record.Prompt));
+  WorkItem.AnswerLimit = tokens(std::llround(Answer));
+  WorkItem.Avoid = State.Avoid;
+  WorkItem.Arrived = toMonoTime(State.Record.ArrivedMs + Load.CallerDelayMs);
+  WorkItem.Deadline = toMonoTime(State.DeadlineMs - Load.CallerDelayMs);
+  WorkItem.Urgency = Kind.Urgency;
+  WorkItem.Target = std::chrono::milliseconds(std::llround(Kind.TargetMs));
+  WorkItem.LongestGap = std::chrono::milliseconds(std::llround(Kind.GapMs));
+  WorkItem.Resumed = State.DeliveredEvents > 0;
+  return WorkItem;
 }
 
 void fleet_run::submit(std::size_t Request) {
-  const auto Taken = Entries[Requests[Request].Entry].Policy.Submit(itemOf(Request), now());
-  if (!succeeded(Taken))
-    refuse(Request, errorOf(Taken));
+  const auto Submitted =
+      Entries[Requests[Request].Entry].Policy.Submit(makeWorkItem(Request), now());
+  if (!succeeded(Submitted))
+    handleRefusal(Request, errorOf(Submitted));
 }
 
-void fleet_run::refuse(std::size_t Request, const work_refusal &Refusal) {
+void fleet_run::handleRefusal(std::size_t Request, const work_refusal &Refusal) {
   request_state &State = Requests[Request];
   ++State.Record.Refusals;
-  const double Left = State.GivenUpMs - Ms;
-  const double Told =
-      Refusal.RetryAfter ? static_cast<double>(Refusal.RetryAfter->count()) * Second : 0;
-  if (State.Returned || State.EventsSeen > 0 || !Random.chance(Load.ReturnChance)) {
-    State.Over = true;
+  const double RemainingMs = State.DeadlineMs - Ms;
+  const double SuggestedWaitMs =
+      Refusal.RetryAfter ? static_cast<double>(Refusal.RetryAfter->count()) * MsPerSecond : 0;
+  if (State.Retried || State.DeliveredEvents > 0 || !Random.chance(Load.RetryProbability)) {
+    State.Finished = true;
     return;
   }
-  comeBack(Request, std::max(ReturnAfterMs, std::min(Told, Left * WaitPart)));
+  scheduleRetry(
+      Request, std::max(MinRetryDelayMs, std::min(SuggestedWaitMs, RemainingMs * MaxWaitFraction)));
 }
 
-std::size_t fleet_run::drawEntry() {
+std::size_t fleet_run::pickEntry() {
   while (true) {
     const std::size_t Drawn = Random.below(Load.Entries);
-    if (!Entries[Drawn].Lost)
+    if (!Entries[Drawn].Down)
       return Drawn;
   }
 }
 
-void fleet_run::comeBack(std::size_t Request, double WaitMs) {
+void fleet_run::scheduleRetry(std::size_t Request, double WaitMs) {
   request_state &State = Requests[Request];
-  State.Returned = true;
-  State.Entry = drawEntry();
-  push(Ms + WaitMs + 2 * Load.CallerDelayMs, event_kind::Arrive, Request);
+  State.Retried = true;
+  State.Entry = pickEntry();
+  schedule(Ms + WaitMs + 2 * Load.CallerDelayMs, event_kind::RequestArrival, Request);
 }
 
-void fleet_run::loseEntries(std::size_t Number) {
-  const entry_loss &Loss = Load.EntryLosses[Number];
-  for (std::size_t Taken = 0; Taken < Loss.Count; ++Taken) {
-    const std::size_t Entry = drawEntry();
-    Entries[Entry].Lost = true;
-    push(Ms + Loss.For * Second, event_kind::RegainEntry, Entry);
+void fleet_run::failEntries(std::size_t OutageIndex) {
+  const entry_outage &Outage = Load.EntryOutages[OutageIndex];
+  for (std::size_t Failures = 0; Failures < Outage.Count; ++Failures) {
+    const std::size_t Entry = pickEntry();
+    Entries[Entry].Down = true;
+    schedule(Ms + Outage.DurationSeconds * MsPerSecond, event_kind::EntryRestart, Entry);
   }
   for (std::size_t Entry = 0; Entry < Entries.size(); ++Entry)
-    if (Entries[Entry].Lost)
-      loseEntry(Entry);
+    if (Entries[Entry].Down)
+      disconnectCallers(Entry);
 }
 
-/// Its callers see their connections break and come back; its engines end what they ran for it.
-void fleet_run::loseEntry(std::size_t Entry) {
-  for (std::size_t Number = 0; Number < Requests.size(); ++Number) {
-    request_state &State = Requests[Number];
-    const bool Here = State.Entry == Entry && State.Record.ArrivedMs <= Ms && !State.Over;
-    if (!Here)
+/// Breaks the connections of the entry's callers, which retry, and ends its work on engines.
+void fleet_run::disconnectCallers(std::size_t Entry) {
+  for (std::size_t RequestIndex = 0; RequestIndex < Requests.size(); ++RequestIndex) {
+    request_state &State = Requests[RequestIndex];
+    const bool IsAffected = State.Entry == Entry && State.Record.ArrivedMs <= Ms && !State.Finished;
+    if (!IsAffected)
       continue;
     if (State.Attempt) {
-      Attempts[*State.Attempt].Over = true;
-      freeEngines(Attempts[*State.Attempt]);
+      Attempts[*State.Attempt].Finished = true;
+      releaseEngines(Attempts[*State.Attempt]);
       State.Attempt.reset();
     }
-    if (State.Returned)
-      State.Over = true;
+    if (State.Retried)
+      State.Finished = true;
     else
-      comeBack(Number, Load.CallerDelayMs);
+      scheduleRetry(RequestIndex, Load.CallerDelayMs);
   }
 }
 
-void fleet_run::addEntry(std::size_t Number) {
-  entry_state &Entry = Entries[Number];
+void fleet_run::startEntry(std::size_t EntryIndex) {
+  entry_state &Entry = Entries[EntryIndex];
   Entry = entry_state();
-  Entry.Policy = Policy.Make(Load, Number, combineHashes(Seed, Number + 2));
+  Entry.Policy = Policy.Make(Load, EntryIndex, combineHashes(Seed, EntryIndex + 2));
   for (const engine_state &Engine : Engines)
     Entry.Policy.UpdateBackend(Engine.Listing);
-  const host_name Host("entry-" + std::to_string(Number));
+  const host_name Host("entry-" + std::to_string(EntryIndex));
   const incarnation Incarnation(static_cast<std::uint64_t>(now().time_since_epoch().count()));
-  Entry.Board = std::make_unique<work_view>(process_key{Host, Incarnation}, reportAddress(Number));
-  EntryNumbers[reportAddress(Number)] = Number;
+  Entry.View =
+      std::make_unique<work_view>(process_key{Host, Incarnation}, reportAddress(EntryIndex));
+  EntryNumbers[reportAddress(EntryIndex)] = EntryIndex;
 }
 
-void fleet_run::introduceEntries() {
-  std::vector<work_entry> All;
-  for (std::size_t Number = 0; Number < Entries.size(); ++Number)
-    All.push_back({reportAddress(Number),
-                   failure_domain_name("domain-" + std::to_string(Number % Load.Domains))});
+void fleet_run::updateEntryLists() {
+  std::vector<work_entry> EntryList;
+  for (std::size_t EntryIndex = 0; EntryIndex < Entries.size(); ++EntryIndex)
+    EntryList.push_back(
+        {reportAddress(EntryIndex),
+         failure_domain_name("domain-" + std::to_string(EntryIndex % Load.FailureDomains))});
   for (entry_state &Entry : Entries)
-    Entry.Board->setEntries(All, now());
+    Entry.View->setEntries(EntryList, now());
 }
 
-void fleet_run::takeEvent(std::size_t Attempt) {
+void fleet_run::receiveEvent(std::size_t Attempt) {
   attempt_state &State = Attempts[Attempt];
   request_state &Request = Requests[State.Request];
-  if (State.Over || Request.Over)
+  if (State.Finished || Request.Finished)
     return;
   if (State.Events++ == 0)
-    Entries[State.Entry].Policy.Answering(State.Id, now());
-  const double SeenMs = Ms + Load.CallerDelayMs;
-  if (Request.EventsSeen++ == 0)
-    Request.Record.FirstEventMs = SeenMs - Request.Record.ArrivedMs;
+    Entries[State.Entry].Policy.AttemptAnswering(State.Id, now());
+  const double DeliveredMs = Ms + Load.CallerDelayMs;
+  if (Request.DeliveredEvents++ == 0)
+    Request.Record.FirstEventMs = DeliveredMs - Request.Record.ArrivedMs;
   else
     Request.Record.LongestGapMs =
-        std::max(Request.Record.LongestGapMs, SeenMs - Request.LastEventMs);
-  Request.LastEventMs = SeenMs;
+        std::max(Request.Record.LongestGapMs, DeliveredMs - Request.LastEventMs);
+  Request.LastEventMs = DeliveredMs;
   if (State.Events == 1)
-    turn(State.Entry);
+    pollEntry(State.Entry);
 }
 
 void fleet_run::endAttempt(std::size_t Attempt, std::optional<attempt_failure> Failure) {
   attempt_state &State = Attempts[Attempt];
-  if (State.Over)
+  if (State.Finished)
     return;
-  State.Over = true;
-  freeEngines(State);
+  State.Finished = true;
+  releaseEngines(State);
   attempt_report Report;
   Report.Completed = !Failure;
   Report.Failure = Failure;
-  Entries[State.Entry].Policy.Ended(State.Id, Report, now());
+  Entries[State.Entry].Policy.AttemptEnded(State.Id, Report, now());
   request_state &Request = Requests[State.Request];
   Request.Attempt.reset();
-  if (!Failure && !Request.Over) {
-    Request.Over = true;
+  if (!Failure && !Request.Finished) {
+    Request.Finished = true;
     Request.Record.EndedMs = Ms + Load.CallerDelayMs - Request.Record.ArrivedMs;
-  } else if (Failure && !Request.Over) {
+  } else if (Failure && !Request.Finished) {
     Request.Avoid.push_back(Engines[State.Engine].Listing.Key);
-    if (Request.Record.Attempts < MostAttempts)
+    if (Request.Record.Attempts < MaxAttempts)
       submit(State.Request);
     else
-      Request.Over = true;
+      Request.Finished = true;
   }
-  turn(State.Entry);
+  pollEntry(State.Entry);
 }
 
-/// A caller that has waited long enough for the first event of this try.
-void fleet_run::leave(std::size_t Request, bool Returned) {
+/// Handles a caller whose patience has expired before the first event of this try.
+void fleet_run::handleDeparture(std::size_t Request, bool Retried) {
   request_state &State = Requests[Request];
-  if (State.Over || State.EventsSeen > 0 || State.Returned != Returned)
+  if (State.Finished || State.DeliveredEvents > 0 || State.Retried != Retried)
     return;
-  State.Over = true; // What it had under way is not tried elsewhere.
-  drop(Request);
-  State.Over = Returned;
-  if (!Returned)
-    comeBack(Request, ReturnAfterMs);
+  State.Finished = true; // Prevents another attempt when the current one is cancelled.
+  cancelRequest(Request);
+  State.Finished = Retried;
+  if (!Retried)
+    scheduleRetry(Request, MinRetryDelayMs);
 }
 
-void fleet_run::giveUp(std::size_t Request) {
+void fleet_run::handleTimeout(std::size_t Request) {
   request_state &State = Requests[Request];
-  if (State.Over)
+  if (State.Finished)
     return;
-  State.Over = true;
-  drop(Request);
+  State.Finished = true;
+  cancelRequest(Request);
 }
 
-void fleet_run::drop(std::size_t Request) {
+void fleet_run::cancelRequest(std::size_t Request) {
   request_state &State = Requests[Request];
   Entries[State.Entry].Policy.Withdraw(request_number(Request + 1));
   if (State.Attempt)
--- a/src/fleet_model/fleet_run_engines.cpp
+++ b/src/fleet_model/fleet_run_engines.cpp
@@ -1,4 +1,4 @@
-/** @file fleet_run_engines.cpp Entries' turns, attempts, and the engines' passes. */
+/** @file fleet_run_engines.cpp Polls of entries, attempts, passes and outages of engines. */
 #include "fleet_model/entry_policy_func.h"
 #include "fleet_model/fleet_run_base.h"
 
@@ -8,86 +8,87 @@
 
 namespace {
 
-constexpr double Second = 1e3; // ms
-/// As in an entry: between two looks at its own work, and the longest sleep between two turns.
-constexpr double TellIntervalMs = 10;
-/// Least time between two looks at what is to be told.
-constexpr double ExchangeStepMs = 1;
-constexpr double LongestSleepMs = 100;
-/// An engine that is gone is seen to be so after that, by its broken connections.
-constexpr double BrokenAfterMs = 5;
-/// Urgency of engines' own scale, in the middle; what is declared is added.
-constexpr std::uint32_t MiddleUrgency = 4;
+constexpr double MsPerSecond = 1e3;
+/// Minimum interval between updates of own loads without a new claim, as in a real entry.
+constexpr double PublishIntervalMs = 10;
+/// Minimum interval between checks for due work reports.
+constexpr double MinExchangeIntervalMs = 1;
+/// Maximum interval between polls, as in a real entry.
+constexpr double MaxPollIntervalMs = 100;
+/// Time until an entry detects an engine failure through broken connections.
+constexpr double FailureDetectionMs = 5;
+/// The middle of the engines' urgency scale. The declared urgency is added to it.
+constexpr std::uint32_t BaseUrgency = 4;
 
 } // namespace
 
-void fleet_run::turn(std::size_t Number) {
-  entry_state &Entry = Entries[Number];
-  if (Entry.Lost)
+void fleet_run::pollEntry(std::size_t EntryIndex) {
+  entry_state &Entry = Entries[EntryIndex];
+  if (Entry.Down)
     return;
-  Entry.Policy.TakeOthers({Entry.Board->changedPeerLoads(now()), Entry.Board->facts()}, now());
+  Entry.Policy.UpdatePeers({Entry.View->changedPeerLoads(now()), Entry.View->facts()}, now());
   const poll_outcome Outcome = Entry.Policy.Poll(now());
   for (const work_expiry &Expiry : Outcome.Expiries)
-    refuse(static_cast<std::size_t>(Expiry.Request.value() - 1), Expiry.Refusal);
+    handleRefusal(static_cast<std::size_t>(Expiry.Request.value() - 1), Expiry.Refusal);
   for (const work_placement &Placement : Outcome.Placements)
-    startAttempt(Number, Placement);
-  tellLoads(Number);
-  wakeLater(Number);
+    startAttempt(EntryIndex, Placement);
+  publishLoads(EntryIndex);
+  scheduleNextPoll(EntryIndex);
 }
 
-void fleet_run::tellLoads(std::size_t Number) {
-  entry_state &Entry = Entries[Number];
-  const bool Claimed = Entry.Policy.ClaimsMade() != Entry.ToldClaims;
-  if (Ms - Entry.ToldAtMs < TellIntervalMs && !Claimed)
+void fleet_run::publishLoads(std::size_t EntryIndex) {
+  entry_state &Entry = Entries[EntryIndex];
+  const bool Claimed = Entry.Policy.ClaimsMade() != Entry.PublishedClaims;
+  if (Ms - Entry.PublishedAtMs < PublishIntervalMs && !Claimed)
     return;
-  Entry.ToldClaims = Entry.Policy.ClaimsMade();
-  Entry.ToldAtMs = Ms;
-  Entry.Board->setOwnLoads(Entry.Policy.OwnLoads(now()), Claimed, now());
-  exchange(Number);
+  Entry.PublishedClaims = Entry.Policy.ClaimsMade();
+  Entry.PublishedAtMs = Ms;
+  Entry.View->setOwnLoads(Entry.Policy.OwnLoads(now()), Claimed, now());
+  sendReports(EntryIndex);
 }
 
-void fleet_run::exchange(std::size_t Number) {
-  entry_state &Entry = Entries[Number];
-  if (Entry.Lost)
+void fleet_run::sendReports(std::size_t EntryIndex) {
+  entry_state &Entry = Entries[EntryIndex];
+  if (Entry.Down)
     return;
-  for (work_datagram &Datagram : Entry.Board->dueDatagrams(now())) {
+  for (work_datagram &Datagram : Entry.View->dueDatagrams(now())) {
     const auto Bytes = static_cast<double>(
         workReportSize(Load.Name, Datagram.Report.Sender.Host.str(), Datagram.Report.Loads.size()));
     ++Entry.Traffic.SentDatagrams;
     Entry.Traffic.SentBytes += Bytes;
     if (ReportRandom.chance(Load.ReportLoss))
       continue;
-    Reports[NextReport] = {Number, std::move(Datagram), Bytes};
-    push(Ms + Load.HostDelayMs + Load.ReportDelayMs, event_kind::Loads, NextReport++);
+    ReportsInTransit[NextReport] = {EntryIndex, std::move(Datagram), Bytes};
+    schedule(Ms + Load.HostDelayMs + Load.ReportDelayMs, event_kind::ReportArrival, NextReport++);
   }
-  const double At = std::max(millisOf(Entry.Board->nextWake(now())), Ms + ExchangeStepMs);
-  if (Entry.ExchangeAtMs > Ms && Entry.ExchangeAtMs <= At)
+  const double NextMs = std::max(toMs(Entry.View->nextWake(now())), Ms + MinExchangeIntervalMs);
+  if (Entry.NextExchangeMs > Ms && Entry.NextExchangeMs <= NextMs)
     return;
-  Entry.ExchangeAtMs = At;
-  push(At, event_kind::Exchange, Number);
+  Entry.NextExchangeMs = NextMs;
+  schedule(NextMs, event_kind::ReportsDue, EntryIndex);
 }
 
-void fleet_run::takeReport(std::size_t Report) {
-  const load_report Arrived = std::move(Reports.extract(Report).mapped());
-  const std::size_t To = EntryNumbers.at(Arrived.Datagram.To);
-  if (Entries[To].Lost)
+void fleet_run::receiveReport(std::size_t Report) {
+  const report_in_transit InTransit = std::move(ReportsInTransit.extract(Report).mapped());
+  const std::size_t Receiver = EntryNumbers.at(InTransit.Datagram.To);
+  if (Entries[Receiver].Down)
     return;
-  ++Entries[To].Traffic.TakenDatagrams;
-  Entries[To].Traffic.TakenBytes += Arrived.Bytes;
-  Entries[To].Board->receive(Arrived.Datagram.Report, "entry-" + std::to_string(Arrived.From),
-                             now());
-  exchange(To);
+  ++Entries[Receiver].Traffic.ReceivedDatagrams;
+  Entries[Receiver].Traffic.ReceivedBytes += InTransit.Bytes;
+  Entries[Receiver].View->receive(InTransit.Datagram.Report,
+                                  "entry-" + std::to_string(InTransit.Sender), now());
+  sendReports(Receiver);
 }
 
-void fleet_run::wakeLater(std::size_t Number) {
-  entry_state &Entry = Entries[Number];
-  double At = Ms + LongestSleepMs;
+void fleet_run::scheduleNextPoll(std::size_t EntryIndex) {
+  entry_state &Entry = Entries[EntryIndex];
+  double NextMs = Ms + MaxPollIntervalMs;
   if (const auto Wake = Entry.Policy.NextWake())
-    At = std::clamp(millisOf(*Wake), Ms + 1e-6, At);
-  if (Entry.TurnAtMs > Ms && Entry.TurnAtMs <= At)
+    NextMs = std::clamp(toMs(*Wake), Ms + 1e-6, NextMs);
+  if (Entry.NextPollMs > Ms && Entry.NextPollMs <= NextMs)
     return;
-  Entry.TurnAtMs = At;
-  push(At, event_kind::Turn, Number);
+  Entry.NextPollMs = NextMs;
+  schedule(NextMs, event_kind::EntryPoll, EntryIndex);
 }
 
 void fleet_run::startAttempt(std::size_t Entry, const work_placement &Placement) {
@@ -96,114 +97,114 @@
   attempt_state Attempt;
   Attempt.Request = Request;
   Attempt.Entry = Entry;
-  Attempt.Engine = engineOf(Placement.Backend);
+  Attempt.Engine = engineIndex(Placement.Backend);
   for (const backend_key &Helper : Placement.Helpers)
-    Attempt.Helpers.push_back(engineOf(Helper));
+    Attempt.Helpers.push_back(engineIndex(Helper));
   for (const memory_hold &Hold : Placement.Holds)
-    Attempt.Holds.emplace_back(engineOf(Hold.Backend), static_cast<double>(Hold.Amount.value()));
-  Attempt.EventsBefore = State.EventsSeen;
+    Attempt.Holds.emplace_back(engineIndex(Hold.Backend), static_cast<double>(Hold.Amount.value()));
+  Attempt.EarlierEvents = State.DeliveredEvents;
   ++State.Record.Attempts;
   Attempt.Id = {{host_name("entry-" + std::to_string(Entry)), incarnation(1)},
                 Placement.Request,
                 State.Record.Attempts};
-  Entries[Entry].Policy.Started(Attempt.Id, itemOf(Request), Placement.Backend, now());
+  Entries[Entry].Policy.AttemptStarted(Attempt.Id, makeWorkItem(Request), Placement.Backend, now());
   State.Attempt = Attempts.size();
   Attempts.push_back(std::move(Attempt));
-  push(Ms + Load.HostDelayMs, event_kind::Reach, Attempts.size() - 1);
+  schedule(Ms + Load.HostDelayMs, event_kind::AttemptArrival, Attempts.size() - 1);
 }
 
-void fleet_run::reach(std::size_t Number) {
-  const attempt_state Attempt = Attempts[Number];
-  if (Attempt.Over)
+void fleet_run::deliverAttempt(std::size_t AttemptIndex) {
+  const attempt_state Attempt = Attempts[AttemptIndex];
+  if (Attempt.Finished)
     return;
   const request_record &Record = Requests[Attempt.Request].Record;
-  const auto IsLost = [this](std::size_t Engine) { return Engines[Engine].Lost; };
-  if (IsLost(Attempt.Engine) || std::any_of(Attempt.Helpers.begin(), Attempt.Helpers.end(), IsLost))
-    return push(Ms + BrokenAfterMs, event_kind::Broken, Number);
+  const auto IsDown = [this](std::size_t Engine) { return Engines[Engine].Down; };
+  if (IsDown(Attempt.Engine) || std::any_of(Attempt.Helpers.begin(), Attempt.Helpers.end(), IsDown))
+    return schedule(Ms + FailureDetectionMs, event_kind::ConnectionBroken, AttemptIndex);
   engine_job Job;
-  Job.Number = Number;
-  // What was written before is read again with the prompt.
-  Job.Prompt = Record.Prompt + Attempt.EventsBefore * Load.TokensPerEvent;
-  Job.Events = std::max<std::uint32_t>(1, Record.Events - Attempt.EventsBefore);
+  Job.JobId = AttemptIndex;
+  // Events of earlier attempts are prefilled again with the prompt.
+  Job.Prompt = Record.Prompt + Attempt.EarlierEvents * Load.TokensPerEvent;
+  Job.Events = std::max<std::uint32_t>(1, Record.Events - Attempt.EarlierEvents);
   Job.Answer = Job.Events * Load.TokensPerEvent;
-  Job.Readers = Attempt.Helpers.size() + 1;
-  Job.Urgency = MiddleUrgency + Load.Kinds[Record.Kind].Urgency;
+  Job.PrefillEngines = Attempt.Helpers.size() + 1;
+  Job.Urgency = BaseUrgency + Load.Kinds[Record.Kind].Urgency;
   for (const auto &[Engine, Tokens] : Attempt.Holds) {
-    Job.HeldElsewhere += Tokens;
-    Engines[Engine].Model.hold(Number, Tokens);
+    Job.ReservedElsewhere += Tokens;
+    Engines[Engine].Model.reserveMemory(AttemptIndex, Tokens);
   }
-  Engines[Attempt.Engine].Model.take(Job);
+  Engines[Attempt.Engine].Model.addJob(Job);
   for (const std::size_t Helper : Attempt.Helpers) {
-    Engines[Helper].Model.takePart(Number, Job.Prompt / static_cast<double>(Job.Readers),
-                                   Job.Prompt);
-    runEngine(Helper);
+    Engines[Helper].Model.addRemotePart(
+        AttemptIndex, Job.Prompt / static_cast<double>(Job.PrefillEngines), Job.Prompt);
+    startEnginePass(Helper);
   }
-  runEngine(Attempt.Engine);
+  startEnginePass(Attempt.Engine);
 }
 
-void fleet_run::runEngine(std::size_t Number) {
-  engine_state &Engine = Engines[Number];
-  if (!Engine.Lost && Engine.Model.canStart())
-    push(Ms + Engine.Model.start(), event_kind::PassEnd, Number, Engine.Incarnation);
+void fleet_run::startEnginePass(std::size_t EngineIndex) {
+  engine_state &Engine = Engines[EngineIndex];
+  if (!Engine.Down && Engine.Model.canStart())
+    schedule(Ms + Engine.Model.startPass(), event_kind::PassEnd, EngineIndex, Engine.Incarnation);
 }
 
-void fleet_run::endPass(std::size_t Number) {
-  const pass_outcome Outcome = Engines[Number].Model.finish();
-  for (const std::size_t Attempt : Outcome.ReadParts)
-    push(Ms + Load.HostDelayMs, event_kind::PartRead, Attempt);
-  tell(Outcome);
-  runEngine(Number);
+void fleet_run::finishEnginePass(std::size_t EngineIndex) {
+  const pass_outcome Outcome = Engines[EngineIndex].Model.finishPass();
+  for (const std::size_t Attempt : Outcome.PrefilledParts)
+    schedule(Ms + Load.HostDelayMs, event_kind::PartPrefilled, Attempt);
+  scheduleEvents(Outcome);
+  startEnginePass(EngineIndex);
 }
 
-void fleet_run::tell(const pass_outcome &Outcome) {
+void fleet_run::scheduleEvents(const pass_outcome &Outcome) {
   for (const std::size_t Attempt : Outcome.Events)
-    push(Ms + Load.HostDelayMs, event_kind::Event, Attempt);
-  for (const std::size_t Attempt : Outcome.Ended)
-    push(Ms + Load.HostDelayMs, event_kind::Ended, Attempt);
+    schedule(Ms + Load.HostDelayMs, event_kind::Event, Attempt);
+  for (const std::size_t Attempt : Outcome.EndedJobs)
+    schedule(Ms + Load.HostDelayMs, event_kind::AttemptEnd, Attempt);
 }
 
-void fleet_run::freeEngines(const attempt_state &Attempt) {
-  const auto Number = static_cast<std::size_t>(&Attempt - Attempts.data());
-  Engines[Attempt.Engine].Model.cancel(Number);
+void fleet_run::releaseEngines(const attempt_state &Attempt) {
+  const auto AttemptIndex = static_cast<std::size_t>(&Attempt - Attempts.data());
+  Engines[Attempt.Engine].Model.cancel(AttemptIndex);
   for (const std::size_t Helper : Attempt.Helpers)
-    Engines[Helper].Model.cancel(Number);
+    Engines[Helper].Model.cancel(AttemptIndex);
 }
 
-void fleet_run::lose(std::size_t Number) {
-  const engine_loss &Loss = Load.Losses[Number];
-  const auto Count = static_cast<std::size_t>(Loss.Share * static_cast<double>(Engines.size()));
-  for (std::size_t Taken = 0; Taken < Count; ++Taken) {
-    const std::size_t Chosen = Random.below(Engines.size());
-    engine_state &Engine = Engines[Chosen];
-    if (Engine.Lost)
+void fleet_run::failEngines(std::size_t OutageIndex) {
+  const engine_outage &Outage = Load.EngineOutages[OutageIndex];
+  const auto Count = static_cast<std::size_t>(Outage.Share * static_cast<double>(Engines.size()));
+  for (std::size_t Failures = 0; Failures < Count; ++Failures) {
+    const std::size_t EngineIndex = Random.below(Engines.size());
+    engine_state &Engine = Engines[EngineIndex];
+    if (Engine.Down)
       continue;
-    Engine.Lost = true;
+    Engine.Down = true;
     ++Engine.Incarnation;
-    for (const std::size_t Attempt : Engine.Model.lose())
-      push(Ms + BrokenAfterMs, event_kind::Broken, Attempt);
+    for (const std::size_t Attempt : Engine.Model.reset())
+      schedule(Ms + FailureDetectionMs, event_kind::ConnectionBroken, Attempt);
     for (std::size_t Attempt = 0; Attempt < Attempts.size(); ++Attempt) {
       const std::vector<std::size_t> &Helpers = Attempts[Attempt].Helpers;
-      const bool Helped = std::find(Helpers.begin(), Helpers.end(), Chosen) != Helpers.end();
-      if (!Attempts[Attempt].Over && Attempts[Attempt].Events == 0 && Helped)
-        push(Ms + BrokenAfterMs, event_kind::Broken, Attempt);
+      const bool IsHelper = std::find(Helpers.begin(), Helpers.end(), EngineIndex) != Helpers.end();
+      if (!Attempts[Attempt].Finished && Attempts[Attempt].Events == 0 && IsHelper)
+        schedule(Ms + FailureDetectionMs, event_kind::ConnectionBroken, Attempt);
     }
-    push(Ms + Loss.For * Second, event_kind::Regain, Chosen);
+    schedule(Ms + Outage.DurationSeconds * MsPerSecond, event_kind::EngineRestart, EngineIndex);
   }
 }
 
-void fleet_run::regain(std::size_t Number) {
-  engine_state &Engine = Engines[Number];
-  Engine.Lost = false;
-  const backend_listing Before = Engine.Listing;
-  backend_listing Ended = Before;
-  Ended.State = listing_state::Gone;
-  const instance_name Name("engine-" + std::to_string(Number) + "-" +
+void fleet_run::restartEngine(std::size_t EngineIndex) {
+  engine_state &Engine = Engines[EngineIndex];
+  Engine.Down = false;
+  const backend_listing Previous = Engine.Listing;
+  backend_listing OldListing = Previous;
+  OldListing.State = listing_state::Gone;
+  const instance_name Name("engine-" + std::to_string(EngineIndex) + "-" +
                            std::to_string(Engine.Incarnation));
   Engine.Listing.Instance = Name;
-  Engine.Listing.Key = keyOf(Before.Key.Address, {Name, {}});
-  EngineNumbers[Engine.Listing.Key] = Number;
+  Engine.Listing.Key = keyOf(Previous.Key.Address, {Name, {}});
+  EngineNumbers[Engine.Listing.Key] = EngineIndex;
   for (entry_state &Entry : Entries) {
-    Entry.Policy.UpdateBackend(Ended);
+    Entry.Policy.UpdateBackend(OldListing);
     Entry.Policy.UpdateBackend(Engine.Listing);
   }
 }
--- a/src/fleet_model/model_load.cpp
+++ b/src/fleet_model/model_load.cpp
@@ -1,4 +1,4 @@
-/** @file model_load.cpp Maps the keys of a load file onto its types. */
+/** @file model_load.cpp Parses a load file into a model_load. */
 #include "fleet_model/model_load_func.h"
 
 #include <algorithm>
@@ -9,121 +9,123 @@
 
 using faults = std::vector<toml_fault>;
 
-constexpr toml_range<double> Positive{1e-6, 1e9};
-constexpr toml_range<double> Amount{0, 1e9};
-constexpr toml_range<double> Part{0, 1};
-constexpr toml_range<double> Spread{0, 3};
-constexpr toml_range<std::int64_t> Count{1, 4'096};
-constexpr toml_range<std::int64_t> Tokens{1, 1'000'000'000};
-constexpr toml_range<std::int64_t> Steps{1, 100'000};
-constexpr toml_range<std::int64_t> Urgencies{0, 9};
+constexpr toml_range<double> PositiveRange{1e-6, 1e9};
+constexpr toml_range<double> NonNegativeRange{0, 1e9};
+constexpr toml_range<double> FractionRange{0, 1};
+constexpr toml_range<double> SpreadRange{0, 3};
+constexpr toml_range<std::int64_t> CountRange{1, 4'096};
+constexpr toml_range<std::int64_t> TokenRange{1, 1'000'000'000};
+constexpr toml_range<std::int64_t> StepRange{1, 100'000};
+constexpr toml_range<std::int64_t> UrgencyRange{0, 9};
 
-toml_text_rule anyName() {
+toml_text_rule nameRule() {
   return {"a name", [](const std::string &Text) { return !Text.empty(); }};
 }
 
 engine_figures readEngine(toml_reader &Table) {
   engine_figures Figures;
-  Figures.Places = static_cast<std::uint32_t>(Table.whole("places", Count, Figures.Places));
-  Figures.Memory = tokens(Table.whole("memory_tokens", Tokens, 315'000));
+  Figures.Places = static_cast<std::uint32_t>(Table.whole("places", CountRange, Figures.Places));
+  Figures.Memory = tokens(Table.whole("memory_tokens", TokenRange, 315'000));
   Figures.StepsPerPass =
-      static_cast<std::uint32_t>(Table.whole("steps_per_pass", Steps, Figures.StepsPerPass));
-  Figures.StepMs = Table.number("step_ms", Positive, Figures.StepMs);
-  Figures.PerSequenceMs = Table.number("per_sequence_ms", Amount, Figures.PerSequenceMs);
-  Figures.PerContextMs = Table.number("per_context_ms", Amount, Figures.PerContextMs);
-  Figures.ReadPerSecond = Table.number("read_per_second", Positive, Figures.ReadPerSecond);
-  Figures.PairsMs = Table.number("pairs_ms", Amount, Figures.PairsMs);
-  Figures.Chunk = tokens(Table.whole("chunk_tokens", Tokens, Figures.Chunk.value()));
+      static_cast<std::uint32_t>(Table.whole("steps_per_pass", StepRange, Figures.StepsPerPass));
+  Figures.StepMs = Table.number("step_ms", PositiveRange, Figures.StepMs);
+  Figures.PerSequenceMs = Table.number("per_sequence_ms", NonNegativeRange, Figures.PerSequenceMs);
+  Figures.PerContextMs = Table.number("per_context_ms", NonNegativeRange, Figures.PerContextMs);
+  Figures.ReadPerSecond = Table.number("read_per_second", PositiveRange, Figures.ReadPerSecond);
+  Figures.PairsMs = Table.number("pairs_ms", NonNegativeRange, Figures.PairsMs);
+  Figures.Chunk = tokens(Table.whole("chunk_tokens", TokenRange, Figures.Chunk.value()));
   Table.finish("an engine");
   return Figures;
 }
 
 size_spread readSize(toml_reader &Table, const std::string &Name, double Mean) {
   size_spread Size;
-  Size.Mean = Table.number(Name, Positive, Mean);
-  Size.Spread = Table.number(Name + "_spread", Spread, 0);
-  Size.Most = Table.number(Name + "_most", Positive, Positive.Max);
+  Size.Mean = Table.number(Name, PositiveRange, Mean);
+  Size.Spread = Table.number(Name + "_spread", SpreadRange, 0);
+  Size.Limit = Table.number(Name + "_most", PositiveRange, PositiveRange.Max);
   return Size;
 }
 
 request_kind readKind(toml_reader &Table) {
   request_kind Kind;
-  Kind.Name = Table.text("name", toml_need::Required, anyName());
-  Kind.PerSecond = Table.number("per_second", Positive, Kind.PerSecond);
+  Kind.Name = Table.text("name", toml_need::Required, nameRule());
+  Kind.PerSecond = Table.number("per_second", PositiveRange, Kind.PerSecond);
   Kind.Prompt = readSize(Table, "prompt_tokens", 1'000);
   Kind.Events = readSize(Table, "answer_events", 1);
-  Kind.TargetMs = Table.number("target_ms", Positive, Kind.TargetMs);
-  Kind.GapMs = Table.number("gap_ms", Positive, Kind.GapMs);
-  Kind.TimeoutMs = Table.number("timeout_ms", Positive, Kind.TimeoutMs);
-  Kind.PatienceMs = Table.number("patience_ms", Amount, Kind.PatienceMs);
-  Kind.Urgency = static_cast<std::uint32_t>(Table.whole("urgency", Urgencies, Kind.Urgency));
-  Kind.Worth = Table.number("worth", Amount, Kind.Worth);
-  Kind.LateWorth = Table.number("late_worth", Amount, Kind.LateWorth);
+  Kind.TargetMs = Table.number("target_ms", PositiveRange, Kind.TargetMs);
+  Kind.GapMs = Table.number("gap_ms", PositiveRange, Kind.GapMs);
+  Kind.TimeoutMs = Table.number("timeout_ms", PositiveRange, Kind.TimeoutMs);
+  Kind.PatienceMs = Table.number("patience_ms", NonNegativeRange, Kind.PatienceMs);
+  Kind.Urgency = static_cast<std::uint32_t>(Table.whole("urgency", UrgencyRange, Kind.Urgency));
+  Kind.Worth = Table.number("worth", NonNegativeRange, Kind.Worth);
+  Kind.LateWorth = Table.number("late_worth", NonNegativeRange, Kind.LateWorth);
   Table.finish("a kind of request");
   return Kind;
 }
 
 load_phase readPhase(toml_reader &Table) {
   load_phase Phase;
-  Phase.Kind = Table.text("kind", toml_need::Optional, anyName());
-  Phase.From = Table.number("from_s", Amount, Phase.From);
-  Phase.Until = Table.number("until_s", Amount, Phase.Until);
-  Phase.Factor = Table.number("factor", Amount, Phase.Factor);
+  Phase.Kind = Table.text("kind", toml_need::Optional, nameRule());
+  Phase.From = Table.number("from_s", NonNegativeRange, Phase.From);
+  Phase.Until = Table.number("until_s", NonNegativeRange, Phase.Until);
+  Phase.Factor = Table.number("factor", NonNegativeRange, Phase.Factor);
   Table.finish("a phase");
   return Phase;
 }
 
-engine_loss readLoss(toml_reader &Table) {
-  engine_loss Loss;
-  Loss.At = Table.number("at_s", Amount, Loss.At);
-  Loss.For = Table.number("for_s", Amount, Loss.For);
-  Loss.Share = Table.number("share", Part, Loss.Share);
+engine_outage readEngineOutage(toml_reader &Table) {
+  engine_outage Outage;
+  Outage.StartSeconds = Table.number("at_s", NonNegativeRange, Outage.StartSeconds);
+  Outage.DurationSeconds = Table.number("for_s", NonNegativeRange, Outage.DurationSeconds);
+  Outage.Share = Table.number("share", FractionRange, Outage.Share);
   Table.finish("a loss of engines");
-  return Loss;
+  return Outage;
 }
 
-entry_loss readEntryLoss(toml_reader &Table) {
-  entry_loss Loss;
-  Loss.At = Table.number("at_s", Amount, Loss.At);
-  Loss.For = Table.number("for_s", Amount, Loss.For);
-  Loss.Count = static_cast<std::size_t>(Table.whole("count", Count, 1));
+entry_outage readEntryOutage(toml_reader &Table) {
+  entry_outage Outage;
+  Outage.StartSeconds = Table.number("at_s", NonNegativeRange, Outage.StartSeconds);
+  Outage.DurationSeconds = Table.number("for_s", NonNegativeRange, Outage.DurationSeconds);
+  Outage.Count = static_cast<std::size_t>(Table.whole("count", CountRange, 1));
   Table.finish("a loss of entries");
-  return Loss;
+  return Outage;
 }
 
-/// Trials of placement, without a build for each.
+/// Reads overrides of placement parameters, for trials without a rebuild.
 void readTuning(toml_reader &Table, placement_tuning &Tuning) {
-  Tuning.GapPart = Table.number("gap_part", Part, Tuning.GapPart);
-  Tuning.TargetPart = Table.number("target_part", Part, Tuning.TargetPart);
-  Tuning.MaxSinglePrefillMs = Table.number("whole_read_ms", Amount, Tuning.MaxSinglePrefillMs);
-  Tuning.MinPartMs = Table.number("part_ms", Positive, Tuning.MinPartMs);
-  Tuning.IdlePrefillMs = Table.number("idle_read_ms", Amount, Tuning.IdlePrefillMs);
-  Tuning.SlackPart = Table.number("slack_part", Part, Tuning.SlackPart);
-  Tuning.WaitPart = Table.number("wait_part", Part, Tuning.WaitPart);
-  Tuning.HeadroomPart = Table.number("room_part", Part, Tuning.HeadroomPart);
-  Tuning.LongPartMs = Table.number("long_part_ms", Amount, Tuning.LongPartMs);
+  Tuning.GapPart = Table.number("gap_part", FractionRange, Tuning.GapPart);
+  Tuning.TargetPart = Table.number("target_part", FractionRange, Tuning.TargetPart);
+  Tuning.MaxSinglePrefillMs =
+      Table.number("whole_read_ms", NonNegativeRange, Tuning.MaxSinglePrefillMs);
+  Tuning.MinPartMs = Table.number("part_ms", PositiveRange, Tuning.MinPartMs);
+  Tuning.IdlePrefillMs = Table.number("idle_read_ms", NonNegativeRange, Tuning.IdlePrefillMs);
+  Tuning.SlackPart = Table.number("slack_part", FractionRange, Tuning.SlackPart);
+  Tuning.WaitPart = Table.number("wait_part", FractionRange, Tuning.WaitPart);
+  Tuning.HeadroomPart = Table.number("room_part", FractionRange, Tuning.HeadroomPart);
+  Tuning.LongPartMs = Table.number("long_part_ms", NonNegativeRange, Tuning.LongPartMs);
   Tuning.MaxPrefillEngines =
-      static_cast<std::uint32_t>(Table.whole("most_readers", Count, Tuning.MaxPrefillEngines));
+      static_cast<std::uint32_t>(Table.whole("most_readers", CountRange, Tuning.MaxPrefillEngines));
   Tuning.SpareSlots =
-      static_cast<std::uint32_t>(Table.whole("spare_places", Urgencies, Tuning.SpareSlots));
-  Tuning.MinPackedChoices = static_cast<std::size_t>(
-      Table.whole("packed_choices", Count, static_cast<std::int64_t>(Tuning.MinPackedChoices)));
-  Tuning.ChoicesPerUnknown = Table.number("choices_per_unknown", Amount, Tuning.ChoicesPerUnknown);
+      static_cast<std::uint32_t>(Table.whole("spare_places", UrgencyRange, Tuning.SpareSlots));
+  Tuning.MinPackedChoices = static_cast<std::size_t>(Table.whole(
+      "packed_choices", CountRange, static_cast<std::int64_t>(Tuning.MinPackedChoices)));
+  Tuning.ChoicesPerUnknown =
+      Table.number("choices_per_unknown", NonNegativeRange, Tuning.ChoicesPerUnknown);
   Table.finish("placement's tuning");
 }
 
 void checkNames(const model_load &Load, faults &Faults) {
-  for (const entry_loss &Loss : Load.EntryLosses)
-    if (Loss.Count >= Load.Entries)
+  for (const entry_outage &Outage : Load.EntryOutages)
+    if (Outage.Count >= Load.Entries)
       Faults.push_back({0, "entry_loss.count", "less than the number of entries"});
   if (Load.Kinds.empty())
     Faults.push_back({0, "kind", "at least one"});
   for (const load_phase &Phase : Load.Phases) {
-    const bool Known = Phase.Kind.empty() || std::any_of(Load.Kinds.begin(), Load.Kinds.end(),
-                                                         [&Phase](const request_kind &Kind) {
-                                                           return Kind.Name == Phase.Kind;
-                                                         });
-    if (!Known)
+    const bool IsDeclared = Phase.Kind.empty() || std::any_of(Load.Kinds.begin(), Load.Kinds.end(),
+                                                              [&Phase](const request_kind &Kind) {
+                                                                return Kind.Name == Phase.Kind;
+                                                              });
+    if (!IsDeclared)
       Faults.push_back({0, "phase.kind", "the name of a kind, not \"" + Phase.Kind + "\""});
   }
 }
@@ -131,33 +133,33 @@
 } // namespace
 
 result<model_load, faults> parseModelLoad(std::string_view Text) {
-  auto Root = parseToml(Text);
-  if (!succeeded(Root))
-    return faults{errorOf(Root)};
+  auto Parsed = parseToml(Text);
+  if (!succeeded(Parsed))
+    return faults{errorOf(Parsed)};
   faults Faults;
-  toml_reader Table(valueOf(Root), "", Faults);
+  toml_reader Table(valueOf(Parsed), "", Faults);
   model_load Load;
-  Load.Name = Table.text("name", toml_need::Required, anyName());
-  Load.Seconds = Table.number("seconds", Positive, Load.Seconds);
-  Load.Entries = static_cast<std::size_t>(Table.whole("entries", Count, 8));
-  Load.Engines = static_cast<std::size_t>(Table.whole("engines", Count, 18));
-  Load.Domains = static_cast<std::size_t>(Table.whole("domains", Count, 3));
-  Load.ReportDelayMs = Table.number("report_delay_ms", Amount, Load.ReportDelayMs);
-  Load.ReportLoss = Table.number("report_loss", Part, Load.ReportLoss);
-  Load.HostDelayMs = Table.number("host_delay_ms", Amount, Load.HostDelayMs);
-  Load.CallerDelayMs = Table.number("caller_delay_ms", Amount, Load.CallerDelayMs);
-  Load.ReturnChance = Table.number("return_chance", Part, Load.ReturnChance);
-  Load.TokensPerEvent = Table.number("tokens_per_event", Positive, Load.TokensPerEvent);
+  Load.Name = Table.text("name", toml_need::Required, nameRule());
+  Load.Seconds = Table.number("seconds", PositiveRange, Load.Seconds);
+  Load.Entries = static_cast<std::size_t>(Table.whole("entries", CountRange, 8));
+  Load.Engines = static_cast<std::size_t>(Table.whole("engines", CountRange, 18));
+  Load.FailureDomains = static_cast<std::size_t>(Table.whole("domains", CountRange, 3));
+  Load.ReportDelayMs = Table.number("report_delay_ms", NonNegativeRange, Load.ReportDelayMs);
+  Load.ReportLoss = Table.number("report_loss", FractionRange, Load.ReportLoss);
+  Load.HostDelayMs = Table.number("host_delay_ms", NonNegativeRange, Load.HostDelayMs);
+  Load.CallerDelayMs = Table.number("caller_delay_ms", NonNegativeRange, Load.CallerDelayMs);
+  Load.RetryProbability = Table.number("return_chance", FractionRange, Load.RetryProbability);
+  Load.TokensPerEvent = Table.number("tokens_per_event", PositiveRange, Load.TokensPerEvent);
   if (auto Engine = Table.table("engine"))
     Load.Engine = readEngine(*Engine);
   for (toml_reader &Kind : Table.tables("kind", toml_need::Required))
     Load.Kinds.push_back(readKind(Kind));
   for (toml_reader &Phase : Table.tables("phase", toml_need::Optional))
     Load.Phases.push_back(readPhase(Phase));
-  for (toml_reader &Loss : Table.tables("loss", toml_need::Optional))
-    Load.Losses.push_back(readLoss(Loss));
-  for (toml_reader &Loss : Table.tables("entry_loss", toml_need::Optional))
-    Load.EntryLosses.push_back(readEntryLoss(Loss));
+  for (toml_reader &Outage : Table.tables("loss", toml_need::Optional))
+    Load.EngineOutages.push_back(readEngineOutage(Outage));
+  for (toml_reader &Outage : Table.tables("entry_loss", toml_need::Optional))
+    Load.EntryOutages.push_back(readEntryOutage(Outage));
   if (auto Tuning = Table.table("tuning"))
     readTuning(*Tuning, Load.Tuning);
   Table.finish("a load");
--- a/src/fleet_model/model_load_func.h
+++ b/src/fleet_model/model_load_func.h
@@ -1,4 +1,4 @@
-/** @file model_load_func.h Reads a load file. */
+/** @file model_load_func.h Parses a load file. */
 #ifndef POLLENSTALL_FLEET_MODEL_MODEL_LOAD_FUNC_H
 #define POLLENSTALL_FLEET_MODEL_MODEL_LOAD_FUNC_H
 
@@ -11,7 +11,7 @@
 
 namespace pollenstall {
 
-/// @return The load, or each key that is not as it should be. Unknown keys are refused by name.
+/// @return The load, or an error for each invalid key. Unknown keys are errors too.
 result<model_load, std::vector<toml_fault>> parseModelLoad(std::string_view Text);
 
 } // namespace pollenstall
--- a/src/fleet_model/model_load_type.h
+++ b/src/fleet_model/model_load_type.h
@@ -1,4 +1,4 @@
-/** @file model_load_type.h What a run of the fleet model is made of. */
+/** @file model_load_type.h Parameters of a simulated load. */
 #ifndef POLLENSTALL_FLEET_MODEL_MODEL_LOAD_TYPE_H
 #define POLLENSTALL_FLEET_MODEL_MODEL_LOAD_TYPE_H
 
@@ -11,69 +11,71 @@
 
 namespace pollenstall {
 
-/// Sizes that are drawn from a log-normal distribution and cut at a bound.
+/// Log-normal distribution of sizes, clamped to a limit.
 struct size_spread {
   double Mean{1};
   double Spread{0}; ///< Standard deviation of the logarithm.
-  double Most{1e9};
+  double Limit{1e9};
 };
 
-/// One kind of request. Milliseconds where a name says so.
+/// A kind of request. Names that end in Ms are in milliseconds.
 struct request_kind {
   std::string Name;
-  double PerSecond{1};
-  size_spread Prompt; ///< Tokens.
-  size_spread Events; ///< Of the answer.
+  double PerSecond{1}; ///< Mean rate of arrivals.
+  size_spread Prompt;  ///< Tokens.
+  size_spread Events;  ///< Events of the answer.
   double TargetMs{1'000};
   double GapMs{1'000};
   double TimeoutMs{10'000};
-  /// A caller leaves where no event came for so long, and comes back once; 0: at its timeout.
+  /// Time without a first event after which a caller leaves; it retries once. 0 waits for the
+  /// timeout.
   double PatienceMs{0};
   std::uint32_t Urgency{0};
-  double Worth{1};     ///< Of a request of mean size that is answered on time.
-  double LateWorth{0}; ///< Of one that is answered late.
+  double Worth{1};     ///< Worth of a request of mean size that is answered on time.
+  double LateWorth{0}; ///< Worth of such a request that is answered late.
 };
 
-/// For some seconds a kind comes more or less often.
+/// A period with a changed arrival rate.
 struct load_phase {
-  std::string Kind; ///< Empty: all of them.
+  std::string Kind; ///< Kind of request; empty for all.
   double From{0};   ///< Seconds.
   double Until{0};  ///< Seconds.
-  double Factor{1};
+  double Factor{1}; ///< Multiplier of the rate.
 };
 
-/// Engines that are gone for some seconds; what they ran is broken off.
-struct engine_loss {
-  double At{0};    ///< Seconds.
-  double For{0};   ///< Seconds.
-  double Share{0}; ///< Of all engines.
+/// An outage of engines, which breaks the requests that run on them.
+struct engine_outage {
+  double StartSeconds{0};
+  double DurationSeconds{0};
+  double Share{0}; ///< Fraction of all engines.
 };
 
-/// Entries that are gone for some seconds; their callers come back to others at once.
-struct entry_loss {
-  double At{0};         ///< Seconds.
-  double For{0};        ///< Seconds.
-  std::size_t Count{1}; ///< Of entries.
+/// An outage of entries, whose callers retry at other entries at once.
+struct entry_outage {
+  double StartSeconds{0};
+  double DurationSeconds{0};
+  std::size_t Count{1}; ///< Number of entries.
 };
 
-/// Entries, engines and callers of one run.
+/// Entries, engines and callers of a simulated run.
 struct model_load {
   std::string Name;
   double Seconds{60};
   std::size_t Entries{8};
   std::size_t Engines{18};
-  std::size_t Domains{3};    ///< Failure domains of the entries.
-  double ReportDelayMs{0};   ///< Of work reports, beside HostDelayMs: until they are looked at.
-  double ReportLoss{0};      ///< Part of the work reports.
-  double HostDelayMs{0.5};   ///< One way, between hosts, and from an entry to an engine.
+  std::size_t FailureDomains{3}; ///< Number of failure domains of the entries.
+  double ReportDelayMs{0};   ///< Time until a work report is processed, in addition to HostDelayMs.
+  double ReportLoss{0};      ///< Fraction of work reports that are lost.
+  double HostDelayMs{0.5};   ///< One way, between hosts, and between entries and engines.
   double CallerDelayMs{1.0}; ///< One way, between callers and entries.
-  double ReturnChance{1.0};  ///< Of a caller that was refused; it comes once, when it was told to.
+  /// Probability that a refused caller retries. It retries once, after the suggested delay.
+  double RetryProbability{1.0};
   engine_figures Engine;
   double TokensPerEvent{51};
   std::vector<request_kind> Kinds;
   std::vector<load_phase> Phases;
-  std::vector<engine_loss> Losses;
-  std::vector<entry_loss> EntryLosses;
+  std::vector<engine_outage> EngineOutages;
+  std::vector<entry_outage> EntryOutages;
   placement_tuning Tuning;
 };
 
--- a/src/load/answer_check.cpp
+++ b/src/load/answer_check.cpp
@@ -1,4 +1,4 @@
-/** @file answer_check.cpp Events are compared as texts; only what differs is parsed. */
+/** @file answer_check.cpp Compares events as text and parses only those that differ. */
 #include "fake_backend/fake_backend.h"
 #include "load/answer_check_base.h"
 
@@ -19,16 +19,17 @@
 
 } // namespace
 
-bool answer_check::addStream(std::string_view Bytes) {
-  const bool Before = Tokens > 0;
-  Rest += Bytes;
+bool answer_check::appendStream(std::string_view Bytes) {
+  const bool HadToken = Tokens > 0;
+  PartialEvent += Bytes;
   std::size_t Begin = 0;
-  for (auto End = Rest.find("\n\n"); End != std::string::npos; End = Rest.find("\n\n", Begin)) {
-    addEvent(std::string_view(Rest).substr(Begin, End - Begin));
+  for (auto End = PartialEvent.find("\n\n"); End != std::string::npos;
+       End = PartialEvent.find("\n\n", Begin)) {
+    addEvent(std::string_view(PartialEvent).substr(Begin, End - Begin));
     Begin = End + 2;
   }
-  Rest.erase(0, Begin);
-  return !Before && Tokens > 0;
+  PartialEvent.erase(0, Begin);
+  return !HadToken && Tokens > 0;
 }
 
 void answer_check::addEvent(std::string_view Event) {
@@ -39,7 +40,7 @@
     if (Line.starts_with(IdField)) {
       std::int64_t Id = 0;
       std::from_chars(Line.data() + IdField.size(), Line.data() + Line.size(), Id);
-      Wrong = Wrong || Id != LastId + 1;
+      Mismatch = Mismatch || Id != LastId + 1;
       LastId = Id;
     } else if (Line.starts_with(DataField)) {
       addData(Line.substr(DataField.size()));
@@ -50,7 +51,7 @@
 void answer_check::addData(std::string_view Data) {
   ++Events;
   if (DoneSeen) {
-    Wrong = true;
+    Mismatch = true;
     return;
   }
   if (Data == "[DONE]") {
@@ -59,13 +60,13 @@
   }
   if (Data.find("\"" + answerToken(PromptHash, Tokens) + "\"") != std::string_view::npos) {
     ++Tokens;
-    Wrong = Wrong || Finished;
+    Mismatch = Mismatch || Finished;
     return;
   }
   boost::json::error_code Error;
   const boost::json::value Value = boost::json::parse(Data, Error);
   if (Error) {
-    Wrong = true;
+    Mismatch = true;
     return;
   }
   if (memberOf(&Value, "error")) {
@@ -74,7 +75,7 @@
   }
   const boost::json::value *Choices = memberOf(&Value, "choices");
   if (!Choices || !Choices->is_array()) {
-    Wrong = true;
+    Mismatch = true;
     return;
   }
   const boost::json::value *Usage = memberOf(&Value, "usage");
@@ -87,22 +88,22 @@
   const boost::json::value *Content = memberOf(memberOf(&Choice, "delta"), "content");
   if (!Content)
     Content = memberOf(&Choice, "text");
-  // A token that is not the next one of this answer: lost, doubled or someone else's.
-  Wrong = Wrong || (Content && Content->is_string() && !Content->get_string().empty());
+  // The token is not the next one of this answer: one was lost, repeated or is from another answer.
+  Mismatch = Mismatch || (Content && Content->is_string() && !Content->get_string().empty());
 }
 
-load_outcome answer_check::streamOutcome(bool InOrder) const {
-  if (Wrong)
+load_outcome answer_check::streamOutcome(bool EndedCleanly) const {
+  if (Mismatch)
     return load_outcome::Wrong;
   if (ErrorSeen != load_outcome::Complete)
     return ErrorSeen;
-  if (!DoneSeen || !InOrder)
+  if (!DoneSeen || !EndedCleanly)
     return load_outcome::Cut;
-  const bool Whole = Finished && UsageSeen && Tokens == AnswerTokens;
-  return Whole ? load_outcome::Complete : load_outcome::Wrong;
+  const bool IsComplete = Finished && UsageSeen && Tokens == AnswerTokens;
+  return IsComplete ? load_outcome::Complete : load_outcome::Wrong;
 }
 
-load_outcome answer_check::wholeOutcome(std::string_view Body) const {
+load_outcome answer_check::nonStreamedOutcome(std::string_view Body) const {
   boost::json::error_code Error;
   const boost::json::value Value = boost::json::parse(Body, Error);
   const boost::json::value *Choices = Error ? nullptr : memberOf(&Value, "choices");
@@ -115,14 +116,14 @@
   std::string Expected;
   for (std::int64_t Index = 0; Index < AnswerTokens; ++Index)
     Expected += answerToken(PromptHash, Index);
-  const bool Own = Content && Content->is_string() && Content->get_string() == Expected;
-  return Own && memberOf(&Value, "usage") ? load_outcome::Complete : load_outcome::Wrong;
+  const bool Matches = Content && Content->is_string() && Content->get_string() == Expected;
+  return Matches && memberOf(&Value, "usage") ? load_outcome::Complete : load_outcome::Wrong;
 }
 
 load_outcome answer_check::errorOutcome(std::string_view Body) {
-  boost::json::error_code Failed;
-  const boost::json::value Value = boost::json::parse(Body, Failed);
-  if (Failed)
+  boost::json::error_code ParseError;
+  const boost::json::value Value = boost::json::parse(Body, ParseError);
+  if (ParseError)
     return load_outcome::Unknown;
   const boost::json::value *Outcome = memberOf(memberOf(&Value, "error"), "outcome");
   const bool NotRun = Outcome && Outcome->is_string() && Outcome->get_string() == "not-run";
--- a/src/load/answer_check_base.h
+++ b/src/load/answer_check_base.h
@@ -1,4 +1,4 @@
-/** @file answer_check_base.h Says whether an answer is whole and the answer to its own prompt. */
+/** @file answer_check_base.h Checks that an answer is complete and belongs to its prompt. */
 #ifndef POLLENSTALL_LOAD_ANSWER_CHECK_BASE_H
 #define POLLENSTALL_LOAD_ANSWER_CHECK_BASE_H
 
@@ -10,21 +10,22 @@
 
 namespace pollenstall {
 
-/// Reads one answer of the stand-in, whose tokens carry the prompt's hash and their place.
+/// Checks one answer of the fake backend, whose tokens contain the prompt's hash and their index.
 class answer_check {
 public:
-  answer_check(std::uint64_t Hash, std::int64_t Asked) : PromptHash(Hash), AnswerTokens(Asked) {}
-
-  /// Takes more bytes of a stream's body. @return Whether the first token came with them.
-  bool addStream(std::string_view Bytes);
-  /// @param InOrder Whether the body ended as HTTP says it must.
-  [[nodiscard]] load_outcome streamOutcome(bool InOrder) const;
-  /// Judges the body of an answer that was not streamed.
-  [[nodiscard]] load_outcome wholeOutcome(std::string_view Body) const;
-  /// Judges the body of an error.
+  answer_check(std::uint64_t ExpectedHash, std::int64_t ExpectedTokens)
+      : PromptHash(ExpectedHash), AnswerTokens(ExpectedTokens) {}
+
+  /// Parses more bytes of a stream's body. @return Whether they contained the first token.
+  bool appendStream(std::string_view Bytes);
+  /// Returns the outcome of a stream. @param EndedCleanly Whether the HTTP body was complete.
+  [[nodiscard]] load_outcome streamOutcome(bool EndedCleanly) const;
+  /// Returns the outcome of the body of a non-streamed answer.
+  [[nodiscard]] load_outcome nonStreamedOutcome(std::string_view Body) const;
+  /// Returns the outcome that the body of an error response reports.
   [[nodiscard]] static load_outcome errorOutcome(std::string_view Body);
 
-  /// @return Events read so far.
+  /// @return The number of events parsed.
   [[nodiscard]] std::int64_t events() const { return Events; }
 
 private:
@@ -33,15 +34,15 @@
 
   std::uint64_t PromptHash;
   std::int64_t AnswerTokens;
-  std::string Rest; ///< The beginning of an event whose end is still to come.
+  std::string PartialEvent; ///< The beginning of an incomplete event.
   std::int64_t Events{0};
   std::int64_t Tokens{0};
   std::int64_t LastId{0};
   bool Finished{false};
   bool UsageSeen{false};
   bool DoneSeen{false};
-  bool Wrong{false};
-  load_outcome ErrorSeen{load_outcome::Complete}; ///< Complete while no error event came.
+  bool Mismatch{false};
+  load_outcome ErrorSeen{load_outcome::Complete}; ///< Complete until an error event was parsed.
 };
 
 } // namespace pollenstall
--- a/src/load/load.h
+++ b/src/load/load.h
@@ -1,6 +1,4 @@
-/** @file load.h Public header of load: requests at a set rate, checked answers, percentiles,
- * bounds.
- */
+/** @file load.h Public header of load: sends requests, checks answers, reports percentiles. */
 #ifndef POLLENSTALL_LOAD_LOAD_H
 #define POLLENSTALL_LOAD_LOAD_H
 
--- a/src/load/load_bound.cpp
+++ b/src/load/load_bound.cpp
@@ -1,4 +1,4 @@
-/** @file load_bound.cpp Bounds. */
+/** @file load_bound.cpp Parses and evaluates bounds. */
 #include "load/load_bound_func.h"
 
 #include <charconv>
@@ -6,15 +6,17 @@
 namespace pollenstall {
 
 std::optional<load_bound> parseBound(const std::string &Text) {
-  const auto Sign = Text.find_first_of("<>");
-  if (Sign == 0 || Sign == std::string::npos || Sign + 2 >= Text.size() || Text[Sign + 1] != '=')
+  const auto Comparison = Text.find_first_of("<>");
+  if (Comparison == 0 || Comparison == std::string::npos || Comparison + 2 >= Text.size() ||
+      Text[Comparison + 1] != '=')
     return std::nullopt;
   load_bound Bound;
-  Bound.Metric = Text.substr(0, Sign);
-  Bound.AtMost = Text[Sign] == '<';
+  Bound.Metric = Text.substr(0, Comparison);
+  Bound.AtMost = Text[Comparison] == '<';
   const char *End = Text.data() + Text.size();
-  const auto [Stop, Problem] = std::from_chars(Text.data() + Sign + 2, End, Bound.Limit);
-  if (Problem != std::errc() || Stop != End)
+  const auto [ParseEnd, ParseError] =
+      std::from_chars(Text.data() + Comparison + 2, End, Bound.Limit);
+  if (ParseError != std::errc() || ParseEnd != End)
     return std::nullopt;
   return Bound;
 }
--- a/src/load/load_bound_func.h
+++ b/src/load/load_bound_func.h
@@ -1,4 +1,4 @@
-/** @file load_bound_func.h Bounds on the metrics of a report. */
+/** @file load_bound_func.h Bounds on the metrics of a load report. */
 #ifndef POLLENSTALL_LOAD_LOAD_BOUND_FUNC_H
 #define POLLENSTALL_LOAD_LOAD_BOUND_FUNC_H
 
@@ -11,17 +11,17 @@
 /// Metrics by name, for example "short.ttft_p99_ms" or "outcome.wrong".
 using load_metrics = std::map<std::string, double>;
 
-/// "short.ttft_p99_ms<=50" or "outcome.complete>=100".
+/// A bound on a metric, such as "short.ttft_p99_ms<=50" or "outcome.complete>=100".
 struct load_bound {
   std::string Metric;
   bool AtMost{true};
   double Limit{0};
 };
 
-/// @return The bound, or nothing where the text is none.
+/// @return The parsed bound, or nothing if the text is invalid.
 std::optional<load_bound> parseBound(const std::string &Text);
 
-/// @return Whether it is kept. A metric that was not measured keeps no bound.
+/// @return Whether the metrics are within the bound; false if its metric was not measured.
 bool boundHolds(const load_bound &Bound, const load_metrics &Metrics);
 
 } // namespace pollenstall
--- a/src/load/load_call.cpp
+++ b/src/load/load_call.cpp
@@ -1,4 +1,4 @@
-/** @file load_call.cpp The steps of a request, by Boost.Beast. */
+/** @file load_call.cpp The steps of a request, built on Boost.Beast. */
 #include "load/load_call_base.h"
 
 #include <limits>
@@ -18,15 +18,16 @@
   return Error != boost::asio::error::would_block;
 }
 
-load_call::load_call(load_call_plan CallPlan, load_connection_ptr Link, end_hook OnEnd)
-    : Plan(std::move(CallPlan)), Connection(std::move(Link)), OnEnded(std::move(OnEnd)),
-      Check(Plan.PromptHash, Plan.AnswerTokens) {
+load_call::load_call(load_call_plan Parameters, load_connection_ptr InitialConnection,
+                     end_callback Callback)
+    : Plan(std::move(Parameters)), Connection(std::move(InitialConnection)),
+      EndCallback(std::move(Callback)), Check(Plan.PromptHash, Plan.AnswerTokens) {
   Parser.body_limit(std::numeric_limits<std::uint64_t>::max());
   Sample.Class = Plan.Class;
 }
 
 void load_call::start() {
-  Connection->Stream.expires_at(Plan.Due + Plan.Timeout);
+  Connection->Stream.expires_at(Plan.ScheduledAt + Plan.Timeout);
   if (Connection->Connected) {
     write();
     return;
@@ -47,7 +48,8 @@
 void load_call::write() {
   http::async_write(Connection->Stream, Plan.Request,
                     [Self = shared_from_this()](boost::system::error_code Error, std::size_t) {
-                      // A refusal may come before the whole body was taken: read it all the same.
+                      // The server may refuse the request before it has read the whole body, so
+                      // read the response after a write error too.
                       if (Error == boost::beast::error::timeout)
                         Self->fail(Error);
                       else
@@ -70,7 +72,7 @@
 
 void load_call::readBody() {
   if (Parser.is_done()) {
-    takeBody();
+    processBody();
     return;
   }
   http::async_read_some(Connection->Stream, Connection->Buffer, Parser,
@@ -78,16 +80,16 @@
                           if (Error)
                             Self->fail(Error);
                           else
-                            Self->takeBody();
+                            Self->processBody();
                         });
 }
 
-void load_call::takeBody() {
+void load_call::processBody() {
   const bool Ok = Parser.get().result() == http::status::ok;
   const bool Streamed = Ok && Plan.Stream;
   if (Streamed) {
-    if (Check.addStream(Parser.get().body()))
-      Sample.FirstToken = clock::now() - Plan.Due;
+    if (Check.appendStream(Parser.get().body()))
+      Sample.FirstToken = clock::now() - Plan.ScheduledAt;
     Parser.get().body().clear();
   }
   if (!Parser.is_done()) {
@@ -98,7 +100,7 @@
   if (Streamed)
     Outcome = Check.streamOutcome(true);
   else if (Ok)
-    Outcome = Check.wholeOutcome(Parser.get().body());
+    Outcome = Check.nonStreamedOutcome(Parser.get().body());
   else if (Parser.get()["X-Pollenstall-Started"] == "no")
     Outcome = load_outcome::NotRun;
   else
@@ -123,10 +125,10 @@
 void load_call::end(load_outcome Outcome, bool Reuse) {
   Sample.Outcome = Outcome;
   Sample.Events = Check.events();
-  Sample.Total = clock::now() - Plan.Due;
+  Sample.Total = clock::now() - Plan.ScheduledAt;
   if (!Reuse)
     Connection.reset();
-  OnEnded(Sample, std::move(Connection));
+  EndCallback(Sample, std::move(Connection));
 }
 
 } // namespace pollenstall
--- a/src/load/load_options.cpp
+++ b/src/load/load_options.cpp
@@ -1,4 +1,4 @@
-/** @file load_options.cpp Options become the TOML text that the settings table reads. */
+/** @file load_options.cpp Converts options to TOML text for the settings table. */
 #include "load/load_options_func.h"
 
 #include <boost/json.hpp>
@@ -24,12 +24,12 @@
   ManualOption,
   CheckOption,
   ConfigOption,
-  FirstText, ///< Options whose value is a text.
-  KeyFileOption = FirstText,
+  FirstTextOption, ///< First option with a text value.
+  KeyFileOption = FirstTextOption,
   PathOption,
   ModelOption,
-  FirstNumber, ///< Options whose value is a number.
-  RateOption = FirstNumber,
+  FirstNumberOption, ///< First option with a number value.
+  RateOption = FirstNumberOption,
   ConcurrencyOption,
   CountOption,
   DurationOption,
@@ -38,67 +38,67 @@
   StreamOption,
   ThreadsOption,
   SeedOption,
-  FirstList, ///< Options that may be given again.
-  TargetOption = FirstList,
+  FirstListOption, ///< First option that may be repeated.
+  TargetOption = FirstListOption,
   MixOption,
   HeaderOption,
   BoundOption,
   OptionEnd
 };
 
-/// Options by number, with the key of the settings that each one sets.
+/// An option of the command line and the settings key that it sets.
 struct option_row {
   const char *Name;
   const char *Key;
   const char *Meaning;
 };
 
-constexpr option_row Rows[OptionEnd - FirstText] = {
+constexpr option_row Rows[OptionEnd - FirstTextOption] = {
     {"key-file", "key_file", "file with the client account's key"},
     {"path", "path", "path of the interface"},
-    {"model", "model", "model that is asked for"},
-    {"rate", "rate_per_s", "arrivals a second; without it, a fixed concurrency"},
+    {"model", "model", "model to request"},
+    {"rate", "rate_per_s", "arrivals per second; without it, a fixed concurrency"},
     {"concurrency", "concurrency", "requests open at once"},
-    {"count", "count", "requests at most"},
-    {"duration-ms", "duration_ms", "time after which no request is started"},
-    {"timeout-ms", "timeout_ms", "time for one request"},
-    {"answer-tokens", "answer_tokens", "tokens asked for"},
+    {"count", "count", "maximum number of requests"},
+    {"duration-ms", "duration_ms", "time after which no request is sent"},
+    {"timeout-ms", "timeout_ms", "timeout of a request"},
+    {"answer-tokens", "answer_tokens", "tokens to request"},
     {"stream-percent", "stream_percent", "share of requests that are streamed"},
-    {"threads", "threads", "threads that send"},
-    {"seed", "seed", "seed of arrivals and mix"},
-    {"target", "targets", "IP:port; may be given again"},
-    {"mix", "mix", "name:prompt tokens:weight; may be given again"},
-    {"header", "headers", "\"name: value\"; may be given again"},
-    {"bound", "bounds", "metric<=number, exit code 1 past it; may be given again"}};
+    {"threads", "threads", "number of sending threads"},
+    {"seed", "seed", "random seed of arrivals and mix"},
+    {"target", "targets", "IP:port; may be repeated"},
+    {"mix", "mix", "name:prompt tokens:weight; may be repeated"},
+    {"header", "headers", "\"name: value\"; may be repeated"},
+    {"bound", "bounds", "metric<=number, exit code 1 if exceeded; may be repeated"}};
 
 std::string quoted(const std::string &Text) {
   return boost::json::serialize(boost::json::string(Text));
 }
 
-/// What the options said, as text.
-struct given_options {
+/// The options of the command line, as text.
+struct option_values {
   std::string ConfigFile;
-  std::string Lines; ///< TOML of texts and numbers.
-  std::vector<std::vector<std::string>> Lists{OptionEnd - FirstList};
+  std::string Lines; ///< TOML lines for text and number settings.
+  std::vector<std::vector<std::string>> Lists{OptionEnd - FirstListOption};
   bool CheckOnly{false};
 };
 
-void take(given_options &Given, int Option, const std::string &Value) {
-  if (Option >= FirstList) {
-    Given.Lists[static_cast<std::size_t>(Option - FirstList)].push_back(Value);
+void storeOption(option_values &Options, int Option, const std::string &Value) {
+  if (Option >= FirstListOption) {
+    Options.Lists[static_cast<std::size_t>(Option - FirstListOption)].push_back(Value);
     return;
   }
-  const std::string Key = Rows[Option - FirstText].Key;
-  Given.Lines += Key + " = " + (Option < FirstNumber ? quoted(Value) : Value) + "\n";
+  const std::string Key = Rows[Option - FirstTextOption].Key;
+  Options.Lines += Key + " = " + (Option < FirstNumberOption ? quoted(Value) : Value) + "\n";
 }
 
-std::string tomlOf(const given_options &Given) {
-  std::string Text = Given.Lines;
-  for (std::size_t Place = 0; Place < Given.Lists.size(); ++Place) {
-    if (Given.Lists[Place].empty())
+std::string toToml(const option_values &Options) {
+  std::string Text = Options.Lines;
+  for (std::size_t Index = 0; Index < Options.Lists.size(); ++Index) {
+    if (Options.Lists[Index].empty())
       continue;
-    Text += std::string(Rows[FirstList - FirstText + Place].Key) + " = [";
-    for (const std::string &Value : Given.Lists[Place])
+    Text += std::string(Rows[FirstListOption - FirstTextOption + Index].Key) + " = [";
+    for (const std::string &Value : Options.Lists[Index])
       Text += quoted(Value) + ", ";
     Text += "]\n";
   }
@@ -107,15 +107,15 @@
 
 std::vector<poptOption> optionTable() {
   std::vector<poptOption> Table{
-      {"config", 'c', POPT_ARG_STRING, nullptr, ConfigOption, "settings, in TOML", "FILE"},
-      {"check", '\0', POPT_ARG_NONE, nullptr, CheckOption, "check the settings and stop", nullptr},
-      {"manual", '\0', POPT_ARG_NONE, nullptr, ManualOption, "print every setting and stop",
+      {"config", 'c', POPT_ARG_STRING, nullptr, ConfigOption, "TOML settings file", "FILE"},
+      {"check", '\0', POPT_ARG_NONE, nullptr, CheckOption, "check the settings and exit", nullptr},
+      {"manual", '\0', POPT_ARG_NONE, nullptr, ManualOption, "print every setting and exit",
        nullptr},
-      {"version", 'V', POPT_ARG_NONE, nullptr, VersionOption, "print the version and stop",
+      {"version", 'V', POPT_ARG_NONE, nullptr, VersionOption, "print the version and exit",
        nullptr},
-      {"help", 'h', POPT_ARG_NONE, nullptr, HelpOption, "print this page and stop", nullptr}};
-  for (int Option = FirstText; Option < OptionEnd; ++Option) {
-    const option_row &Row = Rows[Option - FirstText];
+      {"help", 'h', POPT_ARG_NONE, nullptr, HelpOption, "print this page and exit", nullptr}};
+  for (int Option = FirstTextOption; Option < OptionEnd; ++Option) {
+    const option_row &Row = Rows[Option - FirstTextOption];
     Table.push_back({Row.Name, '\0', POPT_ARG_STRING, nullptr, Option, Row.Meaning, "VALUE"});
   }
   Table.push_back({nullptr, '\0', 0, nullptr, 0, nullptr, nullptr});
@@ -129,16 +129,16 @@
                    Row.Needed == presence::Required ? "(required)" : Row.Default, Row.Meaning);
 }
 
-result<given_options, exit_code> parseOptions(int Count, const char **Values) {
+result<option_values, exit_code> parseOptions(int Count, const char **Values) {
   const std::vector<poptOption> Table = optionTable();
   const context_holder Context(poptGetContext("pollenstall-load", Count, Values, Table.data(), 0));
-  given_options Given;
+  option_values Options;
   int Option = 0;
   while ((Option = poptGetNextOpt(Context.get())) > 0) {
     const std::unique_ptr<char, decltype(&std::free)> Value(poptGetOptArg(Context.get()),
                                                             &std::free);
     if (Option == HelpOption) {
-      std::cout << "pollenstall-load: sends requests, checks the answers, prints figures\n";
+      std::cout << "pollenstall-load: sends requests, checks the answers and prints metrics\n";
       poptPrintHelp(Context.get(), stdout, 0);
       return exit_code::Ok;
     }
@@ -151,18 +151,18 @@
       return exit_code::Ok;
     }
     if (Option == CheckOption)
-      Given.CheckOnly = true;
+      Options.CheckOnly = true;
     else if (Option == ConfigOption)
-      Given.ConfigFile = Value.get();
+      Options.ConfigFile = Value.get();
     else
-      take(Given, Option, Value.get());
+      storeOption(Options, Option, Value.get());
   }
   if (Option < -1 || poptPeekArg(Context.get())) {
     std::cerr << "pollenstall-load: " << poptBadOption(Context.get(), 0) << ": "
               << poptStrerror(Option) << "\n";
     return exit_code::BadUsage;
   }
-  return Given;
+  return Options;
 }
 
 std::string firstLine(const std::string &Path) {
@@ -174,29 +174,29 @@
 
 } // namespace
 
-result<load_request, exit_code> readLoadOptions(int Count, const char **Values) {
+result<load_command_line, exit_code> readLoadOptions(int Count, const char **Values) {
   const auto Parsed = parseOptions(Count, Values);
   if (!succeeded(Parsed))
     return errorOf(Parsed);
-  const given_options &Given = valueOf(Parsed);
-  std::string Text = tomlOf(Given);
+  const option_values &Options = valueOf(Parsed);
+  std::string Text = toToml(Options);
   std::string Source = "command line";
-  if (!Given.ConfigFile.empty()) {
+  if (!Options.ConfigFile.empty()) {
     std::ostringstream File;
-    File << std::ifstream(Given.ConfigFile).rdbuf();
-    // The file first, so that its lines keep their numbers; a key given twice is refused by TOML.
+    File << std::ifstream(Options.ConfigFile).rdbuf();
+    // The file comes first, so that errors have its line numbers. TOML rejects a duplicate key.
     Text = File.str() + "\n" + Text;
-    Source = Given.ConfigFile;
+    Source = Options.ConfigFile;
   }
   auto Loaded = loadSettings().loadText(Text, Source);
   if (!succeeded(Loaded)) {
     std::cerr << toText(errorOf(Loaded));
     return exit_code::BadUsage;
   }
-  load_request Request{std::move(valueOf(Loaded)), Given.CheckOnly};
-  if (!Request.Settings.KeyFile.empty())
-    Request.Settings.Key = firstLine(Request.Settings.KeyFile);
-  return Request;
+  load_command_line CommandLine{std::move(valueOf(Loaded)), Options.CheckOnly};
+  if (!CommandLine.Settings.KeyFile.empty())
+    CommandLine.Settings.Key = firstLine(CommandLine.Settings.KeyFile);
+  return CommandLine;
 }
 
 } // namespace pollenstall
--- a/src/load/load_options_func.h
+++ b/src/load/load_options_func.h
@@ -1,5 +1,4 @@
-/** @file load_options_func.h The load tool's command line: a settings file, or settings as options.
- */
+/** @file load_options_func.h Command line of pollenstall-load. */
 #ifndef POLLENSTALL_LOAD_LOAD_OPTIONS_FUNC_H
 #define POLLENSTALL_LOAD_LOAD_OPTIONS_FUNC_H
 
@@ -8,14 +7,15 @@
 
 namespace pollenstall {
 
-/// What the command line asks for.
-struct load_request {
+/// The parsed command line, with the settings file.
+struct load_command_line {
   load_settings Settings;
   bool CheckOnly{false};
 };
 
-/// Reads the command line. @return The settings, or the exit code where the process stops at once.
-result<load_request, exit_code> readLoadOptions(int Count, const char **Values);
+/// Parses the command line and loads the settings file that it names.
+/// @return The settings, or the exit code if the process must exit at once.
+result<load_command_line, exit_code> readLoadOptions(int Count, const char **Values);
 
 } // namespace pollenstall
 
--- a/src/load/load_prompt.cpp
+++ b/src/load/load_prompt.cpp
@@ -1,4 +1,4 @@
-/** @file load_prompt.cpp Prompts that need no JSON escapes. */
+/** @file load_prompt.cpp Generates prompts that need no JSON escapes. */
 #include "fake_backend/fake_backend.h"
 #include "load/load_prompt_func.h"
 
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// Fills up to Size with words that depend on the seed, so that groups share no blocks.
+/// Extends the text to Size bytes by repeating a word. Words differ by group and by request, so
+/// that prompts of different groups share no cache blocks.
 void fill(std::string &Text, std::size_t Size, const std::string &Word) {
   while (Text.size() < Size)
     Text += Word;
--- a/src/load/load_prompt_func.h
+++ b/src/load/load_prompt_func.h
@@ -1,4 +1,4 @@
-/** @file load_prompt_func.h Prompts of a set length, each different from every other. */
+/** @file load_prompt_func.h Generates unique prompts of a given length. */
 #ifndef POLLENSTALL_LOAD_LOAD_PROMPT_FUNC_H
 #define POLLENSTALL_LOAD_LOAD_PROMPT_FUNC_H
 
@@ -9,13 +9,14 @@
 
 namespace pollenstall {
 
-/// A request's body and what its answer must carry.
+/// A request body, and the prompt's hash, which the tokens of its answer contain.
 struct load_prompt {
   std::string Body;
   std::uint64_t Hash{0};
 };
 
-/// @param Number Of the request in the run; it is part of the prompt. @param Group Of the prefix.
+/// Generates a prompt. @param Number Number of the request in the run; makes the prompt unique.
+/// @param Group Number of the prefix group.
 load_prompt makePrompt(const load_settings &Settings, const length_class &Class,
                        std::uint64_t Number, std::uint64_t Group, bool Stream);
 
--- a/src/load/load_run_func.h
+++ b/src/load/load_run_func.h
@@ -1,4 +1,4 @@
-/** @file load_run_func.h Runs the load that the settings describe. */
+/** @file load_run_func.h Runs a load. */
 #ifndef POLLENSTALL_LOAD_LOAD_RUN_FUNC_H
 #define POLLENSTALL_LOAD_LOAD_RUN_FUNC_H
 
@@ -7,7 +7,7 @@
 
 namespace pollenstall {
 
-/// Blocks until every request has ended or met its timeout. @return The figures.
+/// Sends the load and blocks until every request has ended or timed out. @return The metrics.
 load_metrics runLoad(const load_settings &Settings);
 
 } // namespace pollenstall
--- a/src/load/load_settings.cpp
+++ b/src/load/load_settings.cpp
@@ -1,4 +1,4 @@
-/** @file load_settings.cpp The settings' keys, bounds and meanings. */
+/** @file load_settings.cpp The table of settings, with their bounds and help texts. */
 #include "core/core.h"
 #include "load/load_bound_func.h"
 #include "load/load_type.h"
@@ -29,56 +29,57 @@
   return "name: value";
 }
 
-template <typename Number> bool readNumber(const std::string &Text, Number &Into) {
-  Into = parseNumber<Number>(Text).value_or(Number{});
-  return Into > 0;
+template <typename Number> bool readNumber(const std::string &Text, Number &Value) {
+  Value = parseNumber<Number>(Text).value_or(Number{});
+  return Value > 0;
 }
 
-void addCalls(settings_table<load_settings> &Table) {
+void addRequestSettings(settings_table<load_settings> &Table) {
   Table
       .texts("targets", &load_settings::Targets, presence::Required, "IP:port", checkAddress,
-             "Entries or backend servers; requests go to them in turn.")
+             "Entries or backend servers, which receive requests in turn.")
       .text("key_file", &load_settings::KeyFile, presence::Optional, "a path", {},
             "File with the client account's key.")
       .text("path", &load_settings::Path, presence::Optional, "a path", checkNotEmpty,
-            "Path of the chat/completions interface.", "/v1/chat/completions")
+            "Path of the chat completions API.", "/v1/chat/completions")
       .text("model", &load_settings::Model, presence::Required, "a model's name", checkNotEmpty,
-            "Model that is asked for.")
+            "Model to request.")
       .texts("headers", &load_settings::Headers, presence::Optional, "name: value", checkHeader,
              "Headers added to every request.")
       .texts("mix", &load_settings::Mix, presence::Optional, "name:prompt tokens:weight", checkMix,
-             "Classes of prompts; \"short:1000:1\" where none is given.")
+             "Prompt length classes; \"short:1000:1\" if none is given.")
       .number("answer_tokens", &load_settings::AnswerTokens, {16, 1, 1'000'000},
-              "Tokens asked for in each answer.")
+              "Tokens to request per answer.")
       .number("stream_percent", &load_settings::StreamPercent, {100, 0, 100},
               "Share of requests that are streamed.")
       .number("shared_prefix_percent", &load_settings::SharedPrefixPercent, {0, 0, 95},
-              "Share of each prompt that its prefix group has in common.")
+              "Share of each prompt that is common to its prefix group.")
       .number("prefix_groups", &load_settings::PrefixGroups, {8, 1, 100'000},
-              "Groups of prompts with a prefix in common.");
+              "Number of groups of prompts with a common prefix.");
 }
 
 } // namespace
 
 settings_table<load_settings> loadSettings() {
   settings_table<load_settings> Table;
-  addCalls(Table);
+  addRequestSettings(Table);
   Table
       .fraction("rate_per_s", &load_settings::Rate, {0.0, 0.0, 1e6},
-                "Arrivals of a Poisson process; 0 keeps concurrency requests open instead.")
+                "Arrivals per second, as a Poisson process; 0 keeps a fixed concurrency instead.")
       .number("concurrency", &load_settings::Concurrency, {1, 1, 20'000},
               "Requests open at once where no rate is given; with one, it is not used.")
-      .number("count", &load_settings::Count, {100, 1, 100'000'000}, "Requests at most.")
+      .number("count", &load_settings::Count, {100, 1, 100'000'000}, "Maximum number of requests.")
       .span("duration_ms", &load_settings::Duration,
             {milliseconds(60'000), milliseconds(1), milliseconds(86'400'000)},
-            "Time after which no request is started.")
+            "Time after which no request is sent.")
       .span("timeout_ms", &load_settings::Timeout,
             {milliseconds(30'000), milliseconds(1), milliseconds(3'600'000)},
-            "Time for one request, from when it was due.")
-      .number("threads", &load_settings::Threads, {1, 1, 64}, "Threads that send requests.")
-      .number("seed", &load_settings::Seed, {1, 0, 1'000'000'000}, "Seed of arrivals and mix.")
+            "Timeout of a request, from its scheduled arrival.")
+      .number("threads", &load_settings::Threads, {1, 1, 64}, "Number of sending threads.")
+      .number("seed", &load_settings::Seed, {1, 0, 1'000'000'000},
+              "Random seed of arrivals and mix.")
       .texts("bounds", &load_settings::Bounds, presence::Optional, "metric<=number", checkBound,
-             "Exit code 1 where one is passed; the report names the metrics.");
+             "Exit code 1 if a bound is exceeded; the report names the metrics.");
   return Table;
 }
 
--- a/src/load/load_type.h
+++ b/src/load/load_type.h
@@ -1,4 +1,4 @@
-/** @file load_type.h Settings of a run and what is noted of each request. */
+/** @file load_type.h Settings of a load run and the sample of each request. */
 #ifndef POLLENSTALL_LOAD_LOAD_TYPE_H
 #define POLLENSTALL_LOAD_LOAD_TYPE_H
 
@@ -12,7 +12,7 @@
 
 namespace pollenstall {
 
-/// As TOML or the command line gives them; loadSettings() has the meanings.
+/// Settings from TOML or the command line; loadSettings() describes them.
 struct load_settings {
   std::vector<std::string> Targets;
   std::string KeyFile;
@@ -35,38 +35,39 @@
   std::vector<std::string> Bounds;
 };
 
-/// @return The table that reads them.
+/// @return The table that parses load_settings.
 settings_table<load_settings> loadSettings();
 
-/// One class of the length mix: "name:prompt tokens:weight".
+/// A class of prompt lengths, written as "name:prompt tokens:weight".
 struct length_class {
   std::string Name;
   std::int64_t PromptTokens{0};
   double Weight{0};
 };
 
-/// @return The class, or nothing where the text is none.
+/// @return The parsed class, or nothing if the text is invalid.
 std::optional<length_class> parseLengthClass(const std::string &Text);
 
-/// How a request ended, as its caller sees it.
+/// How a request ended for its caller.
 enum class load_outcome : std::uint8_t {
-  Complete, ///< Whole and the answer to its own prompt.
-  Wrong,    ///< Ended in order, but not the answer to its own prompt, or with a gap in it.
-  Cut,      ///< Broke off without [DONE] and without an error.
-  NotRun,   ///< An error that says the request was not run.
-  Unknown,  ///< An error that says nothing, or that the outcome is unknown.
-  Refused,  ///< The connection was refused or reset before any byte of an answer.
-  TimedOut, ///< The tool's own limit passed.
-  NotSent   ///< The tool had too many requests open.
+  Complete, ///< The answer is complete and belongs to its prompt.
+  Wrong,    ///< The answer has gaps, repetitions or tokens of another prompt.
+  Cut,      ///< The answer ended early: no [DONE], or an incomplete HTTP body, and no error.
+  NotRun,   ///< An error which states that the request was not run.
+  Unknown,  ///< An error which states an unknown outcome, or none.
+  Refused,  ///< The connection was refused or reset before the response header.
+  TimedOut, ///< The load tool's request timeout expired.
+  NotSent   ///< The load tool had too many open requests.
 };
 constexpr std::size_t LoadOutcomes = 8;
 
-/// @return The name that the report uses.
+/// @return The name of the outcome in the report.
 const char *outcomeName(load_outcome Outcome);
 
-/// One request's figures. Times count from when it was due, so that a late start is not hidden.
+/// Measurements of a request. Times count from its scheduled arrival, so that a delayed start is
+/// included.
 struct load_sample {
-  std::size_t Class{0}; ///< Place in the mix.
+  std::size_t Class{0}; ///< Index in the mix.
   load_outcome Outcome{load_outcome::Unknown};
   int Status{0};
   std::int64_t Events{0};
--- a/tests/load/load_report_test.cpp
+++ b/tests/load/load_report_test.cpp
@@ -1,4 +1,4 @@
-/** @file load_report_test.cpp Percentiles and bounds. */
+/** @file load_report_test.cpp Tests percentiles, bounds and the parsing of the mix. */
 #include "load/load.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
   return Sample;
 }
 
-TEST(a_report, TakesPercentilesByClass) {
+TEST(load_report_test, ComputesPercentilesByClass) {
   load_report Report({"short", "long"});
   for (int Ms = 1; Ms <= 100; ++Ms)
     Report.add(sampleOf(0, Ms));
@@ -25,13 +25,13 @@
   EXPECT_EQ(Metrics["short.ttft_p50_ms"], 50);
   EXPECT_EQ(Metrics["short.ttft_p99_ms"], 99);
   EXPECT_EQ(Metrics["short.total_max_ms"], 200);
-  EXPECT_EQ(Metrics["long.ttft_p99_ms"], 1000) << "a cut answer is no figure";
+  EXPECT_EQ(Metrics["long.ttft_p99_ms"], 1000) << "a cut answer does not count";
   EXPECT_EQ(Metrics["long.complete_share"], 0.5);
   EXPECT_EQ(Metrics["outcome.cut"], 1);
   EXPECT_EQ(Metrics["complete_per_s"], 50.5);
 }
 
-TEST(a_bound, HoldsOnlyOnAMeasuredMetric) {
+TEST(load_bound_test, HoldsOnlyForAMeasuredMetric) {
   const load_metrics Metrics{{"short.ttft_p99_ms", 50.5}};
   EXPECT_TRUE(boundHolds(*parseBound("short.ttft_p99_ms<=50.5"), Metrics));
   EXPECT_FALSE(boundHolds(*parseBound("short.ttft_p99_ms<=50"), Metrics));
@@ -41,7 +41,7 @@
     EXPECT_FALSE(parseBound(Text)) << Text;
 }
 
-TEST(a_mix, IsNameTokensAndWeight) {
+TEST(length_mix, HasNameTokensAndWeight) {
   const auto Class = parseLengthClass("long:200000:0.25");
   ASSERT_TRUE(Class);
   EXPECT_EQ(Class->Name, "long");
--- a/tests/pollenstallctl/fake_control.h
+++ b/tests/pollenstallctl/fake_control.h
@@ -1,4 +1,4 @@
-/** @file fake_control.h A control host's operators' API, reduced to what a test tells it to say. */
+/** @file fake_control.h A fake operator API of a control host, with scripted responses. */
 #ifndef POLLENSTALL_TESTS_POLLENSTALLCTL_FAKE_CONTROL_H
 #define POLLENSTALL_TESTS_POLLENSTALLCTL_FAKE_CONTROL_H
 
@@ -19,34 +19,35 @@
 
 namespace pollenstall {
 
-/// One call as the fake received it.
-struct fake_call {
+/// A request that the fake received.
+struct fake_request {
   std::string Method;
   std::string Path;
   std::string Authorization;
   boost::json::value Body;
 };
 
-/// What the fake says; it hangs up without an answer where there is none.
+/// A scripted response. Without one, the fake closes the connection without a response.
 struct fake_reply {
   unsigned int Status{200};
   boost::json::value Body;
 };
 
-/// Answers one connection after another on a port of the kernel's choice.
+/// Serves one connection at a time on an ephemeral port.
 class fake_control {
 public:
-  using answer_hook = std::function<std::optional<fake_reply>(const fake_call &)>;
+  using reply_function = std::function<std::optional<fake_reply>(const fake_request &)>;
 
-  explicit fake_control(answer_hook Hook)
-      : Answer(std::move(Hook)), Acceptor(Context, {boost::asio::ip::make_address("127.0.0.1"), 0}),
+  explicit fake_control(reply_function Function)
+      : MakeReply(std::move(Function)),
+        Acceptor(Context, {boost::asio::ip::make_address("127.0.0.1"), 0}),
         Url("http://127.0.0.1:" + std::to_string(Acceptor.local_endpoint().port())),
         Server([this] { serve(); }) {}
 
   ~fake_control() {
     Stopping = true;
-    boost::asio::io_context Own;
-    boost::asio::ip::tcp::socket Waker(Own);
+    boost::asio::io_context WakerContext;
+    boost::asio::ip::tcp::socket Waker(WakerContext);
     boost::system::error_code Ignored;
     Waker.connect(Acceptor.local_endpoint(), Ignored);
     Server.join();
@@ -55,17 +56,17 @@
   fake_control(const fake_control &) = delete;
   fake_control &operator=(const fake_control &) = delete;
 
-  /// @return "http://127.0.0.1:port".
+  /// @return The URL "http://127.0.0.1:port".
   [[nodiscard]] const std::string &url() const { return Url; }
 
-  /// @return The calls to a path so far.
-  std::vector<fake_call> callsTo(const std::string &Path) {
+  /// @return The requests to a path, in order of arrival.
+  std::vector<fake_request> requestsTo(const std::string &Path) {
     const std::lock_guard Lock(Mutex);
-    std::vector<fake_call> Found;
-    for (const fake_call &Call : Calls)
-      if (Call.Path == Path)
-        Found.push_back(Call);
-    return Found;
+    std::vector<fake_request> Matching;
+    for (const fake_request &FakeRequest : FakeRequests)
+      if (FakeRequest.Path == Path)
+        Matching.push_back(FakeRequest);
+    return Matching;
   }
 
 private:
@@ -76,11 +77,11 @@
       Acceptor.accept(Socket, Error);
       if (Stopping || Error)
         return;
-      answer(Socket);
+      serveConnection(Socket);
     }
   }
 
-  void answer(boost::asio::ip::tcp::socket &Socket) {
+  void serveConnection(boost::asio::ip::tcp::socket &Socket) {
     namespace http = boost::beast::http;
     boost::beast::flat_buffer Buffer;
     http::request<http::string_body> Request;
@@ -88,17 +89,17 @@
     http::read(Socket, Buffer, Request, Error);
     if (Error)
       return;
-    fake_call Call{std::string(Request.method_string()),
-                   std::string(Request.target()),
-                   std::string(Request[http::field::authorization]),
-                   {}};
+    fake_request FakeRequest{std::string(Request.method_string()),
+                             std::string(Request.target()),
+                             std::string(Request[http::field::authorization]),
+                             {}};
     if (!Request.body().empty())
-      Call.Body = boost::json::parse(Request.body());
+      FakeRequest.Body = boost::json::parse(Request.body());
     {
       const std::lock_guard Lock(Mutex);
-      Calls.push_back(Call);
+      FakeRequests.push_back(FakeRequest);
     }
-    const auto Reply = Answer(Call);
+    const auto Reply = MakeReply(FakeRequest);
     if (!Reply)
       return;
     http::response<http::string_body> Response(static_cast<http::status>(Reply->Status), 11);
@@ -107,13 +108,13 @@
     http::write(Socket, Response, Error);
   }
 
-  answer_hook Answer;
+  reply_function MakeReply;
   boost::asio::io_context Context;
   boost::asio::ip::tcp::acceptor Acceptor;
   std::string Url;
   std::atomic<bool> Stopping{false};
   std::mutex Mutex;
-  std::vector<fake_call> Calls;
+  std::vector<fake_request> FakeRequests;
   std::thread Server;
 };
 
