--- a/tests/pollenstallctl/pollenstallctl_test.cpp
+++ b/tests/pollenstallctl/pollenstallctl_test.cpp
@@ -1,4 +1,4 @@
-/** @file pollenstallctl_test.cpp The real binary against fakes of the control hosts. */
+/** @file pollenstallctl_test.cpp Runs the pollenstallctl binary against fake control hosts. */
 #include "declaration/declaration.h"
 #include "pollenstallctl/fake_control.h"
 
@@ -24,7 +24,7 @@
 const std::string Example = std::string(POLLENSTALL_SOURCE_DIR) + "/examples/accra.toml";
 const std::string ClosedPort = "http://127.0.0.1:1";
 
-/// How a run of the tool ended.
+/// Exit code and output of a run of the tool.
 struct tool_run {
   int Exit{-1};
   std::string Out;
@@ -38,7 +38,7 @@
   return Text.str();
 }
 
-class the_tool : public testing::Test {
+class ctl_test : public testing::Test {
 protected:
   std::string Folder = testing::TempDir() + "pollenstallctl." + std::to_string(getpid()) + ".";
 
@@ -63,9 +63,9 @@
   }
 };
 
-class the_tool_on_its_own : public the_tool {};
+class ctl_without_control : public ctl_test {};
 
-TEST_F(the_tool_on_its_own, PrintsHelpAndVersionAndRefusesBadUsage) {
+TEST_F(ctl_without_control, PrintsHelpAndVersionAndRefusesBadUsage) {
   EXPECT_THAT(run("--help").Out, HasSubstr("Exit codes"));
   EXPECT_THAT(run("--version").Out, HasSubstr("pollenstallctl 0."));
   EXPECT_EQ(run("").Exit, 2);
@@ -78,7 +78,7 @@
   EXPECT_EQ(run("validate /absent").Exit, 2);
 }
 
-TEST_F(the_tool_on_its_own, ChecksItsSettings) {
+TEST_F(ctl_without_control, ChecksItsSettings) {
   const std::string Good = file("good.toml", "control = [\"http://127.0.0.1:1\"]\n");
   EXPECT_EQ(run("--check --config " + Good).Exit, 0);
   const tool_run Bad = run("--check --config " + file("bad.toml", "\ncontroll = 1\n"));
@@ -86,7 +86,7 @@
   EXPECT_THAT(Bad.Err, HasSubstr("bad.toml:2: controll: allowed: unknown key"));
 }
 
-TEST_F(the_tool_on_its_own, ValidatesAFile) {
+TEST_F(ctl_without_control, ValidatesAFile) {
   EXPECT_THAT(run("validate " + Example).Out, HasSubstr("valid: 2 services"));
   const tool_run Bad = run("--json validate " + file("x.toml", "[[group]]\nname = 1\n"));
   EXPECT_EQ(Bad.Exit, 1);
@@ -95,7 +95,7 @@
   EXPECT_EQ(Error.at("details").at(0).at("line"), 2);
 }
 
-TEST_F(the_tool_on_its_own, ExplainsByAFile) {
+TEST_F(ctl_without_control, ExplainsARequestFromAFile) {
   const std::string Base = "explain --file " + Example + " --account tema-academy ";
   const tool_run Canary = run(Base + "--model tactic-llm --tokens 5 "
                                      "--header X-Pollenstall-Canary=2026-11 --json");
@@ -110,7 +110,7 @@
   EXPECT_EQ(run("explain --file " + Example + " --account nobody --service clip-app").Exit, 1);
 }
 
-class the_tool_against_control : public the_tool {
+class ctl_with_control : public ctl_test {
 protected:
   static fake_reply declared(std::uint64_t Revision, const std::string &Text) {
     return {200, {{"revision", Revision}, {"text", Text}}};
@@ -121,27 +121,26 @@
   }
 };
 
-TEST_F(the_tool_against_control, PlansWithTheRevisionItComparedTo) {
+TEST_F(ctl_with_control, PrintsTheBaseRevisionOfAPlan) {
   std::string Text = fileText(Example);
   const std::string Old = "short_weight = 3.0";
   Text.replace(Text.find(Old), Old.size(), "short_weight = 2.5");
-  fake_control Control([&](const fake_call &) { return declared(7, Text); });
+  fake_control Control([&](const fake_request &) { return declared(7, Text); });
   const std::string Key = file("key", "secret\n");
   const tool_run Plan =
       run("plan " + Example + " --control " + Control.url() + " --key-file " + Key);
   EXPECT_EQ(Plan.Exit, 0);
   EXPECT_EQ(Plan.Out, "~ policy: short_weight 2.5 -> 3\n1 change; apply with "
                       "--base-revision 7\n");
-  EXPECT_EQ(Control.callsTo("/v1/declaration").at(0).Authorization, "Bearer secret");
+  EXPECT_EQ(Control.requestsTo("/v1/declaration").at(0).Authorization, "Bearer secret");
 }
 
-// The operator's apply reaches the leader, which accepts it and dies before it answers. The tool
-// must neither report a failure nor send the change as a new one: it resends the same id, and the
-// next answer is the first one's again.
-TEST_F(the_tool_against_control, ResendsTheSameChangeAfterALostAnswer) {
+// The leader accepts a change and fails before it responds. The tool must resend it with the same
+// change id instead of reporting a failure or sending a new change. The response is then a repeat.
+TEST_F(ctl_with_control, ResendsTheSameChangeAfterALostResponse) {
   int Sends = 0;
-  fake_control Control([&](const fake_call &Call) -> std::optional<fake_reply> {
-    if (Call.Path == "/v1/declaration")
+  fake_control Control([&](const fake_request &Request) -> std::optional<fake_reply> {
+    if (Request.Path == "/v1/declaration")
       return declared(4, "");
     if (++Sends < 3)
       return std::nullopt;
@@ -150,7 +149,7 @@
   const tool_run Apply = run("apply " + Example + " --control " + Control.url());
   EXPECT_EQ(Apply.Exit, 0) << Apply.Err;
   EXPECT_THAT(Apply.Out, HasSubstr("accepted as revision 5, as answered before"));
-  const auto Changes = Control.callsTo("/v1/changes");
+  const auto Changes = Control.requestsTo("/v1/changes");
   ASSERT_THAT(Changes, SizeIs(3));
   EXPECT_EQ(Changes[0].Body, Changes[2].Body);
   EXPECT_EQ(Changes[0].Body.at("base_revision"), 4);
@@ -160,11 +159,11 @@
   EXPECT_EQ(valueOf(Sent), valueOf(parseDeclaration(fileText(Example), "example")));
 }
 
-// One host takes the change and never answers; the other cannot be connected to, which is the last
-// thing that happens. The change may be in force or not: the tool must say so, with the id and base
-// that a resend needs, and not claim that nothing was sent.
-TEST_F(the_tool_against_control, SaysThatTheOutcomeIsUnknown) {
-  fake_control Control([](const fake_call &) { return std::nullopt; });
+// One host receives the change and never responds; the last attempt then fails to connect to the
+// other. The change may be in force: the tool must report an unknown outcome, with the change id
+// and base revision that a resend needs, and not that nothing was sent.
+TEST_F(ctl_with_control, ReportsAnUnknownOutcome) {
+  fake_control Control([](const fake_request &) { return std::nullopt; });
   const std::string Ids = " --change-id mine --base-revision 2 --timeout 1";
   const tool_run Lost =
       run("apply " + Example + " --control " + Control.url() + "," + ClosedPort + Ids);
@@ -172,27 +171,27 @@
   EXPECT_THAT(Lost.Err, HasSubstr("resend with --change-id mine --base-revision 2"));
 }
 
-TEST_F(the_tool_against_control, SaysThatTheOutcomeIsUnknownWhereControlSaysSo) {
-  fake_control Control([](const fake_call &) {
+TEST_F(ctl_with_control, ReportsAnUnknownOutcomeFromControl) {
+  fake_control Control([](const fake_request &) {
     return fake_reply{503, {{"error", {{"code", "unknown_outcome"}, {"message", "again"}}}}};
   });
   EXPECT_EQ(run("drain 10.0.0.1:80 --timeout 1 --control " + Control.url()).Exit, 4);
 }
 
-TEST_F(the_tool_against_control, SaysThatNothingWasSentWhereNoHostIsReachable) {
+TEST_F(ctl_with_control, ReportsThatNoHostIsReachable) {
   const std::string Ids = " --change-id mine --base-revision 2 --timeout 1";
   EXPECT_EQ(run("apply " + Example + " --control " + ClosedPort + Ids).Exit, 5);
   EXPECT_EQ(run("status --control " + ClosedPort).Exit, 5);
-  fake_control Busy([](const fake_call &) {
+  fake_control Busy([](const fake_request &) {
     return fake_reply{503, {{"error", {{"code", "overloaded"}, {"message", "later"}}}}};
   });
   EXPECT_EQ(run("drain 10.0.0.1:80 --timeout 1 --control " + Busy.url()).Exit, 5);
 }
 
-// Two operators changed the same revision and this one came second. Its change must not be retried
-// against the new revision, since that would undo what the other one just did.
-TEST_F(the_tool_against_control, StopsAtAConflict) {
-  fake_control Control([](const fake_call &) {
+// Two operators change the same revision and this change comes second. It must not be retried
+// against the new revision, since that would undo the other change.
+TEST_F(ctl_with_control, StopsAtAConflict) {
+  fake_control Control([](const fake_request &) {
     return fake_reply{409,
                       {{"error", {{"code", "conflict"}, {"message", "another"}}}, {"revision", 9}}};
   });
@@ -200,11 +199,11 @@
       run("apply " + Example + " --base-revision 8 --json --control " + Control.url());
   EXPECT_EQ(Apply.Exit, 3);
   EXPECT_EQ(json::parse(Apply.Out).at("error").at("details").at("revision"), 9);
-  EXPECT_THAT(Control.callsTo("/v1/changes"), SizeIs(1));
+  EXPECT_THAT(Control.requestsTo("/v1/changes"), SizeIs(1));
 }
 
-TEST_F(the_tool_against_control, ReportsARefusalWithItsDetails) {
-  fake_control Control([](const fake_call &) {
+TEST_F(ctl_with_control, ReportsARefusalWithItsDetails) {
+  fake_control Control([](const fake_request &) {
     return fake_reply{
         400,
         {{"error",
@@ -217,70 +216,73 @@
   EXPECT_THAT(Apply.Err, HasSubstr("f:3: k: allowed: a"));
 }
 
-TEST_F(the_tool_against_control, ReportsAnIdThatWasUsedForAnotherChangeAsARefusal) {
-  fake_control Control([](const fake_call &) {
+TEST_F(ctl_with_control, ReportsAnIdThatWasUsedForAnotherChangeAsARefusal) {
+  fake_control Control([](const fake_request &) {
     return fake_reply{409, {{"error", {{"code", "change_id_reused"}, {"message", "used"}}}}};
   });
   EXPECT_EQ(run("drain 10.0.0.1:80 --change-id x --control " + Control.url()).Exit, 1);
 }
 
-// A resend without its base would take the revision that the first try itself made, and so be
-// another change under the same id.
-TEST_F(the_tool_against_control, WantsTheBaseWithAChangeId) {
+// Without a base revision, a resend would use the revision that the first attempt created, and so
+// be a different change with the same id.
+TEST_F(ctl_with_control, RequiresTheBaseRevisionWithAChangeId) {
   const tool_run Apply = run("apply " + Example + " --change-id mine --control " + ClosedPort);
   EXPECT_EQ(Apply.Exit, 2);
   EXPECT_THAT(Apply.Err, HasSubstr("--base-revision"));
 }
 
-TEST_F(the_tool_against_control, FollowsTheHintToTheLeader) {
-  fake_control Leader([](const fake_call &) { return accepted(3, false); });
-  fake_control Follower([&](const fake_call &) {
+TEST_F(ctl_with_control, FollowsARedirectToTheLeader) {
+  fake_control Leader([](const fake_request &) { return accepted(3, false); });
+  fake_control Follower([&](const fake_request &) {
     return fake_reply{421, {{"error", {{"code", "not_leader"}}}, {"leader", Leader.url()}}};
   });
   const tool_run Apply =
       run("apply " + Example + " --base-revision 2 --control " + ClosedPort + "," + Follower.url());
   EXPECT_EQ(Apply.Exit, 0) << Apply.Err;
-  EXPECT_THAT(Leader.callsTo("/v1/changes"), SizeIs(1));
+  EXPECT_THAT(Leader.requestsTo("/v1/changes"), SizeIs(1));
 }
 
-// Two hosts each take the other for the leader. The tool follows a few hints a round and then
-// pauses; without that bound it would send thousands of calls a second to hosts in an election.
-TEST_F(the_tool_against_control, GivesUpOnHintsThatGoInCircles) {
-  std::mutex Guard; // the hosts answer on threads of their own, and One starts before Other
-  std::string UrlOfOther;
-  fake_control One([&](const fake_call &) {
+// Two hosts redirect to each other. The tool follows a bounded number of redirects per round and
+// then pauses; without that bound it would send thousands of requests a second to hosts in an
+// election.
+TEST_F(ctl_with_control, StopsAtARedirectLoop) {
+  std::mutex Guard; // each host serves on its own thread, and Host starts before OtherHost
+  std::string OtherUrl;
+  fake_control Host([&](const fake_request &) {
     const std::lock_guard Lock(Guard);
-    return fake_reply{421, {{"leader", UrlOfOther}}};
+    return fake_reply{421, {{"leader", OtherUrl}}};
+  });
+  fake_control OtherHost([&](const fake_request &) {
+    return fake_reply{421, {{"leader", Host.url()}}};
   });
-  fake_control Other([&](const fake_call &) { return fake_reply{421, {{"leader", One.url()}}}; });
   {
     const std::lock_guard Lock(Guard);
-    UrlOfOther = Other.url();
+    OtherUrl = OtherHost.url();
   }
-  EXPECT_EQ(run("drain 10.0.0.1:80 --timeout 1 --control " + One.url()).Exit, 5);
-  constexpr std::size_t CallsOfSixRounds = 54;
-  EXPECT_LE(One.callsTo("/v1/drains").size() + Other.callsTo("/v1/drains").size(),
-            CallsOfSixRounds);
+  EXPECT_EQ(run("drain 10.0.0.1:80 --timeout 1 --control " + Host.url()).Exit, 5);
+  constexpr std::size_t MaxRequestsInSixRounds = 54;
+  EXPECT_LE(Host.requestsTo("/v1/drains").size() + OtherHost.requestsTo("/v1/drains").size(),
+            MaxRequestsInSixRounds);
 }
 
-TEST_F(the_tool_against_control, WaitsUntilTheChangeIsInForceEverywhere) {
-  std::atomic<int> Asked{0}; // counted on the host's thread
-  fake_control Control([&](const fake_call &Call) {
-    if (Call.Path == "/v1/changes")
+TEST_F(ctl_with_control, WaitsUntilTheChangeIsInForceEverywhere) {
+  std::atomic<int> StatusRequests{0}; // incremented on the fake host's thread
+  fake_control Control([&](const fake_request &Request) {
+    if (Request.Path == "/v1/changes")
       return accepted(3, false);
-    const json::value InForce = ++Asked < 3 ? json::value(2) : json::value(3);
+    const json::value InForce = ++StatusRequests < 3 ? json::value(2) : json::value(3);
     return fake_reply{200, {{"serving", true}, {"in_force_revision", InForce}}};
   });
   const std::string Base = "apply " + Example + " --base-revision 2 --wait --control ";
   EXPECT_THAT(run(Base + Control.url()).Out, HasSubstr("in force everywhere"));
-  EXPECT_EQ(Asked, 3);
+  EXPECT_EQ(StatusRequests, 3);
 }
 
-// An isolated host still answers for its status and may know an old leader's figures. Only what a
-// serving leader says counts as in force.
-TEST_F(the_tool_against_control, DoesNotTakeAnIsolatedHostsWordForInForce) {
-  fake_control Control([](const fake_call &Call) {
-    if (Call.Path == "/v1/changes")
+// An isolated host still reports its status, with a revision that may be stale. Only the revision
+// in force that a serving leader reports counts.
+TEST_F(ctl_with_control, IgnoresTheRevisionInForceOfAnIsolatedHost) {
+  fake_control Control([](const fake_request &Request) {
+    if (Request.Path == "/v1/changes")
       return accepted(3, false);
     return fake_reply{200, {{"serving", false}, {"in_force_revision", 3}, {"leader_url", nullptr}}};
   });
@@ -290,20 +292,20 @@
   EXPECT_THAT(Apply.Err, HasSubstr("accepted as revision 3"));
 }
 
-TEST_F(the_tool_against_control, PrintsStatusOfTheLeaderHistoryAndDump) {
-  fake_control Leader([](const fake_call &Call) {
-    if (Call.Path == "/v1/history")
+TEST_F(ctl_with_control, PrintsStatusOfTheLeaderHistoryAndDump) {
+  fake_control Leader([](const fake_request &Request) {
+    if (Request.Path == "/v1/history")
       return fake_reply{
           200,
           {{"changes",
             {{{"revision", 1}, {"change_id", "x"}, {"time_unix_ms", 0}, {"summary", "s"}}}}}};
-    if (Call.Path == "/dump")
+    if (Request.Path == "/dump")
       return fake_reply{200, {{"a", {{"b", 1}}}}};
     return fake_reply{
         200,
         {{"serving", true}, {"term", 4}, {"members", {{{"member", 11}, {"caught_up", true}}}}}};
   });
-  fake_control Follower([&](const fake_call &) {
+  fake_control Follower([&](const fake_request &) {
     return fake_reply{200, {{"serving", false}, {"leader_url", Leader.url()}}};
   });
   EXPECT_EQ(run("status --control " + Follower.url()).Out,
@@ -312,14 +314,14 @@
   EXPECT_EQ(run("dump --target " + Leader.url()).Out, "a:\n  b: 1\n");
 }
 
-TEST_F(the_tool_against_control, SendsDrainsAndMembers) {
-  fake_control Control([](const fake_call &) { return fake_reply{200, {{"version", 1}}}; });
+TEST_F(ctl_with_control, SendsDrainsAndMembers) {
+  fake_control Control([](const fake_request &) { return fake_reply{200, {{"version", 1}}}; });
   EXPECT_EQ(run("drain 10.0.0.1:80 --undo --control " + Control.url()).Exit, 0);
-  const auto Drains = Control.callsTo("/v1/drains");
+  const auto Drains = Control.requestsTo("/v1/drains");
   EXPECT_EQ(Drains.at(0).Body.at("backend"), "10.0.0.1:80");
   EXPECT_EQ(Drains.at(0).Body.at("undo"), true);
   EXPECT_EQ(run("member admit 3 --control " + Control.url()).Exit, 0);
-  EXPECT_EQ(Control.callsTo("/v1/members").at(0).Body.at("member"), 3);
+  EXPECT_EQ(Control.requestsTo("/v1/members").at(0).Body.at("member"), 3);
   EXPECT_EQ(run("member dismiss 3 --control " + Control.url()).Exit, 2);
   EXPECT_EQ(run("drain backend-1 --control " + Control.url()).Exit, 2);
 }
