--- a/src/fleet_model/fleet_run.cpp
+++ b/src/fleet_model/fleet_run.cpp
@@ -51,13 +51,13 @@
     : Load(ModelLoad), Policy(EntryPolicy), Seed(FirstSeed), Random(combineHashes(FirstSeed, 1)),
       ReportRandom(combineHashes(FirstSeed, 0)) {
   Entries.resize(Load.Entries);
-  for (std::size_t Entry = 0; Entry < Load.Entries; ++Entry)
-    startEntry(Entry);
+  for (std::size_t EntryIndex = 0; EntryIndex < Load.Entries; ++EntryIndex)
+    startEntry(EntryIndex);
   updateEntryLists();
   for (std::size_t EngineIndex = 0; EngineIndex < Load.Engines; ++EngineIndex) {
     Engines.push_back({engine_model(Load.Engine, Load.TokensPerEvent),
                        listingOf(EngineIndex, 0, Load.Engine), false, 0});
-    EngineNumbers[Engines.back().Listing.Key] = EngineIndex;
+    EngineIndexes[Engines.back().Listing.Key] = EngineIndex;
     for (entry_state &Entry : Entries)
       Entry.Policy.UpdateBackend(Engines.back().Listing);
   }
--- a/src/fleet_model/fleet_run_base.h
+++ b/src/fleet_model/fleet_run_base.h
@@ -41,7 +41,8 @@
 class fleet_run {
 public:
   fleet_run(const model_load &ModelLoad, const named_model_policy &Policy, std::uint64_t Seed);
-  /// Runs the simulation until every request has ended. @return A record per request.
+  /// Runs the simulation until the timeout of every request has passed. @return A record per
+  /// request.
   std::vector<request_record> simulate();
   /// @return The time of all engines as fractions of their total time, until the end of arrivals.
   [[nodiscard]] engine_time engineTime() const;
@@ -118,7 +119,7 @@
     bool Finished{false};
   };
   struct report_in_transit {
-    std::size_t Sender{0};
+    std::size_t SenderEntry{0};
     work_datagram Datagram;
     double Bytes{0};
   };
@@ -160,7 +161,7 @@
   static mono_time toMonoTime(double VirtualMs);
   static double toMs(mono_time Moment);
   [[nodiscard]] std::size_t engineIndex(const backend_key &Key) const {
-    return EngineNumbers.at(Key);
+    return EngineIndexes.at(Key);
   }
 
   model_load Load;
@@ -173,8 +174,8 @@
   std::priority_queue<event, std::vector<event>, std::greater<>> EventQueue;
   std::vector<request_state> Requests;
   std::vector<engine_state> Engines;
-  std::map<backend_key, std::size_t> EngineNumbers;
-  std::map<std::string, std::size_t> EntryNumbers; ///< By report address.
+  std::map<backend_key, std::size_t> EngineIndexes;
+  std::map<std::string, std::size_t> EntryIndexes; ///< By report address.
   std::vector<entry_state> Entries;
   std::vector<attempt_state> Attempts;
   std::map<std::size_t, report_in_transit> ReportsInTransit; ///< By report number.
--- a/src/fleet_model/fleet_run_callers.cpp
+++ b/src/fleet_model/fleet_run_callers.cpp
@@ -129,7 +129,7 @@
   const incarnation Incarnation(static_cast<std::uint64_t>(now().time_since_epoch().count()));
   Entry.View =
       std::make_unique<work_view>(process_key{Host, Incarnation}, reportAddress(EntryIndex));
-  EntryNumbers[reportAddress(EntryIndex)] = EntryIndex;
+  EntryIndexes[reportAddress(EntryIndex)] = EntryIndex;
 }
 
 void fleet_run::updateEntryLists() {
@@ -185,7 +185,7 @@
   pollEntry(State.Entry);
 }
 
-/// Handles a caller whose patience has expired before the first event of this try.
+/// Handles a caller whose patience has expired before the first event of this attempt.
 void fleet_run::handleDeparture(std::size_t Request, bool Retried) {
   request_state &State = Requests[Request];
   if (State.Finished || State.DeliveredEvents > 0 || State.Retried != Retried)
--- a/src/fleet_model/fleet_run_engines.cpp
+++ b/src/fleet_model/fleet_run_engines.cpp
@@ -70,13 +70,13 @@
 
 void fleet_run::receiveReport(std::size_t Report) {
   const report_in_transit InTransit = std::move(ReportsInTransit.extract(Report).mapped());
-  const std::size_t Receiver = EntryNumbers.at(InTransit.Datagram.To);
+  const std::size_t Receiver = EntryIndexes.at(InTransit.Datagram.To);
   if (Entries[Receiver].Down)
     return;
   ++Entries[Receiver].Traffic.ReceivedDatagrams;
   Entries[Receiver].Traffic.ReceivedBytes += InTransit.Bytes;
   Entries[Receiver].View->receive(InTransit.Datagram.Report,
-                                  "entry-" + std::to_string(InTransit.Sender), now());
+                                  "entry-" + std::to_string(InTransit.SenderEntry), now());
   sendReports(Receiver);
 }
 
@@ -173,7 +173,7 @@
 void fleet_run::failEngines(std::size_t OutageIndex) {
   const engine_outage &Outage = Load.EngineOutages[OutageIndex];
   const auto Count = static_cast<std::size_t>(Outage.Share * static_cast<double>(Engines.size()));
-  for (std::size_t Failures = 0; Failures < Count; ++Failures) {
+  for (std::size_t Draw = 0; Draw < Count; ++Draw) {
     const std::size_t EngineIndex = Random.below(Engines.size());
     engine_state &Engine = Engines[EngineIndex];
     if (Engine.Down)
@@ -202,7 +202,7 @@
                            std::to_string(Engine.Incarnation));
   Engine.Listing.Instance = Name;
   Engine.Listing.Key = keyOf(Previous.Key.Address, {Name, {}});
-  EngineNumbers[Engine.Listing.Key] = EngineIndex;
+  EngineIndexes[Engine.Listing.Key] = EngineIndex;
   for (entry_state &Entry : Entries) {
     Entry.Policy.UpdateBackend(OldListing);
     Entry.Policy.UpdateBackend(Engine.Listing);
