--- a/programs/pollenstall-model/main.cpp
+++ b/programs/pollenstall-model/main.cpp
@@ -76,7 +76,7 @@
   auto Parsed = parseModelLoad(Text.str());
   if (succeeded(Parsed))
     return valueOf(std::move(Parsed));
-  for (const toml_fault &Fault : errorOf(Parsed))
+  for (const toml_error &Fault : errorOf(Parsed))
     std::cerr << File << ":" << Fault.Line << ": " << Fault.Key << " must be " << Fault.Allowed
               << "\n";
   return static_cast<int>(exit_code::BadUsage);
--- a/programs/pollenstallctl/verb_explain.cpp
+++ b/programs/pollenstallctl/verb_explain.cpp
@@ -80,14 +80,15 @@
 verb_output outputOf(const explained_declaration &By, const selector_input &Input) {
   const selection Selection = select(By.Fleet, Input);
   std::string Text = "by " + By.Source + ", service " + Input.Service.str() + ":\n";
-  boost::json::array Misses;
-  for (const selector_miss &Miss : Selection.Misses) {
+  boost::json::array Mismatches;
+  for (const selector_mismatch &Miss : Selection.Mismatches) {
     const auto Selector =
         std::find_if(By.Fleet.Selectors.begin(), By.Fleet.Selectors.end(),
                      [&](const selector_declaration &S) { return S.Name == Miss.Selector; });
-    const std::string Reason = explainMiss(Miss, *Selector, Input);
+    const std::string Reason = explainMismatch(Miss, *Selector, Input);
     Text += "  selector " + Miss.Selector.str() + " does not match: " + Reason + "\n";
-    Misses.push_back(boost::json::object{{"selector", Miss.Selector.str()}, {"reason", Reason}});
+    Mismatches.push_back(
+        boost::json::object{{"selector", Miss.Selector.str()}, {"reason", Reason}});
   }
   Text += "  selector " + Selection.Selector.str() + " matches\ngoes to\n" +
           groupText(Selection.Groups);
@@ -95,7 +96,7 @@
                                                {"service", Input.Service.str()},
                                                {"selector", Selection.Selector.str()},
                                                {"groups", groupJson(Selection.Groups)},
-                                               {"not_matching", std::move(Misses)}}};
+                                               {"not_matching", std::move(Mismatches)}}};
 }
 
 } // namespace
--- a/src/declaration/ascii_case_func.h
+++ b/src/declaration/ascii_case_func.h
@@ -1,4 +1,5 @@
-/** @file ascii_case_func.h Letter case as HTTP uses it: ASCII only, no locale. */
+/** @file ascii_case_func.h Converts and compares letter case in ASCII, independent of the locale,
+ * as HTTP does. */
 #ifndef POLLENSTALL_DECLARATION_ASCII_CASE_FUNC_H
 #define POLLENSTALL_DECLARATION_ASCII_CASE_FUNC_H
 
@@ -8,19 +9,19 @@
 
 namespace pollenstall {
 
-/// @return The character in lower case where it is an ASCII letter.
+/// @return The lower-case form of an ASCII letter; any other character unchanged.
 constexpr char asciiLower(char Character) {
   return Character >= 'A' && Character <= 'Z' ? static_cast<char>(Character - 'A' + 'a')
                                               : Character;
 }
 
-/// @return The character in upper case where it is an ASCII letter.
+/// @return The upper-case form of an ASCII letter; any other character unchanged.
 constexpr char asciiUpper(char Character) {
   return Character >= 'a' && Character <= 'z' ? static_cast<char>(Character - 'a' + 'A')
                                               : Character;
 }
 
-/// @return The text in lower case.
+/// @return The text with its ASCII letters in lower case.
 inline std::string asciiLower(std::string_view Text) {
   std::string Lower(Text);
   for (char &Character : Lower)
@@ -28,7 +29,7 @@
   return Lower;
 }
 
-/// @return The text in upper case.
+/// @return The text with its ASCII letters in upper case.
 inline std::string asciiUpper(std::string_view Text) {
   std::string Upper(Text);
   for (char &Character : Upper)
@@ -36,8 +37,8 @@
   return Upper;
 }
 
-/// @return Whether the texts are the same but for the case of letters.
-inline bool equalWithoutCase(std::string_view A, std::string_view B) {
+/// @return Whether the texts are equal if the case of ASCII letters is ignored.
+inline bool equalIgnoringCase(std::string_view A, std::string_view B) {
   return std::equal(A.begin(), A.end(), B.begin(), B.end(),
                     [](char X, char Y) { return asciiLower(X) == asciiLower(Y); });
 }
--- a/src/declaration/call_route_type.h
+++ b/src/declaration/call_route_type.h
@@ -1,5 +1,5 @@
-/** @file call_route_type.h Routes whose calls say all that is needed in their head, and what
- * engines are declared to be able to do. */
+/** @file call_route_type.h Routes of calls that carry all scheduling data in their headers,
+ * and the declared performance of engines. */
 #ifndef POLLENSTALL_DECLARATION_CALL_ROUTE_TYPE_H
 #define POLLENSTALL_DECLARATION_CALL_ROUTE_TYPE_H
 
@@ -13,14 +13,14 @@
 
 namespace pollenstall {
 
-/// What may be repeated of a call that may have run.
-enum class repeat_rule : std::uint8_t {
-  Always, ///< Idempotent.
-  Resume, ///< An event stream that goes on behind its last event, on any engine.
-  Never,  ///< At most one run.
+/// Whether a call that may have run is retried.
+enum class retry_mode : std::uint8_t {
+  Always, ///< The call is idempotent and may be retried.
+  Resume, ///< An event stream that any engine can resume after its last event.
+  Never,  ///< The call runs at most once.
 };
 
-/// A service with its part of a route's calls.
+/// A service with its weight in a route.
 struct service_share {
   service_name Service;
   std::uint32_t Weight{1};
@@ -28,39 +28,39 @@
   bool operator==(const service_share &) const = default;
 };
 
-/// Sends calls to services; of a host's routes the longest prefix that begins the path wins.
+/// Routes calls to services. Of a host's routes, the longest matching path prefix wins.
 struct call_route {
   std::string Name;
   std::string Host;       ///< Without port, lower case.
-  std::string PathPrefix; ///< Begins and ends with "/"; compared with the path as it was sent.
-  repeat_rule Repeat{repeat_rule::Never};
-  std::chrono::milliseconds Timeout{10'000};   ///< A call gets its final answer by then.
-  std::chrono::milliseconds Target{1'000};     ///< To the answer, of a stream to its first event.
-  std::chrono::milliseconds LongestGap{1'000}; ///< Between two events of a stream.
+  std::string PathPrefix; ///< Begins and ends with "/"; compared with the path as received.
+  retry_mode RetryMode{retry_mode::Never};
+  std::chrono::milliseconds Timeout{10'000};   ///< Deadline of the final answer.
+  std::chrono::milliseconds Target{1'000};     ///< Latency target of the answer or first event.
+  std::chrono::milliseconds LongestGap{1'000}; ///< Longest time between two events of a stream.
   std::uint32_t Priority{0};                   ///< 0 is the most urgent.
   std::uint32_t MaxAttempts{1};
-  bool Anonymous{false}; ///< Needs no key.
+  bool Anonymous{false}; ///< Calls need no key.
   std::vector<service_share> Services;
 
   bool operator==(const call_route &) const = default;
 };
 
-/// How an engine works, as declared: a prior for what is learnt.
-struct engine_figures {
-  std::uint32_t Places{16};      ///< Requests in one batch.
-  tokens Memory;                 ///< KV memory.
-  std::uint32_t StepsPerPass{1}; ///< Token steps of a pass that writes.
-  double StepMs{10.0};           ///< Of one token step.
-  double PerSequenceMs{0.0};     ///< Added to a step for each request that writes.
-  double PerContextMs{0.0};      ///< Added to a step for each 1,000 tokens of their context.
-  double ReadPerSecond{20'000};  ///< Prompt tokens.
-  double PairsMs{0.0};           ///< For a million pairs of a token and an earlier one.
-  tokens Chunk{2'048};           ///< Prompt tokens read in one step at most.
+/// Declared performance of an engine; the starting point for the measured values.
+struct engine_profile {
+  std::uint32_t BatchSlots{16};  ///< Requests that one batch holds.
+  tokens Memory;                 ///< Capacity of the KV cache.
+  std::uint32_t StepsPerPass{1}; ///< Token steps in one decode pass.
+  double StepMs{10.0};           ///< Duration of one token step.
+  double PerSequenceMs{0.0};     ///< Added to a step for each decoding request.
+  double PerContextMs{0.0};      ///< Added to a step for each 1,000 context tokens of those.
+  double PrefillTokensPerSecond{20'000}; ///< Prompt tokens prefilled per second.
+  double MsPerMillionPairs{0.0};         ///< Prefill time, for pairs of a token and an earlier one.
+  tokens PrefillChunk{2'048};            ///< Limit of prompt tokens prefilled in one step.
 
-  bool operator==(const engine_figures &) const = default;
+  bool operator==(const engine_profile &) const = default;
 };
 
-/// Bounds on what a caller may send, and how long it may take.
+/// Size limits and timeouts of a caller's requests.
 struct caller_limits {
   std::size_t HeaderBytes{16U << 10U};
   std::size_t BodyBytes{4U << 20U};
--- a/src/declaration/declaration_check.cpp
+++ b/src/declaration/declaration_check.cpp
@@ -1,4 +1,4 @@
-/** @file declaration_check.cpp Rules that join items: names, references, overlaps, coverage. */
+/** @file declaration_check.cpp Checks names, references, overlaps and coverage across items. */
 #include "declaration/declaration_check_func.h"
 
 #include "declaration/selection_func.h"
@@ -11,16 +11,16 @@
 
 namespace {
 
-std::string at(std::string_view List, std::size_t Index) {
+std::string indexedKey(std::string_view List, std::size_t Index) {
   return std::string(List) + "[" + std::to_string(Index) + "]";
 }
 
-/// Collects broken rules of one declaration.
+/// Collects the violated rules of one declaration.
 class declaration_checker {
 public:
   explicit declaration_checker(const fleet_declaration &Declaration) : Fleet(Declaration) {}
 
-  std::vector<declaration_fault> check() {
+  std::vector<declaration_violation> check() {
     indexNames();
     checkServices();
     checkRoutes();
@@ -43,8 +43,8 @@
                   std::unordered_map<Name, const Item *> &Index) {
     for (std::size_t I = 0; I < Items.size(); ++I)
       if (!Index.emplace(Items[I].Name, &Items[I]).second)
-        refuse(at(List, I) + ".name", "a name that no other " + std::string(List) + " has; " +
-                                          Items[I].Name.str() + " is taken");
+        refuse(indexedKey(List, I) + ".name", "a name that no other " + std::string(List) +
+                                                  " has; " + Items[I].Name.str() + " is taken");
   }
 
   void indexNames() {
@@ -61,7 +61,7 @@
     std::unordered_map<model_name, service_name> Owners;
     for (std::size_t I = 0; I < Fleet.Services.size(); ++I) {
       const service_declaration &Service = Fleet.Services[I];
-      const std::string Key = at("service", I);
+      const std::string Key = indexedKey("service", I);
       if (Service.DefaultTimeout > Service.MaxTimeout)
         refuse(Key + ".default_timeout_ms",
                "at most max_timeout_ms, which is " + std::to_string(Service.MaxTimeout.count()));
@@ -70,28 +70,32 @@
       if (Service.Kind == service_kind::Plain && Service.Routes.empty())
         refuse(Key + ".routes", "at least one route");
       for (std::size_t M = 0; M < Service.Models.size(); ++M)
-        if (const auto [Owner, New] = Owners.emplace(Service.Models[M], Service.Name); !New)
-          refuse(Key + "." + at("models", M), "a model that is declared once; service " +
-                                                  Owner->second.str() + " has " +
-                                                  Service.Models[M].str());
+        if (const auto [Owner, Inserted] = Owners.emplace(Service.Models[M], Service.Name);
+            !Inserted)
+          refuse(Key + "." + indexedKey("models", M), "a model that is declared once; service " +
+                                                          Owner->second.str() + " has " +
+                                                          Service.Models[M].str());
     }
   }
 
-  /// Two routes alike would leave it to chance whether a call may be repeated.
+  /// With two routes for the same host, prefix and method, it would be undefined whether a call may
+  /// be retried.
   void checkRoutes() {
-    std::set<std::string> Taken;
+    std::set<std::string> SeenRoutes;
     for (std::size_t I = 0; I < Fleet.Services.size(); ++I)
       for (std::size_t R = 0; R < Fleet.Services[I].Routes.size(); ++R)
-        checkRoute(Fleet.Services[I].Routes[R], at("service", I) + "." + at("routes", R), Taken);
+        checkRoute(Fleet.Services[I].Routes[R],
+                   indexedKey("service", I) + "." + indexedKey("routes", R), SeenRoutes);
   }
 
-  void checkRoute(const plain_route &Route, const std::string &Key, std::set<std::string> &Taken) {
-    const std::string Place = Route.Host + " " + Route.PathPrefix + " ";
+  void checkRoute(const plain_route &Route, const std::string &Key,
+                  std::set<std::string> &SeenRoutes) {
+    const std::string RouteKey = Route.Host + " " + Route.PathPrefix + " ";
     std::vector<std::string> Methods = Route.Methods;
     if (Methods.empty())
       Methods.emplace_back("*");
     for (const std::string &Method : Methods)
-      if (!Taken.insert(Place + Method).second)
+      if (!SeenRoutes.insert(RouteKey + Method).second)
         refuse(Key, "one route for each host, path prefix and method; repeated: " +
                         (Route.Host.empty() ? "every host" : Route.Host) + " " + Route.PathPrefix +
                         " " + (Method == "*" ? "every method" : Method));
@@ -104,13 +108,13 @@
 
   void checkGroups() {
     for (std::size_t I = 0; I < Fleet.Groups.size(); ++I)
-      checkServiceName(Fleet.Groups[I].Service, at("group", I) + ".service");
+      checkServiceName(Fleet.Groups[I].Service, indexedKey("group", I) + ".service");
   }
 
   void checkSelectors() {
     for (std::size_t I = 0; I < Fleet.Selectors.size(); ++I) {
       const selector_declaration &Selector = Fleet.Selectors[I];
-      const std::string Key = at("selector", I);
+      const std::string Key = indexedKey("selector", I);
       checkServiceName(Selector.Service, Key + ".service");
       checkConditions(Selector, Key);
       checkHeaders(Selector, Key);
@@ -124,7 +128,7 @@
       checkModels(Selector, *Service->second, Key);
     for (std::size_t A = 0; A < Selector.Accounts.size(); ++A)
       if (!Accounts.contains(Selector.Accounts[A]))
-        refuse(Key + "." + at("accounts", A),
+        refuse(Key + "." + indexedKey("accounts", A),
                "the name of a declared account: " + namesOf(Fleet.Accounts));
     if (Selector.PromptBelow && *Selector.PromptBelow <= Selector.PromptFrom)
       refuse(Key + ".prompt_below_tokens", "more than prompt_from_tokens, which is " +
@@ -139,14 +143,14 @@
              "absent, since service " + Service.Name.str() + " is plain");
     for (std::size_t M = 0; M < Selector.Models.size(); ++M)
       if (!hasModel(Service, Selector.Models[M]))
-        refuse(Key + "." + at("models", M), "a model of service " + Service.Name.str());
+        refuse(Key + "." + indexedKey("models", M), "a model of service " + Service.Name.str());
   }
 
   void checkHeaders(const selector_declaration &Selector, const std::string &Key) {
     std::set<std::string> Seen;
     for (std::size_t H = 0; H < Selector.Headers.size(); ++H)
       if (!Seen.insert(Selector.Headers[H].Name).second)
-        refuse(Key + "." + at("headers", H) + ".name",
+        refuse(Key + "." + indexedKey("headers", H) + ".name",
                "each header once; " + Selector.Headers[H].Name + " cannot have two values");
   }
 
@@ -155,10 +159,10 @@
     bool AnyWeight = false;
     for (std::size_t G = 0; G < Selector.Groups.size(); ++G) {
       const group_share &Share = Selector.Groups[G];
-      const std::string ShareKey = Key + "." + at("groups", G) + ".group";
+      const std::string ShareKey = Key + "." + indexedKey("groups", G) + ".group";
       const auto Group = Groups.find(Share.Group);
       AnyWeight = AnyWeight || Share.Weight > 0;
-      // A group of an undeclared service is refused where it stands.
+      // checkGroups() already reports a group of an undeclared service.
       const bool OtherService = Group != Groups.end() &&
                                 Group->second->Service != Selector.Service &&
                                 Services.contains(Group->second->Service);
@@ -171,7 +175,7 @@
       refuse(Key + ".groups", "at least one group with a weight above 0");
   }
 
-  /// Without a last selector that takes everything, some admitted requests would have no group.
+  /// Unless the last selector matches everything, some admitted requests would have no group.
   void checkCoverage() {
     for (std::size_t I = 0; I < Fleet.Services.size(); ++I) {
       const selector_declaration *Last = nullptr;
@@ -179,7 +183,7 @@
         if (Selector.Service == Fleet.Services[I].Name)
           Last = &Selector;
       if (!Last || !matchesEverything(*Last))
-        refuse(at("service", I),
+        refuse(indexedKey("service", I),
                "a service whose last selector has no conditions; " +
                    (Last ? "selector " + Last->Name.str() + " of service " : "service ") +
                    Fleet.Services[I].Name.str() + (Last ? " has some" : " has no selector"));
@@ -187,10 +191,10 @@
   }
 
   void checkPlacements() {
-    std::set<std::pair<group_name, model_name>> Placed;
+    std::set<std::pair<group_name, model_name>> SeenPlacements;
     for (std::size_t I = 0; I < Fleet.Placements.size(); ++I) {
       const placement_declaration &Placement = Fleet.Placements[I];
-      const std::string Key = at("placement", I);
+      const std::string Key = indexedKey("placement", I);
       checkServiceName(Placement.Service, Key + ".service");
       const auto Group = Groups.find(Placement.Group);
       if (Group == Groups.end() || Group->second->Service != Placement.Service)
@@ -199,8 +203,8 @@
       const auto Service = Services.find(Placement.Service);
       if (Service != Services.end() && !hasModel(*Service->second, Placement.Model))
         refuse(Key + ".model", "a model of service " + Placement.Service.str());
-      // Two wishes for the same engines would undo each other's orders for ever.
-      if (!Placed.emplace(Placement.Group, Placement.Model).second)
+      // Two placements of one model on the same engines would revert each other's orders forever.
+      if (!SeenPlacements.emplace(Placement.Group, Placement.Model).second)
         refuse(Key + ".model", "one placement for each group and model; " + Placement.Model.str() +
                                    " is placed on " + Placement.Group.str() + " already");
     }
@@ -214,10 +218,10 @@
     std::unordered_map<std::string, client_account_name> Owners;
     for (std::size_t I = 0; I < Fleet.Accounts.size(); ++I)
       for (std::size_t H = 0; H < Fleet.Accounts[I].KeyHashes.size(); ++H)
-        if (const auto [Owner, New] =
+        if (const auto [Owner, Inserted] =
                 Owners.emplace(Fleet.Accounts[I].KeyHashes[H], Fleet.Accounts[I].Name);
-            !New)
-          refuse(at("account", I) + "." + at("key_hashes", H),
+            !Inserted)
+          refuse(indexedKey("account", I) + "." + indexedKey("key_hashes", H),
                  "a key that is declared once; account " + Owner->second.str() + " has it");
   }
 
@@ -236,7 +240,7 @@
   }
 
   const fleet_declaration &Fleet;
-  std::vector<declaration_fault> Faults;
+  std::vector<declaration_violation> Faults;
   std::unordered_map<service_name, const service_declaration *> Services;
   std::unordered_map<group_name, const group_declaration *> Groups;
   std::unordered_map<client_account_name, const account_declaration *> Accounts;
@@ -244,7 +248,7 @@
 
 } // namespace
 
-std::vector<declaration_fault> checkDeclaration(const fleet_declaration &Declaration) {
+std::vector<declaration_violation> checkDeclaration(const fleet_declaration &Declaration) {
   return declaration_checker(Declaration).check();
 }
 
--- a/src/declaration/declaration_check_func.h
+++ b/src/declaration/declaration_check_func.h
@@ -1,4 +1,4 @@
-/** @file declaration_check_func.h Rules that join several items of a declaration. */
+/** @file declaration_check_func.h Checks rules that span several items of a declaration. */
 #ifndef POLLENSTALL_DECLARATION_DECLARATION_CHECK_FUNC_H
 #define POLLENSTALL_DECLARATION_DECLARATION_CHECK_FUNC_H
 
@@ -10,19 +10,20 @@
 
 namespace pollenstall {
 
-/// A broken rule; the parser adds file and line.
-struct declaration_fault {
+/// A violated rule; the parser adds file and line.
+struct declaration_violation {
   std::string Key;     ///< As declaration_error::Key.
-  std::string Allowed; ///< What would have been right.
+  std::string Allowed; ///< The accepted values, in words.
 };
 
 /**
- * Checks names, references, overlaps and that every service ends in a selector without conditions.
- * @return Nothing where all rules hold.
+ * Checks names, references and overlaps, and that the last selector of every service has no
+ * conditions.
+ * @return The violations; empty if all rules hold.
  */
-std::vector<declaration_fault> checkDeclaration(const fleet_declaration &Declaration);
+std::vector<declaration_violation> checkDeclaration(const fleet_declaration &Declaration);
 
-/// @return Selectors that no request reaches, groups that no selector names, and the like.
+/// @return Warnings, for example of selectors that no request reaches and of unused groups.
 std::vector<declaration_warning> findWarnings(const fleet_declaration &Declaration);
 
 } // namespace pollenstall
--- a/src/declaration/declaration_diff.cpp
+++ b/src/declaration/declaration_diff.cpp
@@ -1,4 +1,4 @@
-/** @file declaration_diff.cpp Differences between the descriptions of two declarations. */
+/** @file declaration_diff.cpp Computes the differences between two declarations. */
 #include "declaration/declaration_diff_func.h"
 
 #include "declaration/declaration_text_func.h"
@@ -18,7 +18,7 @@
   return std::string(itemText(Item.Item)) + " " + Item.Name;
 }
 
-description_index indexOf(const descriptions &Items) {
+description_index makeIndex(const descriptions &Items) {
   description_index Index;
   for (const item_description &Item : Items)
     Index.emplace(identityOf(Item), &Item);
@@ -46,8 +46,9 @@
       Compare(Field.Key);
 }
 
-/// @return The selectors of Items that Other has too, in their order.
-std::vector<std::string> keptSelectors(const descriptions &Items, const description_index &Other) {
+/// @return The names of the selectors in Items that Other also contains, in the order of Items.
+std::vector<std::string> commonSelectors(const descriptions &Items,
+                                         const description_index &Other) {
   std::vector<std::string> Names;
   for (const item_description &Item : Items)
     if (Item.Item == declaration_item::Selector && Other.contains(identityOf(Item)))
@@ -55,19 +56,19 @@
   return Names;
 }
 
-/// The order of selectors decides which one matches first, so it is a difference of its own.
-void compareOrder(const std::vector<std::string> &From, const std::vector<std::string> &To,
-                  changes &Changes) {
-  std::unordered_map<std::string, std::size_t> Places;
-  for (std::size_t Place = 0; Place < From.size(); ++Place)
-    Places.emplace(From[Place], Place + 1);
-  for (std::size_t Place = 0; Place < To.size(); ++Place)
-    if (const std::size_t Before = Places.at(To[Place]); Before != Place + 1)
-      Changes.push_back({change_kind::Moved, declaration_item::Selector, To[Place], "",
-                         std::to_string(Before), std::to_string(Place + 1)});
+/// The order of selectors decides which one matches first, so a changed order is a difference.
+void compareSelectorOrder(const std::vector<std::string> &From, const std::vector<std::string> &To,
+                          changes &Changes) {
+  std::unordered_map<std::string, std::size_t> Positions;
+  for (std::size_t Position = 0; Position < From.size(); ++Position)
+    Positions.emplace(From[Position], Position + 1);
+  for (std::size_t Position = 0; Position < To.size(); ++Position)
+    if (const std::size_t Before = Positions.at(To[Position]); Before != Position + 1)
+      Changes.push_back({change_kind::Moved, declaration_item::Selector, To[Position], "",
+                         std::to_string(Before), std::to_string(Position + 1)});
 }
 
-std::string lineOfChange(const declaration_change &Change) {
+std::string formatChange(const declaration_change &Change) {
   const std::string Item =
       std::string(itemText(Change.Item)) + (Change.Name.empty() ? "" : " " + Change.Name);
   switch (Change.Kind) {
@@ -90,8 +91,8 @@
 declaration_difference diff(const fleet_declaration &From, const fleet_declaration &To) {
   const descriptions Before = describe(From);
   const descriptions After = describe(To);
-  const description_index BeforeIndex = indexOf(Before);
-  const description_index AfterIndex = indexOf(After);
+  const description_index BeforeIndex = makeIndex(Before);
+  const description_index AfterIndex = makeIndex(After);
   declaration_difference Difference;
   for (const item_description &Item : Before)
     if (!AfterIndex.contains(identityOf(Item)))
@@ -103,8 +104,8 @@
     else
       compareFields(*Old->second, Item, Difference.Changes);
   }
-  compareOrder(keptSelectors(Before, AfterIndex), keptSelectors(After, BeforeIndex),
-               Difference.Changes);
+  compareSelectorOrder(commonSelectors(Before, AfterIndex), commonSelectors(After, BeforeIndex),
+                       Difference.Changes);
   return Difference;
 }
 
@@ -145,7 +146,7 @@
 std::string toText(const declaration_difference &Difference) {
   std::string Text;
   for (const declaration_change &Change : Difference.Changes)
-    Text += lineOfChange(Change) + "\n";
+    Text += formatChange(Change) + "\n";
   return Text;
 }
 
--- a/src/declaration/declaration_diff_func.h
+++ b/src/declaration/declaration_diff_func.h
@@ -10,16 +10,16 @@
 
 namespace pollenstall {
 
-/// @return What has to change in From to make it To.
+/// @return The changes that turn From into To.
 declaration_difference diff(const fleet_declaration &From, const fleet_declaration &To);
 
-/// @return "service", "group" and so on.
+/// @return The name of the item kind: "service", "group" and so on.
 std::string_view itemText(declaration_item Item);
 
-/// @return "added", "removed" and so on.
+/// @return The name of the change kind: "added", "removed" and so on.
 std::string_view kindText(change_kind Kind);
 
-/// @return One line for each change, "+ group canary", "~ account x: share 1 -> 2".
+/// @return One line for each change, as "+ group canary" or "~ account x: share 1 -> 2".
 std::string toText(const declaration_difference &Difference);
 
 } // namespace pollenstall
--- a/src/declaration/declaration_diff_type.h
+++ b/src/declaration/declaration_diff_type.h
@@ -1,4 +1,4 @@
-/** @file declaration_diff_type.h What two declarations differ in. */
+/** @file declaration_diff_type.h Differences between two declarations. */
 #ifndef POLLENSTALL_DECLARATION_DECLARATION_DIFF_TYPE_H
 #define POLLENSTALL_DECLARATION_DECLARATION_DIFF_TYPE_H
 
@@ -8,7 +8,7 @@
 
 namespace pollenstall {
 
-/// The kinds of item, in the order of the canonical text.
+/// Kinds of declared items, in the order of the canonical text.
 enum class declaration_item : std::uint8_t {
   Service,
   Group,
@@ -19,12 +19,12 @@
   Limits
 };
 
-/// What became of an item.
+/// How an item changed.
 enum class change_kind : std::uint8_t {
   Added,
   Removed,
-  Changed, ///< One key of it has another value.
-  Moved,   ///< A selector that is tested earlier or later than before.
+  Changed, ///< One key of the item has another value.
+  Moved,   ///< A selector is tested earlier or later than before.
 };
 
 /// One difference.
@@ -32,14 +32,15 @@
   change_kind Kind{change_kind::Changed};
   declaration_item Item{declaration_item::Service};
   std::string Name; ///< Empty for the policy and the limits.
-  std::string Key;  ///< Only for Changed.
-  std::string From; ///< The value as TOML; the place among the selectors kept for Moved.
+  std::string Key;  ///< Set only for Changed.
+  std::string From; ///< The value as TOML; for Moved, the position among the selectors kept.
   std::string To;
 
   bool operator==(const declaration_change &) const = default;
 };
 
-/// Removed items first, then the others in the order of the canonical text; empty for equal ones.
+/// Removed items come first, then the others in the order of the canonical text. Empty if the
+/// declarations are equal.
 struct declaration_difference {
   std::vector<declaration_change> Changes;
 
--- a/src/declaration/declaration_error_type.h
+++ b/src/declaration/declaration_error_type.h
@@ -1,4 +1,4 @@
-/** @file declaration_error_type.h What is wrong, or only doubtful, in a declaration. */
+/** @file declaration_error_type.h Errors and warnings of a declaration. */
 #ifndef POLLENSTALL_DECLARATION_DECLARATION_ERROR_TYPE_H
 #define POLLENSTALL_DECLARATION_DECLARATION_ERROR_TYPE_H
 
@@ -8,17 +8,17 @@
 
 namespace pollenstall {
 
-/// Why a declaration is refused; one for each place that is wrong.
+/// A reason to reject a declaration; one for each faulty key.
 struct declaration_error {
   std::string File;
-  int Line{0};         ///< From 1; 0 where the text has no such place.
-  std::string Key;     ///< As "selector[2].groups[0].group", counted from 0; empty for bad TOML.
-  std::string Allowed; ///< What would have been right.
+  int Line{0};         ///< Counted from 1; 0 if the text has no such line.
+  std::string Key;     ///< As "selector[2].groups[0].group", indexed from 0; empty for bad TOML.
+  std::string Allowed; ///< The accepted values, in words.
 
   auto operator<=>(const declaration_error &) const = default;
 };
 
-/// Something that is allowed but is hardly meant.
+/// A valid passage that is probably a mistake.
 struct declaration_warning {
   std::string Item; ///< As "selector long-canary".
   std::string Message;
@@ -26,10 +26,10 @@
   auto operator<=>(const declaration_warning &) const = default;
 };
 
-/// @return "file:line: key: allowed: …", one error a line.
+/// @return One line for each error: "file:line: key: allowed: …".
 std::string toText(const std::vector<declaration_error> &Errors);
 
-/// @return "warning: item: message", one warning a line.
+/// @return One line for each warning: "warning: item message".
 std::string toText(const std::vector<declaration_warning> &Warnings);
 
 } // namespace pollenstall
--- a/src/declaration/declaration_index.cpp
+++ b/src/declaration/declaration_index.cpp
@@ -1,4 +1,4 @@
-/** @file declaration_index.cpp Lookups of accounts, models, routes and selectors. */
+/** @file declaration_index.cpp Looks up accounts, models, routes and selectors. */
 #include "declaration/declaration_index_base.h"
 
 #include "declaration/ascii_case_func.h"
@@ -12,14 +12,14 @@
 namespace {
 
 template <typename Item>
-const Item *valueAt(const std::unordered_map<std::string_view, const Item *> &Index,
-                    std::string_view Key) {
+const Item *lookUp(const std::unordered_map<std::string_view, const Item *> &Index,
+                   std::string_view Key) {
   const auto Found = Index.find(Key);
   return Found == Index.end() ? nullptr : Found->second;
 }
 
-/// @return The host in lower case without its port and without a trailing dot.
-std::string plainHost(std::string_view Host) {
+/// @return The host in lower case, without port and trailing dot.
+std::string normaliseHost(std::string_view Host) {
   const std::size_t Bracket = Host.rfind(']');
   const std::size_t Colon = Host.rfind(':');
   const bool HasPort =
@@ -31,12 +31,12 @@
   return asciiLower(Host);
 }
 
-bool takesMethod(const plain_route &Route, const std::string &Method) {
+bool acceptsMethod(const plain_route &Route, const std::string &Method) {
   return Route.Methods.empty() ||
          std::find(Route.Methods.begin(), Route.Methods.end(), Method) != Route.Methods.end();
 }
 
-bool betterRoute(const plain_route &A, const plain_route &B) {
+bool isPreferredRoute(const plain_route &A, const plain_route &B) {
   if (A.PathPrefix.size() != B.PathPrefix.size())
     return A.PathPrefix.size() > B.PathPrefix.size();
   return !A.Methods.empty() && B.Methods.empty();
@@ -63,7 +63,7 @@
   for (auto &[Host, Routes] : RoutesByHost)
     std::stable_sort(Routes.begin(), Routes.end(),
                      [](const indexed_route &A, const indexed_route &B) {
-                       return betterRoute(*A.Route, *B.Route);
+                       return isPreferredRoute(*A.Route, *B.Route);
                      });
   for (const group_declaration &Group : Fleet.Groups)
     GroupByName.emplace(Group.Name.str(), &Group);
@@ -71,7 +71,7 @@
 
 void declaration_index::indexSelectors() {
   for (const selector_declaration &Selector : Fleet.Selectors) {
-    SelectorsOf[Selector.Service.str()].push_back(&Selector);
+    SelectorsByService[Selector.Service.str()].push_back(&Selector);
     for (const header_match &Match : Selector.Headers)
       HeaderNames.push_back(asciiLower(Match.Name));
   }
@@ -89,7 +89,7 @@
 
 void declaration_index::indexCallRoutes() {
   for (const call_route &Route : Fleet.Routes)
-    CallRoutesByHost[plainHost(Route.Host)].push_back(&Route);
+    CallRoutesByHost[normaliseHost(Route.Host)].push_back(&Route);
   for (auto &[Host, Routes] : CallRoutesByHost)
     std::sort(Routes.begin(), Routes.end(), [](const call_route *A, const call_route *B) {
       return A->PathPrefix.size() > B->PathPrefix.size();
@@ -98,7 +98,7 @@
 
 const call_route *declaration_index::findCallRoute(std::string_view Host,
                                                    std::string_view Path) const {
-  const auto Routes = CallRoutesByHost.find(plainHost(Host));
+  const auto Routes = CallRoutesByHost.find(normaliseHost(Host));
   if (Routes == CallRoutesByHost.end())
     return nullptr;
   for (const call_route *Route : Routes->second)
@@ -108,24 +108,24 @@
 }
 
 const account_declaration *declaration_index::findAccount(std::string_view KeyHash) const {
-  return valueAt(AccountByKey, KeyHash);
+  return lookUp(AccountByKey, KeyHash);
 }
 
 const account_declaration *
 declaration_index::findAccountByName(const client_account_name &Name) const {
-  return valueAt(AccountByName, Name.str());
+  return lookUp(AccountByName, Name.str());
 }
 
 const service_declaration *declaration_index::findModel(std::string_view Model) const {
-  return valueAt(ServiceByModel, Model);
+  return lookUp(ServiceByModel, Model);
 }
 
 const service_declaration *declaration_index::findService(const service_name &Name) const {
-  return valueAt(ServiceByName, Name.str());
+  return lookUp(ServiceByName, Name.str());
 }
 
 const group_declaration *declaration_index::findGroup(const group_name &Name) const {
-  return valueAt(GroupByName, Name.str());
+  return lookUp(GroupByName, Name.str());
 }
 
 std::optional<route_match> declaration_index::findRoute(std::string_view Host,
@@ -134,38 +134,38 @@
   const auto Path = normalisePath(Target);
   if (!Path)
     return std::nullopt;
-  // Some servers take "post" for POST; it must not slip past a route that names POST.
+  // Some servers treat "post" as POST, so it must match a route that names POST.
   const std::string UpperMethod = asciiUpper(Method);
-  const std::string Named = plainHost(Host);
-  if (!Named.empty())
-    if (const auto Match = findIn(Named, *Path, UpperMethod))
+  const std::string HostName = normaliseHost(Host);
+  if (!HostName.empty())
+    if (const auto Match = findRouteForHost(HostName, *Path, UpperMethod))
       return Match;
-  return findIn("", *Path, UpperMethod);
+  return findRouteForHost("", *Path, UpperMethod);
 }
 
-std::optional<route_match> declaration_index::findIn(const std::string &Host,
-                                                     const std::string &Path,
-                                                     const std::string &Method) const {
+std::optional<route_match> declaration_index::findRouteForHost(const std::string &Host,
+                                                               const std::string &Path,
+                                                               const std::string &Method) const {
   const auto Routes = RoutesByHost.find(Host);
   if (Routes == RoutesByHost.end())
     return std::nullopt;
   for (const indexed_route &Candidate : Routes->second)
-    if (coversPath(Candidate.Route->PathPrefix, Path) && takesMethod(*Candidate.Route, Method))
+    if (coversPath(Candidate.Route->PathPrefix, Path) && acceptsMethod(*Candidate.Route, Method))
       return route_match{Candidate.Service, Candidate.Route, Candidate.Route->Idempotent};
   return std::nullopt;
 }
 
 const selector_declaration *declaration_index::select(const selector_input &Input) const {
-  const auto Selectors = SelectorsOf.find(Input.Service.str());
-  if (Selectors == SelectorsOf.end())
+  const auto Selectors = SelectorsByService.find(Input.Service.str());
+  if (Selectors == SelectorsByService.end())
     return nullptr;
   for (const selector_declaration *Selector : Selectors->second)
-    if (!missOf(*Selector, Input))
+    if (!findMismatch(*Selector, Input))
       return Selector;
   return nullptr;
 }
 
-bool carriesLabels(const label_set &Server, const label_set &Group) {
+bool hasAllLabels(const label_set &Server, const label_set &Group) {
   return std::all_of(Group.begin(), Group.end(), [&Server](const auto &Label) {
     const auto Found = Server.find(Label.first);
     return Found != Server.end() && Found->second == Label.second;
--- a/src/declaration/declaration_normal.cpp
+++ b/src/declaration/declaration_normalise.cpp
@@ -1,5 +1,5 @@
-/** @file declaration_normal.cpp Sorting and spelling of a declaration. */
-#include "declaration/declaration_normal_func.h"
+/** @file declaration_normalise.cpp Normalises the spelling and order of a declaration. */
+#include "declaration/declaration_normalise_func.h"
 
 #include "declaration/ascii_case_func.h"
 #include "declaration/request_path_func.h"
@@ -21,26 +21,26 @@
   Texts.erase(std::unique(Texts.begin(), Texts.end()), Texts.end());
 }
 
-bool routeBefore(const plain_route &A, const plain_route &B) {
+bool lessRoute(const plain_route &A, const plain_route &B) {
   return std::tie(A.Host, A.PathPrefix, A.Methods, A.Idempotent) <
          std::tie(B.Host, B.PathPrefix, B.Methods, B.Idempotent);
 }
 
-void spellRoute(plain_route &Route) {
+void normaliseRoute(plain_route &Route) {
   Route.Host = asciiLower(Route.Host);
   Route.PathPrefix = normalisePath(Route.PathPrefix).value_or(Route.PathPrefix);
   for (std::string &Method : Route.Methods)
     Method = asciiUpper(Method);
 }
 
-void orderService(service_declaration &Service) {
+void sortService(service_declaration &Service) {
   sortUnique(Service.Models);
   for (plain_route &Route : Service.Routes)
     sortUnique(Route.Methods);
-  std::sort(Service.Routes.begin(), Service.Routes.end(), routeBefore);
+  std::sort(Service.Routes.begin(), Service.Routes.end(), lessRoute);
 }
 
-void orderSelector(selector_declaration &Selector) {
+void sortSelector(selector_declaration &Selector) {
   sortUnique(Selector.Models);
   sortUnique(Selector.Accounts);
   sortByName(Selector.Headers);
@@ -53,7 +53,7 @@
 void normaliseSpelling(fleet_declaration &Fleet) {
   for (service_declaration &Service : Fleet.Services)
     for (plain_route &Route : Service.Routes)
-      spellRoute(Route);
+      normaliseRoute(Route);
   for (selector_declaration &Selector : Fleet.Selectors)
     for (header_match &Header : Selector.Headers)
       Header.Name = asciiLower(Header.Name);
@@ -61,9 +61,9 @@
 
 void normaliseOrder(fleet_declaration &Fleet) {
   for (service_declaration &Service : Fleet.Services)
-    orderService(Service);
+    sortService(Service);
   for (selector_declaration &Selector : Fleet.Selectors)
-    orderSelector(Selector);
+    sortSelector(Selector);
   for (account_declaration &Account : Fleet.Accounts)
     sortUnique(Account.KeyHashes);
   sortByName(Fleet.Services);
--- a/src/declaration/declaration_parse_func.h
+++ b/src/declaration/declaration_parse_func.h
@@ -13,17 +13,17 @@
 namespace pollenstall {
 
 /**
- * Reads and checks a declaration. Items whose order has no meaning come out sorted, and header
- * names, hosts and methods in one case, so that equal declarations compare equal.
+ * Parses and checks a declaration. Lists whose order has no meaning are sorted, and header names,
+ * hosts and methods get a uniform letter case, so that equivalent declarations compare equal.
  * @param Toml The text of the file.
- * @param FileName Only for the errors.
- * @return The declaration, or everything that is wrong with it: types, ranges and unknown keys
- * first; references between items only once those are right.
+ * @param FileName The file name for error messages.
+ * @return The declaration, or all its errors. Types, ranges and unknown keys are checked first;
+ * references between items are checked only if those are valid.
  */
 result<fleet_declaration, std::vector<declaration_error>>
 parseDeclaration(std::string_view Toml, std::string_view FileName);
 
-/// Reads a declaration from text of any format. @return The declaration, or what is wrong with it.
+/// Reads a declaration from text of any format. @return The declaration, or an error message.
 using declaration_reader =
     std::function<result<fleet_declaration, std::string>(const std::string &Text)>;
 
--- a/src/declaration/declaration_rule.cpp
+++ b/src/declaration/declaration_rule.cpp
@@ -1,4 +1,4 @@
-/** @file declaration_rule.cpp The rules for texts, each with its wording. */
+/** @file declaration_rule.cpp Validation rules for texts, each with its error text. */
 #include "declaration/declaration_rule_func.h"
 
 #include "declaration/request_path_func.h"
@@ -26,7 +26,7 @@
   return isLetter(Character) || isDigit(Character) || isOneOf(Character, "._-");
 }
 
-/// RFC 9110, 5.6.2.
+/// Token characters of RFC 9110, 5.6.2.
 bool isTokenCharacter(char Character) {
   return isLetter(Character) || isDigit(Character) || isOneOf(Character, "!#$%&'*+-.^_`|~");
 }
@@ -45,15 +45,17 @@
                     [](char C) { return isLetter(C) || isDigit(C) || isOneOf(C, ".-"); });
 }
 
-/// Written as it is matched, so that a prefix has one spelling; a trailing slash changes nothing.
+/// A prefix must be in normal form, so that it has only one spelling. A trailing slash is allowed
+/// and has no effect.
 bool isPathPrefix(const std::string &Text) {
   const auto Normal = normalisePath(Text);
   return Text.size() <= MaxTextLength && Normal && (*Normal == Text || *Normal + "/" == Text);
 }
 
 bool isHeaderValue(const std::string &Text) {
-  const bool Edged = !Text.empty() && Text.front() != ' ' && Text.back() != ' ';
-  return Edged && consistsOf(Text, MaxTextLength, [](char C) { return isVisible(C) || C == ' '; });
+  const bool Trimmed = !Text.empty() && Text.front() != ' ' && Text.back() != ' ';
+  return Trimmed &&
+         consistsOf(Text, MaxTextLength, [](char C) { return isVisible(C) || C == ' '; });
 }
 
 bool isKeyHash(const std::string &Text) {
--- a/src/declaration/declaration_rule_func.h
+++ b/src/declaration/declaration_rule_func.h
@@ -9,19 +9,19 @@
 
 namespace pollenstall {
 
-/// @return How the file writes a kind.
+/// @return The service kind as the file spells it.
 std::string_view kindText(service_kind Kind);
 
-/// @return How the file writes a spread.
+/// @return The spread as the file spells it.
 std::string_view spreadText(placement_spread Spread);
 
-const toml_text_rule &nameRule();        ///< Items, labels' keys.
+const toml_text_rule &nameRule();        ///< Item names and label keys.
 const toml_text_rule &kindRule();        ///< service_kind.
 const toml_text_rule &spreadRule();      ///< placement_spread.
-const toml_text_rule &modelRule();       ///< What callers write as "model".
-const toml_text_rule &labelValueRule();  ///< May be empty.
-const toml_text_rule &hostRule();        ///< No port; empty matches every host.
-const toml_text_rule &pathPrefixRule();  ///< Absolute, without query.
+const toml_text_rule &modelRule();       ///< A model name, as in a caller's "model" field.
+const toml_text_rule &labelValueRule();  ///< A label's value; may be empty.
+const toml_text_rule &hostRule();        ///< A host without port; empty matches every host.
+const toml_text_rule &pathPrefixRule();  ///< An absolute path without query.
 const toml_text_rule &methodRule();      ///< An HTTP token of letters.
 const toml_text_rule &headerNameRule();  ///< An HTTP token.
 const toml_text_rule &headerValueRule(); ///< Visible ASCII and inner spaces.
--- a/src/declaration/declaration_text.cpp
+++ b/src/declaration/declaration_text.cpp
@@ -1,4 +1,4 @@
-/** @file declaration_text.cpp The canonical text, built from one description of each item. */
+/** @file declaration_text.cpp Builds the canonical text from the description of each item. */
 #include "declaration/declaration_text_func.h"
 
 #include "declaration/declaration_diff_func.h"
@@ -33,7 +33,7 @@
 
 std::string flag(bool Value) { return Value ? "true" : "false"; }
 
-/// @return An inline table.
+/// @return A TOML inline table of the fields.
 std::string inlineTable(const std::vector<item_field> &Fields) {
   std::string Text;
   for (const item_field &Field : Fields)
@@ -156,11 +156,11 @@
 
 template <typename Item>
 void describeAll(const std::vector<Item> &Items, std::vector<item_description> &Into) {
-  for (const Item &One : Items)
-    Into.push_back(describeItem(One));
+  for (const Item &Element : Items)
+    Into.push_back(describeItem(Element));
 }
 
-std::string headingOf(const item_description &Item) {
+std::string tableHeading(const item_description &Item) {
   const std::string Table(itemText(Item.Item));
   if (Item.Name.empty())
     return "[" + Table + "]\n";
@@ -184,7 +184,7 @@
 std::string toCanonicalText(const fleet_declaration &Declaration) {
   std::string Text;
   for (const item_description &Item : describe(Declaration)) {
-    Text += (Text.empty() ? "" : "\n") + headingOf(Item);
+    Text += (Text.empty() ? "" : "\n") + tableHeading(Item);
     for (const item_field &Field : Item.Fields)
       Text += Field.Key + " = " + Field.Value + "\n";
   }
--- a/src/declaration/declaration_text_func.h
+++ b/src/declaration/declaration_text_func.h
@@ -10,13 +10,13 @@
 
 namespace pollenstall {
 
-/// A key of an item with its value as TOML.
+/// A key of an item with its value in TOML syntax.
 struct item_field {
   std::string Key;
   std::string Value;
 };
 
-/// One item of a declaration, every key written out.
+/// One item of a declaration with all its keys, including defaults.
 struct item_description {
   declaration_item Item{declaration_item::Service};
   std::string Name; ///< Empty for the policy and the limits.
@@ -27,8 +27,8 @@
 std::vector<item_description> describe(const fleet_declaration &Declaration);
 
 /**
- * @return TOML that parseDeclaration() reads back as an equal declaration. Every default is written
- * out, so that a later change of a default does not change what was accepted.
+ * @return TOML that parseDeclaration() reads back as an equal declaration. It includes every
+ * default, so that a later change of a default does not change an accepted declaration.
  */
 std::string toCanonicalText(const fleet_declaration &Declaration);
 
--- a/src/declaration/declaration_type.h
+++ b/src/declaration/declaration_type.h
@@ -15,19 +15,19 @@
 
 namespace pollenstall {
 
-/// Labels that a backend server announces; a group holds the servers that carry all of its own.
+/// Labels that a backend server announces. A group contains the servers that have all its labels.
 using label_set = std::map<std::string, std::string>;
 
-/// What stands behind a service.
+/// Kind of backend servers of a service.
 enum class service_kind : std::uint8_t {
-  Model, ///< Engines with the chat/completions interface.
-  Plain, ///< Any HTTP service, found by host or path prefix.
+  Model, ///< Engines with the chat/completions API.
+  Plain, ///< Any HTTP service, routed by host or path prefix.
 };
 
-/// Sends a plain call to a service; the longest matching prefix of the first matching host wins.
+/// Routes a plain call to a service. The longest matching prefix of the first matching host wins.
 struct plain_route {
   std::string Host;                 ///< Host header without port; empty matches every host.
-  std::string PathPrefix;           ///< Starts with "/"; matches at segment borders.
+  std::string PathPrefix;           ///< Starts with "/"; matches whole path segments.
   std::vector<std::string> Methods; ///< Empty matches every method.
   bool Idempotent{true};            ///< False: the call runs at most once.
 
@@ -38,15 +38,15 @@
 struct service_declaration {
   service_name Name;
   service_kind Kind{service_kind::Model};
-  std::vector<model_name> Models;                   ///< What callers may write as "model".
+  std::vector<model_name> Models;                   ///< Accepted values of "model" in a request.
   std::vector<plain_route> Routes;                  ///< For plain services.
-  std::chrono::milliseconds DefaultTimeout{60'000}; ///< Where the caller names none.
-  std::chrono::milliseconds MaxTimeout{900'000};    ///< A caller's longer timeout is cut to this.
-  tokens MaxPrompt{1'000'000};                      ///< A longer prompt is refused.
-  tokens MaxAnswer{8'192};                          ///< A caller's larger max_tokens is refused.
-  byte_count MaxBody{16LL << 20};                   ///< A larger body is refused.
-  std::optional<engine_figures> Engine;             ///< Where its engines' figures are declared.
-  std::uint32_t ConnectionLimit{0};                 ///< Of one server, for all callers; 0: none.
+  std::chrono::milliseconds DefaultTimeout{60'000}; ///< Used if the caller sets none.
+  std::chrono::milliseconds MaxTimeout{900'000};    ///< A longer timeout is reduced to this.
+  tokens MaxPrompt{1'000'000};                      ///< A longer prompt is rejected.
+  tokens MaxAnswer{8'192};                          ///< A larger max_tokens is rejected.
+  byte_count MaxBody{16LL << 20};                   ///< A larger body is rejected.
+  std::optional<engine_profile> Engine;             ///< Performance of its engines, if declared.
+  std::uint32_t ConnectionLimit{0}; ///< Connections to one server, from all callers; 0: no limit.
 
   bool operator==(const service_declaration &) const = default;
 };
@@ -55,32 +55,31 @@
 struct group_declaration {
   group_name Name;
   service_name Service;
-  label_set Labels; ///< A server belongs where it carries all of these.
+  label_set Labels; ///< A server belongs to the group if it has all of these.
 
   bool operator==(const group_declaration &) const = default;
 };
 
-/// A group with its part of the traffic of a selector.
+/// A group with its weight in a selector.
 struct group_share {
   group_name Group;
-  std::uint32_t Weight{
-      1}; ///< 0 takes part only when every other group of the selector has no server.
+  std::uint32_t Weight{1}; ///< 0: used only if no other group of the selector has a server.
 
   bool operator==(const group_share &) const = default;
 };
 
 /// A header that a request must carry.
 struct header_match {
-  std::string Name;  ///< Compared without case.
+  std::string Name;  ///< Compared ignoring case.
   std::string Value; ///< Compared exactly.
 
   bool operator==(const header_match &) const = default;
 };
 
-/// Tested in order; the first whose conditions all hold decides the groups.
+/// Selectors are tested in order; the first whose conditions all hold selects the groups.
 struct selector_declaration {
   selector_name Name;
-  service_name Service;                      ///< Which service's requests it is tested on.
+  service_name Service;                      ///< Only requests of this service are tested.
   std::vector<model_name> Models;            ///< Empty matches every model.
   std::vector<client_account_name> Accounts; ///< Empty matches every account.
   std::vector<header_match> Headers;         ///< All must match.
@@ -92,60 +91,60 @@
 };
 
 struct placement_tag {};
-/// A declared placement of copies.
+/// Name of a declared placement.
 using placement_name = strong_text<placement_tag>;
 
-/// Whether copies go into different failure domains first.
+/// Whether copies are spread over failure domains first.
 enum class placement_spread : std::uint8_t { Domains, None };
 
-/// So many copies of a model on the engines of a group; orders bring them there.
+/// The number of copies of a model on the engines of a group. Load and unload orders establish it.
 struct placement_declaration {
   placement_name Name;
   service_name Service;
   group_name Group;
   model_name Model;
-  std::string Version;     ///< Of the weights; empty where the model has no versions.
-  std::uint32_t Copies{1}; ///< 0 takes the model off the group.
+  std::string Version;     ///< Version of the weights; empty if the model has no versions.
+  std::uint32_t Copies{1}; ///< 0 removes the model from the group.
   placement_spread Spread{placement_spread::Domains};
 
   bool operator==(const placement_declaration &) const = default;
 };
 
-/// Who calls, and with what share of the fleet.
+/// A client account with its share of the fleet.
 struct account_declaration {
   client_account_name Name;
-  std::vector<std::string> KeyHashes;      ///< SHA-256 of each bearer key, lower-case hex.
-  std::uint32_t Share{1};                  ///< Relative share by cost when the fleet is busy.
-  std::uint32_t MaxQueued{256};            ///< Requests of the account that wait at one entry.
-  std::optional<std::uint32_t> Priority{}; ///< Goes before the route's; 0 is the most urgent.
+  std::vector<std::string> KeyHashes; ///< SHA-256 of each bearer key, lower-case hex.
+  std::uint32_t Share{1};             ///< Relative share, by cost, while the fleet is saturated.
+  std::uint32_t MaxQueued{256};       ///< Requests of the account that may queue at one entry.
+  std::optional<std::uint32_t> Priority{}; ///< Overrides the route's; 0 is the most urgent.
 
   bool operator==(const account_declaration &) const = default;
 };
 
-/// How classes of length are weighed against each other.
+/// Scheduling policy for the prompt length classes.
 struct policy_declaration {
-  tokens ShortBelow{8'000};          ///< Prompts below are short.
-  tokens LongFrom{100'000};          ///< Prompts from here are long; between lies medium.
-  double ShortWeight{1.0};           ///< Weight of the slowdown of short requests.
-  double LongWeight{1.0};            ///< Weight of the time to first token of long requests.
-  std::uint32_t MaxLongPerEngine{1}; ///< Long prefills on one engine at once.
-  double LongEngineShare{0.34};      ///< Largest part of a group's engines that take long work.
+  tokens ShortBelow{8'000}; ///< Shorter prompts are class short.
+  tokens LongFrom{100'000}; ///< Prompts of at least this length are long; those between are medium.
+  double ShortWeight{1.0};  ///< Weight of the slowdown of short requests.
+  double LongWeight{1.0};   ///< Weight of the time to first token of long requests.
+  std::uint32_t MaxLongPerEngine{1}; ///< Concurrent long prefills on one engine.
+  double LongEngineShare{0.34}; ///< Largest fraction of a group's engines that run long requests.
 
   bool operator==(const policy_declaration &) const = default;
 };
 
-/// Bounds that protect the fleet.
+/// Limits that protect the fleet from overload.
 struct limits_declaration {
-  std::uint32_t MaxQueued{2'048}; ///< Requests that wait at one entry.
-  std::uint32_t MaxAttempts{3};   ///< Attempts of one request.
-  std::uint32_t RetryPercent{10}; ///< Retries per hundred first attempts.
-  std::uint32_t EjectPercent{30}; ///< Backend servers of a group set aside at most.
-  std::chrono::milliseconds ClaimLifetime{86'400'000}; ///< How long a claim on a key is kept.
+  std::uint32_t MaxQueued{2'048}; ///< Requests that may queue at one entry.
+  std::uint32_t MaxAttempts{3};   ///< Attempts allowed for one request.
+  std::uint32_t RetryPercent{10}; ///< Retry budget: retries per hundred first attempts.
+  std::uint32_t EjectPercent{30}; ///< Largest ejected part of a group's backend servers.
+  std::chrono::milliseconds ClaimLifetime{86'400'000}; ///< Retention of the claim on a key.
 
   bool operator==(const limits_declaration &) const = default;
 };
 
-/// The whole of what operators declare; one text file, one revision.
+/// The complete declaration of a fleet: one text file, one revision.
 struct fleet_declaration {
   std::vector<service_declaration> Services;
   std::vector<group_declaration> Groups;
--- a/src/declaration/declaration_warning.cpp
+++ b/src/declaration/declaration_warning.cpp
@@ -1,4 +1,5 @@
-/** @file declaration_warning.cpp What is allowed but hardly meant, and the texts of errors. */
+/** @file declaration_warning.cpp Finds probable mistakes in a valid declaration and formats errors.
+ */
 #include "declaration/declaration_check_func.h"
 #include "declaration/selection_func.h"
 
@@ -10,8 +11,9 @@
 
 using warnings = std::vector<declaration_warning>;
 
-/// An earlier selector of the same service that matches whatever this one matches.
-const selector_declaration *shadowOf(const fleet_declaration &Fleet, std::size_t Index) {
+/// @return An earlier selector of the same service that matches every request that this one does,
+/// or null.
+const selector_declaration *findShadowing(const fleet_declaration &Fleet, std::size_t Index) {
   const selector_declaration &Selector = Fleet.Selectors[Index];
   for (std::size_t Earlier = 0; Earlier < Index; ++Earlier)
     if (covers(Fleet.Selectors[Earlier], Selector))
@@ -19,13 +21,13 @@
   return nullptr;
 }
 
-void warnOfSelectors(const fleet_declaration &Fleet, warnings &Warnings) {
+void checkSelectorReach(const fleet_declaration &Fleet, warnings &Warnings) {
   for (std::size_t I = 0; I < Fleet.Selectors.size(); ++I) {
     const selector_declaration &Selector = Fleet.Selectors[I];
     const std::string Item = "selector " + Selector.Name.str();
-    if (const auto *Shadow = shadowOf(Fleet, I))
-      Warnings.push_back({Item, "is never reached: selector " + Shadow->Name.str() +
-                                    " before it matches all that it matches"});
+    if (const auto *Shadowing = findShadowing(Fleet, I))
+      Warnings.push_back({Item, "is never reached: selector " + Shadowing->Name.str() +
+                                    " before it matches every request that it matches"});
     const auto Service =
         std::find_if(Fleet.Services.begin(), Fleet.Services.end(),
                      [&](const service_declaration &S) { return S.Name == Selector.Service; });
@@ -35,7 +37,7 @@
   }
 }
 
-bool isNamed(const fleet_declaration &Fleet, const group_name &Group) {
+bool isReferenced(const fleet_declaration &Fleet, const group_name &Group) {
   return std::any_of(Fleet.Selectors.begin(), Fleet.Selectors.end(), [&](const auto &Selector) {
     return std::any_of(Selector.Groups.begin(), Selector.Groups.end(),
                        [&](const group_share &Share) { return Share.Group == Group; });
@@ -50,10 +52,10 @@
     Warnings.push_back({"declaration", "declares no service: every request is refused"});
   if (!Declaration.Services.empty() && Declaration.Accounts.empty())
     Warnings.push_back({"declaration", "declares no account: every request is refused"});
-  warnOfSelectors(Declaration, Warnings);
+  checkSelectorReach(Declaration, Warnings);
   for (const group_declaration &Group : Declaration.Groups)
-    if (!isNamed(Declaration, Group.Name))
-      Warnings.push_back({"group " + Group.Name.str(), "is named by no selector"});
+    if (!isReferenced(Declaration, Group.Name))
+      Warnings.push_back({"group " + Group.Name.str(), "is not used by any selector"});
   for (const account_declaration &Account : Declaration.Accounts)
     if (Account.KeyHashes.empty())
       Warnings.push_back({"account " + Account.Name.str(), "has no key and so cannot call"});
--- a/src/declaration/request_path.cpp
+++ b/src/declaration/request_path.cpp
@@ -1,4 +1,5 @@
-/** @file request_path.cpp Percent-decoding and dot segments (RFC 3986, 5.2.4 and 6.2.2). */
+/** @file request_path.cpp Decodes percent-encoding and resolves dot segments (RFC 3986, 5.2.4
+ * and 6.2.2). */
 #include "declaration/request_path_func.h"
 
 #include <vector>
@@ -27,23 +28,25 @@
   return Byte < FirstPrintable || Byte == Delete;
 }
 
-/// A backend server that decodes an encoded separator sees other segments than we do.
+/// A backend server that decodes an encoded separator splits the path into other segments than this
+/// code.
 bool isSeparator(char Character) { return Character == '/' || Character == '\\'; }
 
-/// @return The decoded segment, or nothing where it is badly encoded or hides a separator.
+/// @return The decoded segment, or nothing if its encoding is invalid or it contains a separator or
+/// a control character.
 std::optional<std::string> decodeSegment(std::string_view Segment) {
   std::string Decoded;
-  for (std::size_t At = 0; At < Segment.size(); ++At) {
-    char Character = Segment[At];
+  for (std::size_t Index = 0; Index < Segment.size(); ++Index) {
+    char Character = Segment[Index];
     if (Character == '%') {
-      if (Segment.size() - At < 3)
+      if (Segment.size() - Index < 3)
         return std::nullopt;
-      const auto High = hexDigit(Segment[At + 1]);
-      const auto Low = hexDigit(Segment[At + 2]);
+      const auto High = hexDigit(Segment[Index + 1]);
+      const auto Low = hexDigit(Segment[Index + 2]);
       if (!High || !Low)
         return std::nullopt;
       Character = static_cast<char>((*High << BitsOfHexDigit) | *Low);
-      At += 2;
+      Index += 2;
     }
     if (isControl(Character) || isSeparator(Character))
       return std::nullopt;
@@ -52,7 +55,8 @@
   return Decoded;
 }
 
-/// Adds a segment to those that lead to it. @return False where it climbs above the root.
+/// Appends a segment to a path and resolves "." and "..". @return False if the path leads above the
+/// root.
 bool appendSegment(std::vector<std::string> &Segments, std::string Segment) {
   if (Segment.empty() || Segment == ".")
     return true;
@@ -66,7 +70,7 @@
   return true;
 }
 
-std::string joined(const std::vector<std::string> &Segments) {
+std::string joinSegments(const std::vector<std::string> &Segments) {
   std::string Path;
   for (const std::string &Segment : Segments)
     Path += "/" + Segment;
@@ -76,19 +80,19 @@
 } // namespace
 
 std::optional<std::string> normalisePath(std::string_view Target) {
-  std::string_view Rest = Target.substr(0, Target.find_first_of("?#"));
-  if (Rest.empty() || Rest.front() != '/')
+  std::string_view Remaining = Target.substr(0, Target.find_first_of("?#"));
+  if (Remaining.empty() || Remaining.front() != '/')
     return std::nullopt;
   std::vector<std::string> Segments;
-  while (!Rest.empty()) {
-    Rest.remove_prefix(1);
-    const std::string_view Segment = Rest.substr(0, Rest.find('/'));
-    Rest.remove_prefix(Segment.size());
+  while (!Remaining.empty()) {
+    Remaining.remove_prefix(1);
+    const std::string_view Segment = Remaining.substr(0, Remaining.find('/'));
+    Remaining.remove_prefix(Segment.size());
     auto Decoded = decodeSegment(Segment.substr(0, Segment.find(';')));
     if (!Decoded || !appendSegment(Segments, std::move(*Decoded)))
       return std::nullopt;
   }
-  return joined(Segments);
+  return joinSegments(Segments);
 }
 
 bool coversPath(std::string_view Prefix, std::string_view Path) {
--- a/src/declaration/request_path_func.h
+++ b/src/declaration/request_path_func.h
@@ -9,17 +9,18 @@
 namespace pollenstall {
 
 /**
- * Brings a request target into the form that a backend server may reduce it to, so that another
- * spelling of a non-idempotent path cannot match an idempotent route and be retried.
- * Percent-encoding is decoded once; empty segments, "." and path parameters (";…") are dropped;
- * ".." is resolved; query and fragment are cut off.
+ * Normalises a request target as a backend server may do, so that another spelling of a
+ * non-idempotent path cannot match an idempotent route and be retried.
+ * Percent-encoding is decoded once; empty segments, "." and path parameters (";…") are removed;
+ * ".." is resolved; query and fragment are removed.
  * @param Target The request target in origin form.
- * @return "/a/b" without a trailing slash ("/" for the root), or nothing where the target is not
- * absolute, climbs above the root, is badly encoded, or hides a separator or a control character.
+ * @return "/a/b" without a trailing slash ("/" for the root), or nothing if the target is not
+ * absolute, leads above the root, has an invalid percent-encoding, or has a backslash, an encoded
+ * separator or a control character.
  */
 std::optional<std::string> normalisePath(std::string_view Target);
 
-/// @return Whether Prefix, in normal form, covers Path at a border of segments.
+/// @return Whether Prefix, in normal form, matches whole leading segments of Path.
 bool coversPath(std::string_view Prefix, std::string_view Path);
 
 } // namespace pollenstall
--- a/src/declaration/selection_func.h
+++ b/src/declaration/selection_func.h
@@ -10,26 +10,26 @@
 
 namespace pollenstall {
 
-/// @return The condition that did not hold, or nothing where the selector matches; the service is
-/// not looked at.
-std::optional<selector_miss> missOf(const selector_declaration &Selector,
-                                    const selector_input &Input);
+/// @return The first condition that does not hold, or nothing if the selector matches. The service
+/// is not compared.
+std::optional<selector_mismatch> findMismatch(const selector_declaration &Selector,
+                                              const selector_input &Input);
 
 /**
- * Tests the selectors of the request's service in order and says why each earlier one was passed
- * over. Entries use declaration_index::select(), which keeps no such account.
+ * Tests the selectors of the request's service in order and records why each earlier one did not
+ * match. Entries use declaration_index::select(), which records no mismatches.
  */
 selection select(const fleet_declaration &Declaration, const selector_input &Input);
 
-/// @return Whether the selector has no conditions but its service.
+/// @return Whether the selector has no conditions other than its service.
 bool matchesEverything(const selector_declaration &Selector);
 
-/// @return Whether A matches every request that B matches, as far as each condition alone tells.
+/// @return Whether A matches every request that B matches, with each condition compared on its own.
 bool covers(const selector_declaration &A, const selector_declaration &B);
 
-/// @return One sentence for operators: which condition the request did not meet.
-std::string explainMiss(const selector_miss &Miss, const selector_declaration &Selector,
-                        const selector_input &Input);
+/// @return One sentence for operators that names the condition the request does not meet.
+std::string explainMismatch(const selector_mismatch &Miss, const selector_declaration &Selector,
+                            const selector_input &Input);
 
 } // namespace pollenstall
 
--- a/src/fleet_model/engine_model.cpp
+++ b/src/fleet_model/engine_model.cpp
@@ -31,8 +31,8 @@
 
 void engine_model::takePart(std::size_t Number, double Tokens, double Prompt) {
   // A part has its share of the pairs of the whole prompt: on average half of it lies before.
-  const double PerToken =
-      Thousand / Figures.ReadPerSecond + Prompt / 2.0 / Million * Figures.PairsMs;
+  const double PerToken = Thousand / Figures.PrefillTokensPerSecond +
+                          Prompt / 2.0 / Million * Figures.MsPerMillionPairs;
   Parts.push_back({Number, Tokens, 0, PerToken});
 }
 
@@ -105,7 +105,7 @@
 
 void engine_model::admit() {
   const auto Memory = static_cast<double>(Figures.Memory.value());
-  while (!Waiting.empty() && Running.size() < Figures.Places) {
+  while (!Waiting.empty() && Running.size() < Figures.BatchSlots) {
     active_job &Entry = Waiting.front();
     if (memoryUsed() + Entry.Job.Prompt - Entry.Job.HeldElsewhere + Entry.Job.Answer > Memory)
       return;
@@ -119,7 +119,8 @@
   // Alone, a token meets those before it; one of several readers has its share of all pairs.
   const double Before =
       Entry.Job.Readers > 1 ? Entry.Job.Prompt / 2.0 : Own - Entry.ToRead + Tokens / 2.0;
-  return Tokens / Figures.ReadPerSecond * Thousand + Tokens * Before / Million * Figures.PairsMs;
+  return Tokens / Figures.PrefillTokensPerSecond * Thousand +
+         Tokens * Before / Million * Figures.MsPerMillionPairs;
 }
 
 double engine_model::readParts(double &Budget) {
@@ -155,7 +156,7 @@
     StepMs += Figures.PerSequenceMs + contextHere(Entry) / Thousand * Figures.PerContextMs;
   }
   const double Steps = Writes ? static_cast<double>(Figures.StepsPerPass) : 1.0;
-  double Budget = Steps * static_cast<double>(Figures.Chunk.value());
+  double Budget = Steps * static_cast<double>(Figures.PrefillChunk.value());
   const double PrefillMs = readParts(Budget) + readJobs(Budget);
   Spent.Read += PrefillMs;
   Spent.Write += Writes ? Steps * StepMs : 0;
--- a/src/fleet_model/engine_model_base.h
+++ b/src/fleet_model/engine_model_base.h
@@ -44,7 +44,7 @@
 class engine_model {
 public:
   /// @param TokensPerEvent Written by a stream in one pass.
-  engine_model(const engine_figures &Declared, double TokensPerEvent)
+  engine_model(const engine_profile &Declared, double TokensPerEvent)
       : Figures(Declared), EventTokens(TokensPerEvent) {}
 
   void take(const engine_job &Job);
@@ -99,7 +99,7 @@
   double readParts(double &Budget);
   double readJobs(double &Budget);
 
-  engine_figures Figures;
+  engine_profile Figures;
   double EventTokens;
   bool InPass{false};
   std::list<active_job> Running; ///< By urgency and age.
--- a/src/fleet_model/entry_policy.cpp
+++ b/src/fleet_model/entry_policy.cpp
@@ -19,7 +19,7 @@
   for (const request_kind &Kind : Load.Kinds) {
     call_route Route;
     Route.Name = Kind.Name;
-    Route.Repeat = repeat_rule::Resume;
+    Route.RetryMode = retry_mode::Resume;
     Route.Target = std::chrono::milliseconds(static_cast<std::int64_t>(Kind.TargetMs));
     Route.LongestGap = std::chrono::milliseconds(static_cast<std::int64_t>(Kind.GapMs));
     Route.Services = {{modelService(), 1}};
--- a/src/fleet_model/fleet_run.cpp
+++ b/src/fleet_model/fleet_run.cpp
@@ -32,7 +32,7 @@
 }
 
 backend_listing listingOf(std::size_t Engine, std::uint64_t Incarnation,
-                          const engine_figures &Figures) {
+                          const engine_profile &Figures) {
   const instance_name Name("engine-" + std::to_string(Engine) + "-" + std::to_string(Incarnation));
   // Padded, so that the order of addresses is that of numbers.
   const std::string Port = std::to_string(10'000 + Engine);
@@ -40,7 +40,7 @@
   Listing.Key = keyOf(backend_address("10.0.0.1:" + Port), {Name, {}});
   Listing.Instance = Name;
   Listing.Service = modelService();
-  Listing.Slots = Figures.Places;
+  Listing.Slots = Figures.BatchSlots;
   return Listing;
 }
 
--- a/src/fleet_model/model_load.cpp
+++ b/src/fleet_model/model_load.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-using faults = std::vector<toml_fault>;
+using faults = std::vector<toml_error>;
 
 constexpr toml_range<double> Positive{1e-6, 1e9};
 constexpr toml_range<double> Amount{0, 1e9};
@@ -22,18 +22,21 @@
   return {"a name", [](const std::string &Text) { return !Text.empty(); }};
 }
 
-engine_figures readEngine(toml_reader &Table) {
-  engine_figures Figures;
-  Figures.Places = static_cast<std::uint32_t>(Table.whole("places", Count, Figures.Places));
-  Figures.Memory = tokens(Table.whole("memory_tokens", Tokens, 315'000));
+engine_profile readEngine(toml_reader &Table) {
+  engine_profile Figures;
+  Figures.BatchSlots =
+      static_cast<std::uint32_t>(Table.integer("places", Count, Figures.BatchSlots));
+  Figures.Memory = tokens(Table.integer("memory_tokens", Tokens, 315'000));
   Figures.StepsPerPass =
-      static_cast<std::uint32_t>(Table.whole("steps_per_pass", Steps, Figures.StepsPerPass));
+      static_cast<std::uint32_t>(Table.integer("steps_per_pass", Steps, Figures.StepsPerPass));
   Figures.StepMs = Table.number("step_ms", Positive, Figures.StepMs);
   Figures.PerSequenceMs = Table.number("per_sequence_ms", Amount, Figures.PerSequenceMs);
   Figures.PerContextMs = Table.number("per_context_ms", Amount, Figures.PerContextMs);
-  Figures.ReadPerSecond = Table.number("read_per_second", Positive, Figures.ReadPerSecond);
-  Figures.PairsMs = Table.number("pairs_ms", Amount, Figures.PairsMs);
-  Figures.Chunk = tokens(Table.whole("chunk_tokens", Tokens, Figures.Chunk.value()));
+  Figures.PrefillTokensPerSecond =
+      Table.number("read_per_second", Positive, Figures.PrefillTokensPerSecond);
+  Figures.MsPerMillionPairs = Table.number("pairs_ms", Amount, Figures.MsPerMillionPairs);
+  Figures.PrefillChunk =
+      tokens(Table.integer("chunk_tokens", Tokens, Figures.PrefillChunk.value()));
   Table.finish("an engine");
   return Figures;
 }
@@ -48,7 +51,7 @@
 
 request_kind readKind(toml_reader &Table) {
   request_kind Kind;
-  Kind.Name = Table.text("name", toml_need::Required, anyName());
+  Kind.Name = Table.text("name", toml_presence::Required, anyName());
   Kind.PerSecond = Table.number("per_second", Positive, Kind.PerSecond);
   Kind.Prompt = readSize(Table, "prompt_tokens", 1'000);
   Kind.Events = readSize(Table, "answer_events", 1);
@@ -56,7 +59,7 @@
   Kind.GapMs = Table.number("gap_ms", Positive, Kind.GapMs);
   Kind.TimeoutMs = Table.number("timeout_ms", Positive, Kind.TimeoutMs);
   Kind.PatienceMs = Table.number("patience_ms", Amount, Kind.PatienceMs);
-  Kind.Urgency = static_cast<std::uint32_t>(Table.whole("urgency", Urgencies, Kind.Urgency));
+  Kind.Urgency = static_cast<std::uint32_t>(Table.integer("urgency", Urgencies, Kind.Urgency));
   Kind.Worth = Table.number("worth", Amount, Kind.Worth);
   Kind.LateWorth = Table.number("late_worth", Amount, Kind.LateWorth);
   Table.finish("a kind of request");
@@ -65,7 +68,7 @@
 
 load_phase readPhase(toml_reader &Table) {
   load_phase Phase;
-  Phase.Kind = Table.text("kind", toml_need::Optional, anyName());
+  Phase.Kind = Table.text("kind", toml_presence::Optional, anyName());
   Phase.From = Table.number("from_s", Amount, Phase.From);
   Phase.Until = Table.number("until_s", Amount, Phase.Until);
   Phase.Factor = Table.number("factor", Amount, Phase.Factor);
@@ -86,7 +89,7 @@
   entry_loss Loss;
   Loss.At = Table.number("at_s", Amount, Loss.At);
   Loss.For = Table.number("for_s", Amount, Loss.For);
-  Loss.Count = static_cast<std::size_t>(Table.whole("count", Count, 1));
+  Loss.Count = static_cast<std::size_t>(Table.integer("count", Count, 1));
   Table.finish("a loss of entries");
   return Loss;
 }
@@ -103,11 +106,11 @@
   Tuning.HeadroomPart = Table.number("room_part", Part, Tuning.HeadroomPart);
   Tuning.LongPartMs = Table.number("long_part_ms", Amount, Tuning.LongPartMs);
   Tuning.MaxPrefillEngines =
-      static_cast<std::uint32_t>(Table.whole("most_readers", Count, Tuning.MaxPrefillEngines));
+      static_cast<std::uint32_t>(Table.integer("most_readers", Count, Tuning.MaxPrefillEngines));
   Tuning.SpareSlots =
-      static_cast<std::uint32_t>(Table.whole("spare_places", Urgencies, Tuning.SpareSlots));
+      static_cast<std::uint32_t>(Table.integer("spare_places", Urgencies, Tuning.SpareSlots));
   Tuning.MinPackedChoices = static_cast<std::size_t>(
-      Table.whole("packed_choices", Count, static_cast<std::int64_t>(Tuning.MinPackedChoices)));
+      Table.integer("packed_choices", Count, static_cast<std::int64_t>(Tuning.MinPackedChoices)));
   Tuning.ChoicesPerUnknown = Table.number("choices_per_unknown", Amount, Tuning.ChoicesPerUnknown);
   Table.finish("placement's tuning");
 }
@@ -137,11 +140,11 @@
   faults Faults;
   toml_reader Table(valueOf(Root), "", Faults);
   model_load Load;
-  Load.Name = Table.text("name", toml_need::Required, anyName());
+  Load.Name = Table.text("name", toml_presence::Required, anyName());
   Load.Seconds = Table.number("seconds", Positive, Load.Seconds);
-  Load.Entries = static_cast<std::size_t>(Table.whole("entries", Count, 8));
-  Load.Engines = static_cast<std::size_t>(Table.whole("engines", Count, 18));
-  Load.Domains = static_cast<std::size_t>(Table.whole("domains", Count, 3));
+  Load.Entries = static_cast<std::size_t>(Table.integer("entries", Count, 8));
+  Load.Engines = static_cast<std::size_t>(Table.integer("engines", Count, 18));
+  Load.Domains = static_cast<std::size_t>(Table.integer("domains", Count, 3));
   Load.ReportDelayMs = Table.number("report_delay_ms", Amount, Load.ReportDelayMs);
   Load.ReportLoss = Table.number("report_loss", Part, Load.ReportLoss);
   Load.HostDelayMs = Table.number("host_delay_ms", Amount, Load.HostDelayMs);
@@ -150,13 +153,13 @@
   Load.TokensPerEvent = Table.number("tokens_per_event", Positive, Load.TokensPerEvent);
   if (auto Engine = Table.table("engine"))
     Load.Engine = readEngine(*Engine);
-  for (toml_reader &Kind : Table.tables("kind", toml_need::Required))
+  for (toml_reader &Kind : Table.tables("kind", toml_presence::Required))
     Load.Kinds.push_back(readKind(Kind));
-  for (toml_reader &Phase : Table.tables("phase", toml_need::Optional))
+  for (toml_reader &Phase : Table.tables("phase", toml_presence::Optional))
     Load.Phases.push_back(readPhase(Phase));
-  for (toml_reader &Loss : Table.tables("loss", toml_need::Optional))
+  for (toml_reader &Loss : Table.tables("loss", toml_presence::Optional))
     Load.Losses.push_back(readLoss(Loss));
-  for (toml_reader &Loss : Table.tables("entry_loss", toml_need::Optional))
+  for (toml_reader &Loss : Table.tables("entry_loss", toml_presence::Optional))
     Load.EntryLosses.push_back(readEntryLoss(Loss));
   if (auto Tuning = Table.table("tuning"))
     readTuning(*Tuning, Load.Tuning);
--- a/src/fleet_model/model_load_func.h
+++ b/src/fleet_model/model_load_func.h
@@ -12,7 +12,7 @@
 namespace pollenstall {
 
 /// @return The load, or each key that is not as it should be. Unknown keys are refused by name.
-result<model_load, std::vector<toml_fault>> parseModelLoad(std::string_view Text);
+result<model_load, std::vector<toml_error>> parseModelLoad(std::string_view Text);
 
 } // namespace pollenstall
 
--- a/src/fleet_model/model_load_type.h
+++ b/src/fleet_model/model_load_type.h
@@ -68,7 +68,7 @@
   double HostDelayMs{0.5};   ///< One way, between hosts, and from an entry to an engine.
   double CallerDelayMs{1.0}; ///< One way, between callers and entries.
   double ReturnChance{1.0};  ///< Of a caller that was refused; it comes once, when it was told to.
-  engine_figures Engine;
+  engine_profile Engine;
   double TokensPerEvent{51};
   std::vector<request_kind> Kinds;
   std::vector<load_phase> Phases;
--- a/src/placement/pass_model.cpp
+++ b/src/placement/pass_model.cpp
@@ -10,13 +10,14 @@
 
 } // namespace
 
-double prefillMs(const engine_figures &Figures, tokens Prompt) {
+double prefillMs(const engine_profile &Figures, tokens Prompt) {
   const auto Count = static_cast<double>(Prompt.value());
   const double Pairs = Count * Count / 2.0;
-  return Count / Figures.ReadPerSecond * Thousand + Pairs / Million * Figures.PairsMs;
+  return Count / Figures.PrefillTokensPerSecond * Thousand +
+         Pairs / Million * Figures.MsPerMillionPairs;
 }
 
-double passMs(const engine_figures &Figures, std::uint32_t DecodingRequests, double Context) {
+double passMs(const engine_profile &Figures, std::uint32_t DecodingRequests, double Context) {
   if (DecodingRequests == 0)
     return 0;
   const double Step = Figures.StepMs + DecodingRequests * Figures.PerSequenceMs +
--- a/src/placement/placer.cpp
+++ b/src/placement/placer.cpp
@@ -85,7 +85,7 @@
   const auto Declared = Services.find(Service);
   if (Declared == Services.end())
     return work_refusal{failure_reason::NoBackend, MinRetryAfter};
-  const std::optional<engine_figures> &Figures = Declared->second.Engine;
+  const std::optional<engine_profile> &Figures = Declared->second.Engine;
   const double MaxTokens = Figures ? static_cast<double>(Figures->Memory.value()) *
                                          (1 + Tuning.MaxHolders) * Tuning.MemoryPart
                                    : 0;
--- a/src/placement/placer_base.h
+++ b/src/placement/placer_base.h
@@ -129,7 +129,7 @@
   std::vector<engine_option> candidateEngines(const waiting_work &Work, mono_time Now);
   std::optional<prefill_plan> choose(const waiting_work &Work, mono_time Now);
   std::optional<prefill_plan> chooseServer(std::vector<engine_option> Options);
-  std::optional<prefill_plan> chooseEngines(const waiting_work &Work, const engine_figures &Figures,
+  std::optional<prefill_plan> chooseEngines(const waiting_work &Work, const engine_profile &Figures,
                                             std::vector<engine_option> Options, mono_time Now);
   [[nodiscard]] std::size_t packedChoiceCount(mono_time Now) const;
   std::optional<prefill_plan> packShort(const std::vector<prefill_candidate> &Candidates,
@@ -155,7 +155,7 @@
   void placeWork(const waiting_work &Work, const prefill_plan &Plan, mono_time Now,
                  poll_outcome &Outcome);
   std::optional<prefill_plan> chooseHolders(const std::vector<prefill_candidate> &AllCandidates,
-                                            const engine_figures &Figures, double NeededTokens,
+                                            const engine_profile &Figures, double NeededTokens,
                                             double PromptMs, double RemainingMs) const;
   void resolveClaims(mono_time Now, poll_outcome &Outcome);
   [[nodiscard]] bool isClaimLost(const claimed_work &Claim, mono_time Now) const;
--- a/src/placement/placer_choice.cpp
+++ b/src/placement/placer_choice.cpp
@@ -62,7 +62,7 @@
 }
 
 std::optional<placer::prefill_plan> placer::chooseEngines(const waiting_work &Work,
-                                                          const engine_figures &Figures,
+                                                          const engine_profile &Figures,
                                                           std::vector<engine_option> Options,
                                                           mono_time Now) {
   const double NeededTokens = memoryOf(Work.Item);
@@ -79,7 +79,7 @@
     Candidate.MaxPartMs =
         GapMs > 0 ? std::max(GapMs * Tuning.GapPart, GapMs - Tuning.GapMarginMs) - Candidate.StartMs
                   : std::numeric_limits<double>::max();
-    Candidate.CanAnswer = Option.View.Requests + Tuning.SpareSlots < Figures.Places &&
+    Candidate.CanAnswer = Option.View.Requests + Tuning.SpareSlots < Figures.BatchSlots &&
                           Option.View.Tokens + NeededTokens <= EngineTokens;
     Candidates.push_back(Candidate);
   }
@@ -213,7 +213,7 @@
  */
 std::optional<placer::prefill_plan>
 placer::chooseHolders(const std::vector<prefill_candidate> &AllCandidates,
-                      const engine_figures &Figures, double NeededTokens, double PromptMs,
+                      const engine_profile &Figures, double NeededTokens, double PromptMs,
                       double RemainingMs) const {
   const double MaxTokensPerEngine = static_cast<double>(Figures.Memory.value()) * Tuning.MemoryPart;
   auto [IdleCandidates, Decoding] = findIdleEngines(AllCandidates);
--- a/src/relay/headed_plan.cpp
+++ b/src/relay/headed_plan.cpp
@@ -67,8 +67,8 @@
   Facts.AnswerLimit = Call.Head.AnswerLimit;
   Facts.AnswerHint = Call.Head.AnswerHint;
   Facts.PrefixHashes = Call.Head.PrefixHashes;
-  Facts.Idempotent = Route.Repeat != repeat_rule::Never;
-  Facts.Resumable = Route.Repeat == repeat_rule::Resume;
+  Facts.Idempotent = Route.RetryMode != retry_mode::Never;
+  Facts.Resumable = Route.RetryMode == retry_mode::Resume;
   Facts.MaxAttempts = std::max(1U, Route.MaxAttempts);
   Facts.Urgency = Account && Account->Priority ? *Account->Priority : Route.Priority;
   Facts.Target = Route.Target;
--- a/src/toml_text/toml_node_type.h
+++ b/src/toml_text/toml_node_type.h
@@ -1,4 +1,4 @@
-/** @file toml_node_type.h A parsed TOML document as plain values that know their line. */
+/** @file toml_node_type.h Values of a parsed TOML document, each with its line. */
 #ifndef POLLENSTALL_TOML_TEXT_TOML_NODE_TYPE_H
 #define POLLENSTALL_TOML_TEXT_TOML_NODE_TYPE_H
 
@@ -13,13 +13,13 @@
 struct toml_member;
 
 using toml_list = std::vector<toml_node>;    ///< In the order of the file.
-using toml_table = std::vector<toml_member>; ///< Sorted by key; a key stands once.
+using toml_table = std::vector<toml_member>; ///< Sorted by key; keys are unique.
 
-/// A value of a TOML document; monostate stands for dates and times, which no reader here takes.
+/// A value of a TOML document; monostate represents dates and times, which no reader accepts.
 struct toml_node {
   std::variant<std::monostate, bool, std::int64_t, double, std::string, toml_list, toml_table>
       Value;
-  int Line{0}; ///< From 1; 0 where the document gives none.
+  int Line{0}; ///< Counted from 1; 0 if unknown.
 };
 
 /// A key of a table with its value.
@@ -28,11 +28,11 @@
   toml_node Node;
 };
 
-/// What is wrong at one place of a document.
-struct toml_fault {
+/// An error at one position of a document.
+struct toml_error {
   int Line{0};
-  std::string Key;     ///< Path from the root, as "selector[2].groups"; empty for bad syntax.
-  std::string Allowed; ///< What would have been right.
+  std::string Key;     ///< Path from the root, as "selector[2].groups"; empty for a syntax error.
+  std::string Allowed; ///< The accepted values, in words.
 };
 
 } // namespace pollenstall
--- a/src/toml_text/toml_parse_func.h
+++ b/src/toml_text/toml_parse_func.h
@@ -1,4 +1,4 @@
-/** @file toml_parse_func.h Turns TOML text into plain nodes. */
+/** @file toml_parse_func.h Parses TOML text into nodes. */
 #ifndef POLLENSTALL_TOML_TEXT_TOML_PARSE_FUNC_H
 #define POLLENSTALL_TOML_TEXT_TOML_PARSE_FUNC_H
 
@@ -9,16 +9,16 @@
 
 namespace pollenstall {
 
-/// @return The root table, or the first place where the text is not TOML.
-result<toml_node, toml_fault> parseToml(std::string_view Text);
+/// @return The root table, or the first syntax error.
+result<toml_node, toml_error> parseToml(std::string_view Text);
 
 /**
- * Finds where a key stands.
+ * Finds the line of a key.
  * @param Root The root table of a document.
- * @param Path A path as in toml_fault::Key.
- * @return The line of the node, or of the nearest enclosing node that the document has.
+ * @param Path A path as in toml_error::Key.
+ * @return The line of the node, or of its nearest enclosing node that exists.
  */
-int lineOf(const toml_node &Root, std::string_view Path);
+int findLine(const toml_node &Root, std::string_view Path);
 
 } // namespace pollenstall
 
--- a/src/toml_text/toml_reader_base.h
+++ b/src/toml_text/toml_reader_base.h
@@ -1,4 +1,4 @@
-/** @file toml_reader_base.h Reads one TOML table key by key and refuses what was not asked for. */
+/** @file toml_reader_base.h Reads one TOML table key by key and rejects unknown keys. */
 #ifndef POLLENSTALL_TOML_TEXT_TOML_READER_BASE_H
 #define POLLENSTALL_TOML_TEXT_TOML_READER_BASE_H
 
@@ -15,75 +15,76 @@
 
 namespace pollenstall {
 
-/// Which texts a key takes.
+/// Validation rule of a text.
 struct toml_text_rule {
-  std::string Allowed; ///< In words, for the fault.
-  std::function<bool(const std::string &)> Holds;
+  std::string Allowed; ///< The accepted texts, in words, for errors.
+  std::function<bool(const std::string &)> IsValid;
 };
 
-/// Both ends are allowed.
+/// Inclusive bounds.
 template <typename Number> struct toml_range {
   Number Min{};
   Number Max{};
 };
 
 /// Whether a table must have a key.
-enum class toml_need : std::uint8_t { Optional, Required };
+enum class toml_presence : std::uint8_t { Optional, Required };
 
 /**
- * A table under reading. Each read names a key; finish() then refuses every other key by name, so
- * that a misspelt key cannot silently leave a default in force.
+ * Reads a table. Each read names a key; finish() then reports every other key as an error, so that
+ * a misspelt key cannot silently leave a default in force.
  */
 class toml_reader {
 public:
   /**
-   * @param Node The table; anything else is a fault.
+   * @param Node The table; any other type is an error.
    * @param NodePath Path of the table from the root; empty for the root.
-   * @param Into Faults are added here; outlives the reader.
+   * @param ErrorList Receives the errors; must outlive the reader.
    */
-  toml_reader(const toml_node &Node, std::string NodePath, std::vector<toml_fault> &Into);
+  toml_reader(const toml_node &Node, std::string NodePath, std::vector<toml_error> &ErrorList);
 
-  /// @return The text, or an empty one where it is absent or refused.
-  std::string text(std::string_view Key, toml_need Need, const toml_text_rule &Rule);
-  /// @return The texts; empty where the key is absent.
-  std::vector<std::string> texts(std::string_view Key, toml_need Need, const toml_text_rule &Rule);
-  /// @return The texts of a table of texts, by key.
-  std::map<std::string, std::string> textTable(std::string_view Key, toml_need Need,
+  /// @return The text, or an empty one if the key is absent or invalid.
+  std::string text(std::string_view Key, toml_presence Presence, const toml_text_rule &Rule);
+  /// @return The valid texts of a list; empty if the key is absent.
+  std::vector<std::string> texts(std::string_view Key, toml_presence Presence,
+                                 const toml_text_rule &Rule);
+  /// @return The valid texts of a table of texts, by key.
+  std::map<std::string, std::string> textTable(std::string_view Key, toml_presence Presence,
                                                const toml_text_rule &KeyRule,
                                                const toml_text_rule &ValueRule);
-  /// @return The whole number, or Default where it is absent or refused.
-  std::int64_t whole(std::string_view Key, toml_range<std::int64_t> Range, std::int64_t Default);
-  /// The same for a key that may be absent without a default.
-  std::optional<std::int64_t> whole(std::string_view Key, toml_range<std::int64_t> Range);
-  /// @return The number, whole or with a fraction, or Default.
+  /// @return The integer, or Default if the key is absent or invalid.
+  std::int64_t integer(std::string_view Key, toml_range<std::int64_t> Range, std::int64_t Default);
+  /// @return The integer, or nothing if the key is absent or invalid.
+  std::optional<std::int64_t> integer(std::string_view Key, toml_range<std::int64_t> Range);
+  /// @return The integer or floating-point number, or Default if the key is absent or invalid.
   double number(std::string_view Key, toml_range<double> Range, double Default);
-  /// @return The flag, or Default.
+  /// @return The flag, or Default if the key is absent or invalid.
   bool flag(std::string_view Key, bool Default);
   /// @return One reader for each table of a list of tables.
-  std::vector<toml_reader> tables(std::string_view Key, toml_need Need);
-  /// @return A reader for a table, if it is there.
+  std::vector<toml_reader> tables(std::string_view Key, toml_presence Presence);
+  /// @return A reader of the table, or nothing if the key is absent.
   std::optional<toml_reader> table(std::string_view Key);
 
-  /// Refuses the keys that were not read. @param What Names the kind of table in the fault.
-  void finish(std::string_view What);
+  /// Reports every key that was not read. @param TableKind The kind of table, for errors.
+  void finish(std::string_view TableKind);
 
   /// @return The path from the root.
   [[nodiscard]] const std::string &path() const { return Path; }
 
 private:
-  const toml_node *find(std::string_view Key, toml_need Need, std::string_view Allowed);
+  const toml_node *find(std::string_view Key, toml_presence Presence, std::string_view Allowed);
   std::optional<std::string> checkedText(const toml_node &Node, const std::string &NodePath,
                                          const toml_text_rule &Rule);
-  void refuse(int AtLine, std::string Key, std::string Allowed);
+  void addError(int ErrorLine, std::string Key, std::string Allowed);
   [[nodiscard]] std::string keyPath(std::string_view Key) const;
-  [[nodiscard]] std::string itemPath(std::string_view Key, std::size_t Index) const;
+  [[nodiscard]] std::string elementPath(std::string_view Key, std::size_t Index) const;
   [[nodiscard]] std::string knownKeys() const;
 
   const toml_table *Members{nullptr};
   int Line{0};
   std::string Path;
-  std::vector<toml_fault> *Faults;
-  std::vector<std::string> Known;
+  std::vector<toml_error> *Errors;
+  std::vector<std::string> ReadKeys;
 };
 
 } // namespace pollenstall
--- a/src/toml_text/toml_text.h
+++ b/src/toml_text/toml_text.h
@@ -1,4 +1,4 @@
-/** @file toml_text.h Public header of toml_text: TOML as plain nodes with lines, and a checked
+/** @file toml_text.h Public header of toml_text: TOML nodes with their lines, and a validating
  * reader. */
 #ifndef POLLENSTALL_TOML_TEXT_TOML_TEXT_H
 #define POLLENSTALL_TOML_TEXT_TOML_TEXT_H
--- a/src/toml_text/toml_write.cpp
+++ b/src/toml_text/toml_write.cpp
@@ -1,4 +1,4 @@
-/** @file toml_write.cpp Canonical spellings of TOML values. */
+/** @file toml_write.cpp Formats TOML values. */
 #include "toml_text/toml_write_func.h"
 
 #include <array>
--- a/src/toml_text/toml_write_func.h
+++ b/src/toml_text/toml_write_func.h
@@ -1,4 +1,4 @@
-/** @file toml_write_func.h Values as TOML writes them, one spelling for each value. */
+/** @file toml_write_func.h Formats values as canonical TOML. */
 #ifndef POLLENSTALL_TOML_TEXT_TOML_WRITE_FUNC_H
 #define POLLENSTALL_TOML_TEXT_TOML_WRITE_FUNC_H
 
@@ -8,13 +8,13 @@
 
 namespace pollenstall {
 
-/// @return A basic string in quotes with everything escaped that TOML asks for.
+/// @return A quoted basic string, escaped as TOML requires.
 std::string tomlQuote(std::string_view Text);
 
-/// @return The shortest spelling that reads back as the same double.
+/// @return The shortest text that parses as the same double.
 std::string tomlNumber(double Value);
 
-/// @return The items, which are TOML values already, as a list on one line.
+/// @return A list on one line. @param Items Formatted TOML values.
 std::string tomlList(const std::vector<std::string> &Items);
 
 } // namespace pollenstall
--- a/tests/declaration/declaration_lookup_test.cpp
+++ b/tests/declaration/declaration_lookup_test.cpp
@@ -1,4 +1,4 @@
-/** @file declaration_lookup_test.cpp Where a request goes: accounts, models, routes, selectors. */
+/** @file declaration_lookup_test.cpp Tests lookups of accounts, models, routes and selectors. */
 #include "declaration/declaration_sample.h"
 
 #include <gmock/gmock.h>
@@ -8,12 +8,12 @@
 
 using testing::ElementsAre;
 
-class a_request : public testing::Test {
+class request_lookup : public testing::Test {
 protected:
   declaration_index Index{parsed(SampleText)};
 };
 
-TEST_F(a_request, IsKnownByItsKeyAndModel) {
+TEST_F(request_lookup, FindsAccountsModelsAndGroups) {
   EXPECT_EQ(Index.findAccount(SampleHashB)->Name, client_account_name("club-b"));
   EXPECT_EQ(Index.findAccount(std::string(64, 'c')), nullptr);
   EXPECT_EQ(Index.findAccountByName(client_account_name("club-a"))->MaxQueued, 256U);
@@ -23,9 +23,9 @@
   EXPECT_THAT(Index.selectorHeaders(), ElementsAre("x-canary"));
 }
 
-class a_request_by_path : public a_request {
+class path_lookup : public request_lookup {
 protected:
-  /// @return "service prefix", with "!" for a call that runs at most once, or "none".
+  /// @return "service host/prefix", followed by "!" if the call runs at most once, or "none".
   std::string route(const std::string &Host, const std::string &Method, const std::string &Target) {
     const auto Match = Index.findRoute(Host, Method, Target);
     if (!Match)
@@ -35,7 +35,7 @@
   }
 };
 
-TEST_F(a_request_by_path, TakesTheLongestPrefixAtABorderOfSegments) {
+TEST_F(path_lookup, MatchesTheLongestPrefixOfWholeSegments) {
   EXPECT_EQ(route("any", "GET", "/portal"), "portal /portal");
   EXPECT_EQ(route("any", "GET", "/portal/a?b=/portal/send"), "portal /portal");
   EXPECT_EQ(route("any", "GET", "/portals"), "none");
@@ -43,16 +43,16 @@
   EXPECT_EQ(route("any", "POST", "/portal/sender"), "portal /portal");
 }
 
-TEST_F(a_request_by_path, TakesTheHostsOwnRoutesFirst) {
+TEST_F(path_lookup, PrefersRoutesOfTheHost) {
   EXPECT_EQ(route("CLIPS.example:8080", "GET", "/portal/x"), "portal clips.example/");
   EXPECT_EQ(route("clips.example.", "GET", "/"), "portal clips.example/");
   EXPECT_EQ(route("[::1]:80", "GET", "/portal"), "portal /portal");
 }
 
-// A caller sends the newsletter by an odd spelling of its path. If the spelling matched the
-// idempotent route, a lost answer would be retried, while the backend server reads the same path as
-// the send: every subscriber would get the letter twice.
-TEST_F(a_request_by_path, FindsTheNonIdempotentRouteInEverySpelling) {
+// A caller sends a newsletter with an unusual spelling of the path. If that spelling matched the
+// idempotent route, a lost answer would be retried although the backend server reads the path as
+// the send route, and every subscriber would get the newsletter twice.
+TEST_F(path_lookup, MatchesTheNonIdempotentRouteInEverySpelling) {
   for (const char *Target :
        {"/portal/send", "/portal/send/", "/portal//send", "/portal/./send", "/portal/x/../send",
         "/portal/%73end", "/portal/%2e%2E/portal/send?x=1", "/portal/send;v=1", "/portal/send/7"})
@@ -61,7 +61,7 @@
   EXPECT_EQ(route("any", "GET", "/portal/send"), "portal /portal");
 }
 
-TEST_F(a_request_by_path, MatchesNothingThatHidesItsSegments) {
+TEST_F(path_lookup, RejectsPathsWithHiddenSegments) {
   for (const char *Target : {"/portal/a%2Fsend", "/portal/a%5csend", "/portal/a\\send",
                              "/../portal", "/portal/../../portal", "/portal/%zz", "/portal/%7",
                              "/portal/%00", "portal", "", "http://any/portal"})
@@ -69,7 +69,7 @@
   EXPECT_EQ(normalisePath("/a/%252e%252e"), "/a/%2e%2e") << "decoded once only";
 }
 
-class a_request_at_the_selectors : public a_request {
+class selector_lookup : public request_lookup {
 protected:
   selector_input Input{service_name("llm"),
                        model_name("tactic"),
@@ -77,7 +77,7 @@
                        {{"X-CANARY", "yes"}},
                        tokens(500)};
 
-  selector_name chosen() {
+  selector_name selectedName() {
     const selector_declaration *Selector = Index.select(Input);
     const selection Selection = select(Index.declaration(), Input);
     EXPECT_EQ(Selector ? Selector->Name : selector_name(), Selection.Selector);
@@ -86,42 +86,42 @@
 
   std::string reason() {
     const selection Selection = select(Index.declaration(), Input);
-    if (Selection.Misses.size() != 1)
+    if (Selection.Mismatches.size() != 1)
       return "not one miss";
-    return explainMiss(Selection.Misses[0], Index.declaration().Selectors[0], Input);
+    return explainMismatch(Selection.Mismatches[0], Index.declaration().Selectors[0], Input);
   }
 };
 
-TEST_F(a_request_at_the_selectors, GoesByTheFirstThatMatches) {
-  EXPECT_EQ(chosen(), selector_name("try-canary"));
+TEST_F(selector_lookup, UsesTheFirstMatchingSelector) {
+  EXPECT_EQ(selectedName(), selector_name("try-canary"));
   EXPECT_EQ(select(Index.declaration(), Input).Groups.size(), 2U);
 }
 
-TEST_F(a_request_at_the_selectors, IsToldWhichConditionItMissed) {
+TEST_F(selector_lookup, ExplainsTheConditionThatDidNotHold) {
   const selector_input Matching = Input;
   Input.Prompt = tokens(1000);
-  EXPECT_EQ(chosen(), selector_name("rest"));
-  EXPECT_EQ(reason(), "the prompt has 1000 tokens; taken: below 1000");
+  EXPECT_EQ(selectedName(), selector_name("rest"));
+  EXPECT_EQ(reason(), "the prompt has 1000 tokens; accepted: below 1000");
   Input.Prompt = tokens(9);
-  EXPECT_EQ(reason(), "the prompt has 9 tokens; taken: from 10");
+  EXPECT_EQ(reason(), "the prompt has 9 tokens; accepted: from 10");
   Input = Matching;
   Input.Account = client_account_name("club-b");
-  EXPECT_EQ(reason(), "the account is \"club-b\"; taken: club-a");
+  EXPECT_EQ(reason(), "the account is \"club-b\"; accepted: club-a");
   Input = Matching;
   Input.Headers = {{"x-canary", "YES"}};
   EXPECT_EQ(reason(), "header x-canary is absent or has another value");
 }
 
-TEST_F(a_request_at_the_selectors, FindsNothingForAnUnknownService) {
+TEST_F(selector_lookup, FindsNoSelectorForAnUnknownService) {
   Input.Service = service_name("other");
-  EXPECT_EQ(chosen(), selector_name());
+  EXPECT_EQ(selectedName(), selector_name());
 }
 
-TEST_F(a_request_at_the_selectors, MatchesServersByAllLabelsOfAGroup) {
-  EXPECT_TRUE(carriesLabels({{"a", "1"}, {"b", "2"}}, {{"a", "1"}}));
-  EXPECT_TRUE(carriesLabels({}, {}));
-  EXPECT_FALSE(carriesLabels({{"a", "1"}}, {{"a", "1"}, {"b", "2"}}));
-  EXPECT_FALSE(carriesLabels({{"a", "2"}}, {{"a", "1"}}));
+TEST_F(selector_lookup, MatchesServersByAllLabelsOfAGroup) {
+  EXPECT_TRUE(hasAllLabels({{"a", "1"}, {"b", "2"}}, {{"a", "1"}}));
+  EXPECT_TRUE(hasAllLabels({}, {}));
+  EXPECT_FALSE(hasAllLabels({{"a", "1"}}, {{"a", "1"}, {"b", "2"}}));
+  EXPECT_FALSE(hasAllLabels({{"a", "2"}}, {{"a", "1"}}));
 }
 
 } // namespace
--- a/tests/declaration/declaration_parse_test.cpp
+++ b/tests/declaration/declaration_parse_test.cpp
@@ -1,4 +1,4 @@
-/** @file declaration_parse_test.cpp What a declaration file may say and how it is refused. */
+/** @file declaration_parse_test.cpp Tests parsing and errors of declaration files. */
 #include "declaration/declaration_sample.h"
 
 #include <gmock/gmock.h>
@@ -10,7 +10,7 @@
 using testing::IsEmpty;
 using testing::SizeIs;
 
-/// One wrong passage, and where and how it is refused.
+/// A replacement that makes the sample invalid, with the expected error.
 struct refusal_case {
   std::string From;
   std::string To;
@@ -28,11 +28,11 @@
   EXPECT_THAT(Errors[0].Allowed, HasSubstr(Case.Allowed));
 }
 
-class an_operators_file : public testing::Test {};
+class declaration_file : public testing::Test {};
 
-class a_right_file : public an_operators_file {};
+class valid_file : public declaration_file {};
 
-TEST_F(a_right_file, GivesTheDeclaredValues) {
+TEST_F(valid_file, GivesTheDeclaredValues) {
   const fleet_declaration Fleet = parsed(SampleText);
   ASSERT_THAT(Fleet.Selectors, SizeIs(3));
   const selector_declaration &Canary = Fleet.Selectors[0];
@@ -45,8 +45,8 @@
   EXPECT_EQ(Fleet.Services[1].Routes.back().Host, "clips.example");
 }
 
-TEST_F(a_right_file, MayPlaceCopiesOfAModel) {
-  const std::string Placed = SampleText + R"([[placement]]
+TEST_F(valid_file, PlacesCopiesOfAModel) {
+  const std::string WithPlacements = SampleText + R"([[placement]]
 name = "tactic-2"
 service = "llm"
 group = "canary"
@@ -61,7 +61,7 @@
 group = "stable"
 model = "tactic"
 )";
-  const fleet_declaration Fleet = parsed(Placed);
+  const fleet_declaration Fleet = parsed(WithPlacements);
   ASSERT_THAT(Fleet.Placements, SizeIs(2));
   EXPECT_EQ(
       Fleet.Placements[0],
@@ -72,9 +72,9 @@
   EXPECT_EQ(Fleet.Placements[1].Spread, placement_spread::None);
 }
 
-TEST_F(a_right_file, GivesNoWarning) { EXPECT_THAT(findWarnings(parsed(SampleText)), IsEmpty()); }
+TEST_F(valid_file, GivesNoWarning) { EXPECT_THAT(findWarnings(parsed(SampleText)), IsEmpty()); }
 
-TEST_F(a_right_file, IsEqualInAnotherOrderOfWhatHasNone) {
+TEST_F(valid_file, ComparesEqualInAnyOrderOfUnorderedItems) {
   const std::string Moved = sampleWith("[[group]]\nname = \"stable\"\nservice = \"llm\"\n"
                                        "labels = { version = \"1\" }\n",
                                        "") +
@@ -83,14 +83,14 @@
   EXPECT_EQ(parsed(Moved), parsed(SampleText));
 }
 
-TEST_F(a_right_file, MayBeEmptyButWarns) {
+TEST_F(valid_file, MayBeEmptyButWarns) {
   EXPECT_EQ(parsed(""), fleet_declaration());
   EXPECT_THAT(findWarnings({}), SizeIs(1));
 }
 
-class a_file_with_a_wrong_key : public an_operators_file {};
+class file_with_an_invalid_key : public declaration_file {};
 
-TEST_F(a_file_with_a_wrong_key, NamesPlaceAndWhatIsAllowed) {
+TEST_F(file_with_an_invalid_key, ReportsKeyLineAndAllowedValues) {
   const std::vector<refusal_case> Cases = {
       {"kind = \"model\"", "kind = \"modle\"", "service[0].kind", "\"model\" or \"plain\"", 3},
       {"kind = \"model\"", "kind = 3", "service[0].kind", "\"model\" or \"plain\"", 3},
@@ -127,12 +127,12 @@
     expectRefused(Case);
 }
 
-TEST_F(a_file_with_a_wrong_key, ReportsEveryWrongKeyAtOnce) {
+TEST_F(file_with_an_invalid_key, ReportsEveryInvalidKeyAtOnce) {
   const auto Errors = refused("[[service]]\nkind = \"model\"\nmodels = \"x\"\nextra = 1\n");
   EXPECT_THAT(Errors, SizeIs(3)) << toText(Errors);
 }
 
-TEST_F(a_file_with_a_wrong_key, RefusesWhatIsNotToml) {
+TEST_F(file_with_an_invalid_key, RejectsInvalidToml) {
   const auto Errors = refused("[[service]\nname = \n");
   ASSERT_THAT(Errors, SizeIs(1));
   EXPECT_EQ(Errors[0].Line, 1);
@@ -141,9 +141,9 @@
   EXPECT_THAT(refused(std::string(5U << 20U, '#')), SizeIs(1));
 }
 
-class a_file_whose_items_do_not_fit : public an_operators_file {};
+class inconsistent_file : public declaration_file {};
 
-TEST_F(a_file_whose_items_do_not_fit, NamesTheReferenceOrTheRepetition) {
+TEST_F(inconsistent_file, ReportsTheReferenceOrTheDuplicate) {
   const std::vector<refusal_case> Cases = {
       {"accounts = [\"club-a\"]", "accounts = [\"club-z\"]", "selector[0].accounts[0]",
        "club-a, club-b", 32},
@@ -177,7 +177,7 @@
     expectRefused(Case);
 }
 
-TEST_F(a_file_whose_items_do_not_fit, RefusesAModelThatTwoServicesServe) {
+TEST_F(inconsistent_file, RejectsAModelOfTwoServices) {
   const auto Errors = refused(SampleText + "[[service]]\nname = \"b\"\nkind = \"model\"\n"
                                            "models = [\"tactic\"]\n[[group]]\nname = \"g\"\n"
                                            "service = \"b\"\n[[selector]]\nname = \"s\"\n"
@@ -186,24 +186,25 @@
   EXPECT_EQ(Errors[0].Key, "service[2].models[0]");
 }
 
-TEST_F(a_file_whose_items_do_not_fit, RefusesPlacementsThatCannotBeKept) {
-  const std::string Right = "[[placement]]\nname = \"p\"\nservice = \"llm\"\ngroup = \"stable\"\n"
-                            "model = \"tactic\"\n";
+TEST_F(inconsistent_file, RejectsInvalidPlacements) {
+  const std::string ValidPlacement =
+      "[[placement]]\nname = \"p\"\nservice = \"llm\"\ngroup = \"stable\"\n"
+      "model = \"tactic\"\n";
   const auto KeyOf = [&](const std::string &Text) { return refused(SampleText + Text)[0].Key; };
   const auto With = [&](const std::string &From, const std::string &To) {
-    std::string Text = Right;
+    std::string Text = ValidPlacement;
     return Text.replace(Text.find(From), From.size(), To);
   };
   EXPECT_EQ(KeyOf(With("\"stable\"", "\"portal-all\"")), "placement[0].group");
   EXPECT_EQ(KeyOf(With("\"llm\"", "\"lm\"")), "placement[0].service");
   EXPECT_EQ(KeyOf(With("\"tactic\"", "\"other\"")), "placement[0].model");
-  EXPECT_EQ(KeyOf(Right + "copies = 10_001\n"), "placement[0].copies");
-  EXPECT_EQ(KeyOf(Right + "spread = \"hosts\"\n"), "placement[0].spread");
-  EXPECT_EQ(KeyOf(Right + Right), "placement[1].name");
-  EXPECT_EQ(KeyOf(Right + With("\"p\"", "\"q\"")), "placement[1].model");
+  EXPECT_EQ(KeyOf(ValidPlacement + "copies = 10_001\n"), "placement[0].copies");
+  EXPECT_EQ(KeyOf(ValidPlacement + "spread = \"hosts\"\n"), "placement[0].spread");
+  EXPECT_EQ(KeyOf(ValidPlacement + ValidPlacement), "placement[1].name");
+  EXPECT_EQ(KeyOf(ValidPlacement + With("\"p\"", "\"q\"")), "placement[1].model");
 }
 
-TEST_F(a_file_whose_items_do_not_fit, RefusesAServiceWhoseLastSelectorHasConditions) {
+TEST_F(inconsistent_file, RejectsAServiceWhoseLastSelectorHasConditions) {
   const auto Errors = refused(sampleWith("name = \"rest\"\nservice = \"llm\"\n",
                                          "name = \"rest\"\nservice = \"llm\"\n"
                                          "prompt_from_tokens = 1\n"));
@@ -214,7 +215,7 @@
   EXPECT_THAT(None[0].Allowed, HasSubstr("has no selector"));
 }
 
-TEST_F(a_file_whose_items_do_not_fit, WarnsOfWhatIsNeverReached) {
+TEST_F(inconsistent_file, WarnsOfUnreachableItems) {
   const auto Warnings = findWarnings(
       parsed(sampleWith("[[selector]]\nname = \"rest\"",
                         "[[selector]]\nname = \"hidden\"\nservice = \"llm\"\n"
--- a/tests/declaration/declaration_sample.h
+++ b/tests/declaration/declaration_sample.h
@@ -1,4 +1,4 @@
-/** @file declaration_sample.h Small declarations that the tests change in one place each. */
+/** @file declaration_sample.h A small declaration that the tests modify. */
 #ifndef POLLENSTALL_TESTS_DECLARATION_DECLARATION_SAMPLE_H
 #define POLLENSTALL_TESTS_DECLARATION_DECLARATION_SAMPLE_H
 
@@ -73,15 +73,15 @@
 share = 2
 )";
 
-/// @return SampleText with one passage replaced; the passage must be there.
+/// @return SampleText with the first occurrence of From replaced; fails the test if it is missing.
 inline std::string sampleWith(const std::string &From, const std::string &To) {
   std::string Text = SampleText;
-  const std::size_t At = Text.find(From);
-  EXPECT_NE(At, std::string::npos) << From;
-  return Text.replace(At, From.size(), To);
+  const std::size_t Position = Text.find(From);
+  EXPECT_NE(Position, std::string::npos) << From;
+  return Text.replace(Position, From.size(), To);
 }
 
-/// @return The declaration; fails the test where the text is refused.
+/// @return The parsed declaration; fails the test if the text is rejected.
 inline fleet_declaration parsed(const std::string &Text) {
   const auto Result = parseDeclaration(Text, "sample.toml");
   if (succeeded(Result))
@@ -90,7 +90,7 @@
   return {};
 }
 
-/// @return The errors; fails the test where the text is accepted.
+/// @return The errors; fails the test if the text is accepted.
 inline std::vector<declaration_error> refused(const std::string &Text) {
   const auto Result = parseDeclaration(Text, "sample.toml");
   if (!succeeded(Result))
@@ -99,7 +99,7 @@
   return {};
 }
 
-/// @return A file of the source tree.
+/// @return The content of a file in the source tree.
 inline std::string sourceFile(const std::string &Path) {
   std::ifstream File(std::string(POLLENSTALL_SOURCE_DIR) + "/" + Path);
   std::ostringstream Text;
--- a/tests/declaration/declaration_text_test.cpp
+++ b/tests/declaration/declaration_text_test.cpp
@@ -1,4 +1,4 @@
-/** @file declaration_text_test.cpp Canonical text, differences, and the shipped examples. */
+/** @file declaration_text_test.cpp Tests canonical text, differences and the shipped examples. */
 #include "declaration/declaration_sample.h"
 
 #include <gmock/gmock.h>
@@ -49,7 +49,7 @@
   return Service;
 }
 
-/// Two groups, a selector with conditions and one without, and an account for a service.
+/// Adds two groups, a selector with conditions, one without, and an account for a service.
 void addItemsOf(const service_declaration &Service, std::size_t Number, fleet_declaration &Fleet) {
   const std::string Suffix = std::to_string(Number);
   const group_name A("ga" + Suffix);
@@ -95,7 +95,7 @@
   return Fleet;
 }
 
-RC_GTEST_PROP(CanonicalText, ReadsBackAsAnEqualDeclaration, ()) {
+RC_GTEST_PROP(CanonicalText, ParsesAsAnEqualDeclaration, ()) {
   const fleet_declaration Fleet = anyDeclaration();
   const std::string Text = toCanonicalText(Fleet);
   const auto Result = parseDeclaration(Text, "canonical");
@@ -112,7 +112,7 @@
   RC_ASSERT(diff(A, B).Changes.empty() == (A == B));
 }
 
-TEST(DifferenceOfSamples, NamesItemKeyAndBothValues) {
+TEST(DifferenceOfSamples, ReportsItemKeyAndBothValues) {
   const auto From = parsed(SampleText);
   const auto Changed = parsed(sampleWith("share = 2", "share = 5"));
   EXPECT_THAT(diff(From, Changed).Changes,
@@ -124,7 +124,7 @@
             "~ selector try-canary: prompt_below_tokens 1000 -> (none)\n");
 }
 
-TEST(DifferenceOfSamples, TellsAddedRemovedAndMovedItems) {
+TEST(DifferenceOfSamples, ReportsAddedRemovedAndMovedItems) {
   const auto From = parsed(SampleText);
   const auto Added = parsed(SampleText + "[[group]]\nname = \"new\"\nservice = \"llm\"\n");
   EXPECT_EQ(toText(diff(From, Added)), "+ group new\n");
@@ -136,9 +136,9 @@
             "~ selector rest: tested as number 3 of those kept, was number 2\n");
 }
 
-class a_shipped_example : public testing::TestWithParam<std::string> {};
+class shipped_example : public testing::TestWithParam<std::string> {};
 
-TEST_P(a_shipped_example, IsAcceptedWithoutWarningAndReadsBack) {
+TEST_P(shipped_example, ParsesWithoutWarningAndRoundTrips) {
   const fleet_declaration Fleet = parsed(sourceFile("examples/" + GetParam()));
   EXPECT_THAT(findWarnings(Fleet), IsEmpty()) << toText(findWarnings(Fleet));
   EXPECT_EQ(parsed(toCanonicalText(Fleet)), Fleet);
@@ -146,7 +146,7 @@
   EXPECT_EQ(Fleet.Accounts.size(), 10U);
 }
 
-INSTANTIATE_TEST_SUITE_P(Examples, a_shipped_example,
+INSTANTIATE_TEST_SUITE_P(Examples, shipped_example,
                          testing::Values("accra.toml", "sognebrev.toml"));
 
 TEST(SognebrevsExample, RunsASendAtMostOnce) {
--- a/tests/fleet_model/engine_model_test.cpp
+++ b/tests/fleet_model/engine_model_test.cpp
@@ -9,9 +9,9 @@
 
 constexpr double TokensPerEvent = 51;
 
-engine_figures figures() {
-  engine_figures Figures = placer_fixture::figures();
-  Figures.Places = 4;
+engine_profile figures() {
+  engine_profile Figures = placer_fixture::figures();
+  Figures.BatchSlots = 4;
   return Figures;
 }
 
--- a/tests/placement/placer_fixture.h
+++ b/tests/placement/placer_fixture.h
@@ -31,16 +31,16 @@
       Placer.updateBackend(makeListing(Index));
   }
 
-  static engine_figures figures() {
-    engine_figures Figures;
-    Figures.Places = 16;
+  static engine_profile figures() {
+    engine_profile Figures;
+    Figures.BatchSlots = 16;
     Figures.Memory = tokens(315'000);
     Figures.StepsPerPass = 51;
     Figures.StepMs = 0.85;
     Figures.PerSequenceMs = 0.00425;
     Figures.PerContextMs = 0.00285;
-    Figures.ReadPerSecond = 177'000;
-    Figures.PairsMs = 0.184;
+    Figures.PrefillTokensPerSecond = 177'000;
+    Figures.MsPerMillionPairs = 0.184;
     return Figures;
   }
   static fleet_declaration declaration() {
@@ -50,7 +50,7 @@
     Service.Engine = figures();
     Fleet.Services.push_back(Service);
     call_route Route;
-    Route.Repeat = repeat_rule::Resume;
+    Route.RetryMode = retry_mode::Resume;
     Route.LongestGap = 250ms;
     Route.Services = {{service_name("llm"), 1}};
     Fleet.Routes.push_back(Route);
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -35,10 +35,10 @@
   EXPECT_EQ(valueOf(Read).Revision, revision(7));
   const fleet_declaration &Fleet = valueOf(Read).Fleet;
   ASSERT_EQ(Fleet.Routes.size(), 2U);
-  EXPECT_EQ(Fleet.Routes[0].Repeat, repeat_rule::Resume);
+  EXPECT_EQ(Fleet.Routes[0].RetryMode, retry_mode::Resume);
   EXPECT_EQ(Fleet.Routes[0].Services.size(), 2U);
   EXPECT_EQ(Fleet.Routes[0].LongestGap.count(), 250);
-  EXPECT_EQ(Fleet.Routes[1].Repeat, repeat_rule::Never);
+  EXPECT_EQ(Fleet.Routes[1].RetryMode, retry_mode::Never);
   EXPECT_TRUE(Fleet.Routes[1].Anonymous);
   ASSERT_TRUE(Fleet.Services[0].Engine);
   EXPECT_EQ(Fleet.Services[0].Engine->StepsPerPass, 51U);
--- a/tests/relay/headed_call_test.cpp
+++ b/tests/relay/headed_call_test.cpp
@@ -191,7 +191,7 @@
 TEST(ACallOfAnUnknownRoute, WaitsForTheDeclarationThatKnowsIt) {
   relay_limits Limits;
   Limits.ReadyWait = std::chrono::seconds(20);
-  headed_relay Relay(repeat_rule::Resume, Limits);
+  headed_relay Relay(retry_mode::Resume, Limits);
   Relay.setLagging();
   Relay.send("p", {}, "/new/b");
   Relay.settle();
@@ -256,7 +256,7 @@
   const scripted_server Closes([](auto &Socket, const seen_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s1\r\nConnection: close\r\n\r\nall of it");
   });
-  headed_relay Relay(repeat_rule::Never);
+  headed_relay Relay(retry_mode::Never);
   Relay.call("p");
   Relay.start(Closes, 1, false);
   Relay.next<attempt_completed>();
@@ -272,7 +272,7 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(20)); // The bytes go out before.
     resetConnection(Socket);
   });
-  headed_relay Relay(repeat_rule::Never);
+  headed_relay Relay(retry_mode::Never);
   Relay.call("p");
   Relay.start(Resets, 1, false);
   Relay.next<attempt_failed>();
@@ -291,7 +291,7 @@
   });
   const scripted_server Answers(
       [&Head](auto &Socket, const seen_request &) { sendText(Socket, Head + "all of it."); });
-  headed_relay Relay(repeat_rule::Always);
+  headed_relay Relay(retry_mode::Always);
   Relay.call("p");
   Relay.start(Breaks, 1);
   EXPECT_EQ(Relay.next<attempt_failed>().Failure, attempt_failure::BrokenSent);
@@ -310,7 +310,7 @@
   const scripted_server Crossed([](auto &Socket, const seen_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s0\r\nContent-Length: 6\r\n\r\nsecret");
   });
-  headed_relay Relay(repeat_rule::Never);
+  headed_relay Relay(retry_mode::Never);
   Relay.call("p");
   Relay.start(Crossed, 1, false);
   EXPECT_EQ(Relay.next<attempt_failed>().Failure, attempt_failure::BadAnswer);
@@ -327,7 +327,7 @@
     sendText(Socket,
              "HTTP/1.1 503 Full\r\nX-Send: s1\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
   });
-  headed_relay Relay(repeat_rule::Never);
+  headed_relay Relay(retry_mode::Never);
   Relay.call("p");
   Relay.start(Full, 1, false);
   EXPECT_EQ(Relay.next<attempt_failed>().Failure, attempt_failure::Declined);
@@ -344,7 +344,7 @@
     sendText(Socket,
              "HTTP/1.1 500 Oops\r\nX-Send: s1\r\nX-Sign: 7\r\nContent-Length: 4\r\n\r\noops");
   });
-  headed_relay Relay(repeat_rule::Always);
+  headed_relay Relay(retry_mode::Always);
   Relay.call("p");
   Relay.start(Fails, 1, true);
   EXPECT_EQ(Relay.next<attempt_failed>().Failure, attempt_failure::ErrorAnswer);
@@ -365,7 +365,7 @@
   });
   relay_limits Limits;
   Limits.ReadyWait = std::chrono::seconds(10);
-  headed_relay Relay(repeat_rule::Never, Limits);
+  headed_relay Relay(retry_mode::Never, Limits);
   Relay.setDeclared(false);
   const auto Called = std::async(std::launch::async, [&Relay] { Relay.call("p"); });
   EXPECT_EQ(Called.wait_for(std::chrono::milliseconds(50)), std::future_status::timeout);
@@ -393,7 +393,7 @@
   const scripted_server Server([](auto &Socket, const seen_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s1\r\nContent-Length: 2\r\n\r\nok");
   });
-  headed_relay Relay(repeat_rule::Never);
+  headed_relay Relay(retry_mode::Never);
   Relay.drain();
   Relay.call("p");
   Relay.start(Server, 1, false);
--- a/tests/relay/headed_relay.cpp
+++ b/tests/relay/headed_relay.cpp
@@ -53,7 +53,7 @@
   return Calls;
 }
 
-declaration_view declarationWith(repeat_rule Repeat, const std::string &PathPrefix = "/a/") {
+declaration_view declarationWith(retry_mode Repeat, const std::string &PathPrefix = "/a/") {
   fleet_declaration Fleet;
   service_declaration Service;
   Service.Name = service_name("svc");
@@ -63,7 +63,7 @@
   Route.Name = "route";
   Route.Host = "example.test";
   Route.PathPrefix = PathPrefix;
-  Route.Repeat = Repeat;
+  Route.RetryMode = Repeat;
   Route.MaxAttempts = 3;
   Route.LongestGap = std::chrono::milliseconds(100);
   Route.Services = {{service_name("svc"), 1}};
@@ -78,7 +78,7 @@
          "Transfer-Encoding: chunked\r\n\r\n";
 }
 
-headed_relay::headed_relay(repeat_rule Repeat, const relay_limits &Limits)
+headed_relay::headed_relay(retry_mode Repeat, const relay_limits &Limits)
     : Declaration(declarationWith(Repeat)), Work(asio::make_work_guard(Io)), Ring(RingCapacity),
       NewsRing(RingCapacity) {
   Relay = relay_builder(Io, Ring)
@@ -220,7 +220,7 @@
 }
 
 void headed_relay::declareRoute(const std::string &PathPrefix) {
-  Declaration = declarationWith(repeat_rule::Resume, PathPrefix);
+  Declaration = declarationWith(retry_mode::Resume, PathPrefix);
   setDeclared(true);
 }
 
--- a/tests/relay/headed_relay_base.h
+++ b/tests/relay/headed_relay_base.h
@@ -26,7 +26,7 @@
 /// The relay with one declared route, and the test in place of the decision thread.
 class headed_relay {
 public:
-  explicit headed_relay(repeat_rule Repeat = repeat_rule::Resume, const relay_limits &Limits = {});
+  explicit headed_relay(retry_mode Repeat = retry_mode::Resume, const relay_limits &Limits = {});
   ~headed_relay();
   headed_relay(const headed_relay &) = delete;
   headed_relay &operator=(const headed_relay &) = delete;
