--- a/src/settings/setting_checks.cpp
+++ b/src/settings/setting_checks.cpp
@@ -1,4 +1,4 @@
-/** @file setting_checks.cpp Checks of addresses, names and key hashes. */
+/** @file setting_checks.cpp Validates addresses, names and key hashes. */
 #include "core/core.h"
 #include "settings/setting_checks_func.h"
 #include "settings/settings_type.h"
@@ -58,7 +58,7 @@
 }
 
 std::optional<std::string> checkNotEmpty(const std::string &Text) {
-  return Text.empty() ? std::optional<std::string>("a text that is not empty") : std::nullopt;
+  return Text.empty() ? std::optional<std::string>("a non-empty text") : std::nullopt;
 }
 
 std::string toText(const std::vector<settings_error> &Errors) {
--- a/src/settings/settings_file.cpp
+++ b/src/settings/settings_file.cpp
@@ -1,4 +1,5 @@
-/** @file settings_file.cpp TOML by tomlplusplus, flattened into dotted keys with their lines. */
+/** @file settings_file.cpp Flattens TOML, parsed by tomlplusplus, into dotted keys with their
+ * lines. */
 #include "settings/settings_file_func.h"
 
 #include <fstream>
@@ -13,15 +14,16 @@
 using raw_entries = std::vector<raw_entry>;
 using raw_errors = std::vector<settings_error>;
 
+/// Collects the dotted keys of a document.
 class flattener {
 public:
   explicit flattener(std::string FileName) : File(std::move(FileName)) {}
 
-  void table(const toml::table &Table, const std::string &Prefix) {
+  void addTable(const toml::table &Table, const std::string &Prefix) {
     for (const auto &[Key, Node] : Table) {
       const std::string Path =
           Prefix.empty() ? std::string(Key.str()) : Prefix + "." + std::string(Key.str());
-      node(Node, Path);
+      addNode(Node, Path);
     }
   }
 
@@ -29,46 +31,46 @@
   raw_errors Errors;
 
 private:
-  void node(const toml::node &Node, const std::string &Path) {
+  void addNode(const toml::node &Node, const std::string &Path) {
     if (const auto *Table = Node.as_table())
-      table(*Table, Path);
+      addTable(*Table, Path);
     else if (const auto *Array = Node.as_array())
-      list(*Array, Path);
+      addList(*Array, Path);
     else
-      scalar(Node, Path);
+      addScalar(Node, Path);
   }
 
-  void list(const toml::array &Array, const std::string &Path) {
+  void addList(const toml::array &Array, const std::string &Path) {
     std::vector<std::string> Values;
-    for (const toml::node &Item : Array) {
-      const auto Text = Item.value_exact<std::string>();
+    for (const toml::node &Element : Array) {
+      const auto Text = Element.value_exact<std::string>();
       if (!Text) {
-        refuse(Item, Path, "a list of texts");
+        addError(Element, Path, "a list of texts");
         return;
       }
       Values.push_back(*Text);
     }
-    add(Array, Path, Values);
+    addEntry(Array, Path, Values);
   }
 
-  void scalar(const toml::node &Node, const std::string &Path) {
+  void addScalar(const toml::node &Node, const std::string &Path) {
     if (const auto Flag = Node.value_exact<bool>())
-      add(Node, Path, *Flag);
+      addEntry(Node, Path, *Flag);
     else if (const auto Whole = Node.value_exact<std::int64_t>())
-      add(Node, Path, *Whole);
+      addEntry(Node, Path, *Whole);
     else if (const auto Real = Node.value_exact<double>())
-      add(Node, Path, *Real);
+      addEntry(Node, Path, *Real);
     else if (const auto Text = Node.value_exact<std::string>())
-      add(Node, Path, *Text);
+      addEntry(Node, Path, *Text);
     else
-      refuse(Node, Path, "a text, a number, true or false, or a list of texts");
+      addError(Node, Path, "a text, a number, true or false, or a list of texts");
   }
 
-  void add(const toml::node &Node, const std::string &Path, raw_setting Value) {
+  void addEntry(const toml::node &Node, const std::string &Path, raw_setting Value) {
     Entries.push_back({Path, static_cast<int>(Node.source().begin.line), std::move(Value)});
   }
 
-  void refuse(const toml::node &Node, const std::string &Path, const char *Allowed) {
+  void addError(const toml::node &Node, const std::string &Path, const char *Allowed) {
     Errors.push_back({File, static_cast<int>(Node.source().begin.line), Path, Allowed});
   }
 
@@ -79,13 +81,13 @@
 
 result<raw_entries, raw_errors> readSettingsText(const std::string &Text,
                                                  const std::string &FileName) {
-  // The packaged tomlplusplus throws; its exception ends here.
+  // The packaged tomlplusplus reports errors by exception; convert it to an error here.
   try {
-    flattener Flat(FileName);
-    Flat.table(toml::parse(Text, FileName), "");
-    if (!Flat.Errors.empty())
-      return Flat.Errors;
-    return Flat.Entries;
+    flattener Flattener(FileName);
+    Flattener.addTable(toml::parse(Text, FileName), "");
+    if (!Flattener.Errors.empty())
+      return Flattener.Errors;
+    return Flattener.Entries;
   } catch (const toml::parse_error &Error) {
     return raw_errors{{FileName, static_cast<int>(Error.source().begin.line), "",
                        "valid TOML: " + std::string(Error.description())}};
--- a/src/settings/settings_file_func.h
+++ b/src/settings/settings_file_func.h
@@ -1,4 +1,4 @@
-/** @file settings_file_func.h Reads a TOML file into dotted keys. */
+/** @file settings_file_func.h Parses a TOML file into a list of dotted keys. */
 #ifndef POLLENSTALL_SETTINGS_SETTINGS_FILE_FUNC_H
 #define POLLENSTALL_SETTINGS_SETTINGS_FILE_FUNC_H
 
@@ -11,14 +11,14 @@
 namespace pollenstall {
 
 /**
- * Reads a file of settings.
- * @param Path The file; it is named in the errors as given.
- * @return Every key with its line, or why the file could not be read as TOML.
+ * Reads and parses a settings file.
+ * @param Path The file; errors contain the path as given.
+ * @return Every key with its line, or the errors if the file cannot be read or parsed as TOML.
  */
 result<std::vector<raw_entry>, std::vector<settings_error>>
 readSettingsFile(const std::string &Path);
 
-/// The same from a text; FileName is only for the errors.
+/// Parses settings from a text. @param FileName The file name for error messages.
 result<std::vector<raw_entry>, std::vector<settings_error>>
 readSettingsText(const std::string &Text, const std::string &FileName);
 
--- a/tests/settings/settings_test.cpp
+++ b/tests/settings/settings_test.cpp
@@ -1,4 +1,4 @@
-/** @file settings_test.cpp Tables of settings: defaults, bounds, unknown keys. */
+/** @file settings_test.cpp Tests defaults, bounds and unknown keys of settings tables. */
 #include "settings/settings.h"
 
 #include <gtest/gtest.h>
@@ -40,7 +40,7 @@
   return succeeded(Loaded) ? std::vector<settings_error>{} : errorOf(Loaded);
 }
 
-TEST(Settings, TakeDefaultsWhereTheFileIsSilent) {
+TEST(Settings, UseDefaultsForAbsentKeys) {
   const auto Loaded = sampleTable().loadText("[host]\nname = \"a-1\"\n", "f.toml");
   ASSERT_TRUE(succeeded(Loaded));
   EXPECT_EQ(valueOf(Loaded).Queue, 64U);
@@ -48,7 +48,7 @@
   EXPECT_DOUBLE_EQ(valueOf(Loaded).Part, 0.5);
 }
 
-TEST(Settings, ReadEveryKind) {
+TEST(Settings, ReadEveryType) {
   const auto Loaded = sampleTable().loadText("loud = true\npart = 1\nwait_ms = 20\n"
                                              "peers = [\"127.0.0.1:1\", \"[::1]:2\"]\n"
                                              "[host]\nname = \"a\"\n[queue]\nmost = 7\n",
@@ -59,9 +59,9 @@
   EXPECT_EQ(valueOf(Loaded).Queue, 7U);
 }
 
-// A platform computes some figures for a site of its size: 103.6 retries, 1,200.5 ms, 7.5 s. A
-// program that took whole numbers only would not start there.
-TEST(Settings, TakeAFractionForEveryNumberThatIsNoCount) {
+// A platform computes some values from the size of a site, such as 103.6 retries, 1,200.5 ms or
+// 7.5 s. A program that accepted only integers would fail to start there.
+TEST(Settings, AcceptFractionsForDurationsAndRates) {
   const auto Loaded = sampleTable().loadText(
       "wait_ms = 20.4\ngrace_s = 7.5\nreserve = 103.6\n[host]\nname = \"a\"\n", "f.toml");
   ASSERT_TRUE(succeeded(Loaded));
@@ -70,30 +70,30 @@
   EXPECT_DOUBLE_EQ(valueOf(Loaded).Reserve.value(), 103.6);
 }
 
-// None at all is not the same as none given.
-TEST(Settings, TellZeroFromAbsence) {
-  const auto Silent = sampleTable().loadText("[host]\nname = \"a\"\n", "f.toml");
-  ASSERT_TRUE(succeeded(Silent));
-  EXPECT_EQ(valueOf(Silent).Reserve, std::nullopt);
+// A value of 0 differs from an absent key.
+TEST(Settings, DistinguishZeroFromAbsence) {
+  const auto Absent = sampleTable().loadText("[host]\nname = \"a\"\n", "f.toml");
+  ASSERT_TRUE(succeeded(Absent));
+  EXPECT_EQ(valueOf(Absent).Reserve, std::nullopt);
   const auto Zero = sampleTable().loadText("reserve = 0\n[host]\nname = \"a\"\n", "f.toml");
   ASSERT_TRUE(succeeded(Zero));
   EXPECT_EQ(valueOf(Zero).Reserve, 0.0);
 }
 
-TEST(Settings, NameTheBoundsOfSecondsInSeconds) {
+TEST(Settings, ReportBoundsOfSecondsInSeconds) {
   const auto Errors = errorsOf("grace_s = 0.05\n[host]\nname = \"a\"\n");
   ASSERT_EQ(Errors.size(), 1U);
   EXPECT_EQ(Errors[0].Allowed, "seconds from 0.1 to 3600");
 }
 
-TEST(Settings, NameFileLineKeyAndWhatIsAllowed) {
+TEST(Settings, ReportFileLineKeyAndAllowedValues) {
   const auto Errors = errorsOf("wait_ms = 5\n[host]\nname = \"a\"\n");
   ASSERT_EQ(Errors.size(), 1U);
   EXPECT_EQ(Errors[0], (settings_error{"f.toml", 1, "wait_ms", "milliseconds from 10 to 60000"}));
   EXPECT_EQ(toText(Errors), "f.toml:1: wait_ms: allowed: milliseconds from 10 to 60000\n");
 }
 
-TEST(Settings, RefuseAnUnknownKeyByName) {
+TEST(Settings, RejectAnUnknownKeyByName) {
   const auto Errors = errorsOf("[host]\nname = \"a\"\nnam = \"b\"\n");
   ASSERT_EQ(Errors.size(), 1U);
   EXPECT_EQ(Errors[0].Key, "host.nam");
@@ -105,13 +105,13 @@
             5U);
 }
 
-TEST(Settings, RefuseWhatIsNotToml) {
+TEST(Settings, RejectInvalidToml) {
   const auto Errors = errorsOf("a = = b\n");
   ASSERT_EQ(Errors.size(), 1U);
   EXPECT_EQ(Errors[0].Line, 1);
 }
 
-TEST(Settings, RefuseAFileThatIsNotThere) {
+TEST(Settings, RejectAMissingFile) {
   EXPECT_FALSE(succeeded(sampleTable().load("no-such-file.toml")));
 }
 
