--- a/src/control_link/control_link_codec_func.h
+++ b/src/control_link/control_link_codec_func.h
@@ -115,7 +115,7 @@
 
 /// @return The frame of one message to a control host or to an entry.
 template <typename Message> std::string linkFrame(const std::string &Fleet, const Message &Value) {
-  return frameOf(encodeEnvelope(Fleet, message_kind::ControlLink, Value));
+  return encodeFrame(encodeEnvelope(Fleet, message_kind::ControlLink, Value));
 }
 
 /// @return Whether a number that arrived is one of the standings.
--- a/src/peer_link/peer_codec_func.h
+++ b/src/peer_link/peer_codec_func.h
@@ -70,7 +70,7 @@
 
 /// @return The frame of one message.
 inline std::string peerFrame(const std::string &Fleet, const peer_message &Message) {
-  return frameOf(encodeEnvelope(Fleet, message_kind::Consensus, Message));
+  return encodeFrame(encodeEnvelope(Fleet, message_kind::Consensus, Message));
 }
 
 /// @return The message, or why the bytes are none of this fleet's.
--- a/src/wire/bounded_archive.h
+++ b/src/wire/bounded_archive.h
@@ -1,4 +1,4 @@
-/** @file bounded_archive.h A cereal input archive that never believes a length. */
+/** @file bounded_archive.h A cereal input archive that checks every length before it allocates. */
 #ifndef POLLENSTALL_WIRE_BOUNDED_ARCHIVE_H
 #define POLLENSTALL_WIRE_BOUNDED_ARCHIVE_H
 
@@ -19,7 +19,7 @@
 
 namespace pollenstall {
 
-/// Thrown inside decoding only; decodeBounded() turns it into a wire_error.
+/// Thrown only while decoding; catchDecodingErrors() converts it to a wire_error.
 class truncated_message : public cereal::Exception {
 public:
   truncated_message() : cereal::Exception("message ends inside a value") {}
@@ -27,56 +27,56 @@
 
 /**
  * Reads little-endian values from a span.
- * cereal's containers resize to the count they read; a forged count would make the process allocate
- * gigabytes for a datagram of twenty bytes. Every element takes at least a byte, so a count above
- * the bytes that are left is refused before anything is resized.
+ * cereal resizes a container to the count it reads, so a forged count in a datagram of 20 bytes
+ * could allocate gigabytes. Every element takes at least one byte, so a count greater than the
+ * number of remaining bytes is rejected before any container is resized.
  */
 class bounded_input_archive
     : public cereal::InputArchive<bounded_input_archive, cereal::AllowEmptyClassElision> {
 public:
   explicit bounded_input_archive(std::span<const char> Bytes)
       : cereal::InputArchive<bounded_input_archive, cereal::AllowEmptyClassElision>(this),
-        Left(Bytes) {}
+        Remaining(Bytes) {}
 
-  /// @return Bytes not read yet.
-  [[nodiscard]] std::size_t left() const { return Left.size(); }
+  /// @return The number of bytes not read yet.
+  [[nodiscard]] std::size_t remaining() const { return Remaining.size(); }
 
-  /// Copies so many bytes out, or throws truncated_message.
-  void loadBytes(void *Into, std::size_t Count) {
-    if (Count > Left.size())
+  /// Reads Count bytes into Buffer. Throws truncated_message if fewer remain.
+  void loadBytes(void *Buffer, std::size_t Count) {
+    if (Count > Remaining.size())
       throw truncated_message();
     if (Count > 0)
-      std::memcpy(Into, Left.data(), Count);
-    Left = Left.subspan(Count);
+      std::memcpy(Buffer, Remaining.data(), Count);
+    Remaining = Remaining.subspan(Count);
   }
 
-  /// Throws truncated_message where so many elements cannot be left.
+  /// Throws truncated_message if fewer than Count bytes remain.
   void checkCount(cereal::size_type Count) const {
-    if (Count > Left.size())
+    if (Count > Remaining.size())
       throw truncated_message();
   }
 
 private:
-  std::span<const char> Left;
+  std::span<const char> Remaining;
 };
 
 /// Writes little-endian values to a string.
 class string_output_archive
     : public cereal::OutputArchive<string_output_archive, cereal::AllowEmptyClassElision> {
 public:
-  explicit string_output_archive(std::string &Into)
+  explicit string_output_archive(std::string &Output)
       : cereal::OutputArchive<string_output_archive, cereal::AllowEmptyClassElision>(this),
-        Out(Into) {}
+        Target(Output) {}
 
-  void saveBytes(const void *From, std::size_t Count) {
-    Out.append(static_cast<const char *>(From), Count);
+  void saveBytes(const void *Source, std::size_t Count) {
+    Target.append(static_cast<const char *>(Source), Count);
   }
 
 private:
-  std::string &Out;
+  std::string &Target;
 };
 
-// The functions below are found by cereal through their names.
+// cereal finds the functions below by name.
 
 template <typename T>
 std::enable_if_t<std::is_arithmetic_v<T>> CEREAL_LOAD_FUNCTION_NAME(bounded_input_archive &Archive,
@@ -84,7 +84,7 @@
   Archive.loadBytes(std::addressof(Value), sizeof(Value));
 }
 
-/// A bool of any other byte than 0 or 1 would be undefined behaviour.
+/// Reads any non-zero byte as true; a bool with another byte than 0 or 1 is undefined behaviour.
 inline void CEREAL_LOAD_FUNCTION_NAME(bounded_input_archive &Archive, bool &Value) {
   std::uint8_t Byte = 0;
   Archive.loadBytes(&Byte, sizeof(Byte));
--- a/src/wire/core_codec_func.h
+++ b/src/wire/core_codec_func.h
@@ -1,4 +1,4 @@
-/** @file core_codec_func.h cereal functions for the types of core. */
+/** @file core_codec_func.h cereal serialization of the types of core. */
 #ifndef POLLENSTALL_WIRE_CORE_CODEC_FUNC_H
 #define POLLENSTALL_WIRE_CORE_CODEC_FUNC_H
 
--- a/src/wire/envelope_func.h
+++ b/src/wire/envelope_func.h
@@ -1,4 +1,4 @@
-/** @file envelope_func.h Puts a message of one kind into bytes with the fleet's name, and back. */
+/** @file envelope_func.h Encodes and decodes messages in an envelope with kind and fleet name. */
 #ifndef POLLENSTALL_WIRE_ENVELOPE_FUNC_H
 #define POLLENSTALL_WIRE_ENVELOPE_FUNC_H
 
@@ -13,16 +13,16 @@
 
 namespace pollenstall {
 
-/// Tells apart the protocols of the system's processes, so that one's port refuses another's bytes.
+/// Protocol of a message. A port rejects messages of other protocols.
 enum class message_kind : std::uint16_t {
   Gossip = 1,      ///< UDP between hosts.
   Consensus = 2,   ///< TCP between control hosts.
   ControlLink = 3, ///< TCP between an entry and a control host.
   State = 4,       ///< Records in files of a control host.
-  WorkShare = 6,   ///< UDP between entries; 5 was of a format that is no longer spoken.
+  WorkShare = 6,   ///< UDP between entries. 5 belonged to a retired format.
 };
 
-/// @return The message's bytes alone.
+/// @return The encoded message without an envelope.
 template <typename Message> std::string encodePlain(const Message &Value) {
   std::string Bytes;
   string_output_archive Archive(Bytes);
@@ -30,40 +30,40 @@
   return Bytes;
 }
 
-/// Reads the last value of an archive: no byte may be left behind it. May throw as cereal does.
+/// Reads the final value of an archive; remaining bytes are an error. May throw as cereal does.
 template <typename Message>
-result<Message, wire_error> readLastValue(bounded_input_archive &Archive) {
+result<Message, wire_error> readFinalValue(bounded_input_archive &Archive) {
   Message Value{};
   Archive(Value);
-  if (Archive.left() != 0)
+  if (Archive.remaining() != 0)
     return wire_error::Malformed;
   return Value;
 }
 
-/// Runs a reader and turns what cereal throws into a wire_error.
+/// Runs a reader and converts exceptions of cereal to a wire_error.
 template <typename Message, typename Reader>
-result<Message, wire_error> withoutExceptions(Reader &&Read) {
+result<Message, wire_error> catchDecodingErrors(Reader &&Read) {
   try {
     return Read();
   } catch (const truncated_message &) {
     return wire_error::Truncated;
   } catch (const std::exception &) {
-    // A variant's index out of range, or a count that no container can have.
+    // A variant's index is out of range, or a count exceeds the maximum size of a container.
     return wire_error::Malformed;
   }
 }
 
-/// Reads a message that fills the bytes exactly; never throws and never allocates beyond their
-/// size.
+/// Decodes a message that must span all bytes. Never throws, and the number of bytes bounds every
+/// allocation.
 template <typename Message> result<Message, wire_error> decodePlain(std::span<const char> Bytes) {
-  return withoutExceptions<Message>([Bytes] {
+  return catchDecodingErrors<Message>([Bytes] {
     bounded_input_archive Archive(Bytes);
-    return readLastValue<Message>(Archive);
+    return readFinalValue<Message>(Archive);
   });
 }
 
-/// What stands before every message.
-struct envelope_head {
+/// Header that precedes every message.
+struct envelope_header {
   std::uint32_t Magic{0};
   std::uint16_t Version{0};
   std::uint16_t Kind{0};
@@ -72,36 +72,36 @@
   template <typename Archive> void serialize(Archive &Into) { Into(Magic, Version, Kind, Fleet); }
 };
 
-/// @return The head that messages of this fleet and kind carry.
-envelope_head headFor(std::string_view Fleet, message_kind Kind);
+/// @return The header of messages of this fleet and kind.
+envelope_header makeEnvelopeHeader(std::string_view Fleet, message_kind Kind);
 
-/// @return Nothing wrong, or why the head is not of this fleet, version and kind.
-result<done, wire_error> checkHead(const envelope_head &Head, std::string_view Fleet,
-                                   message_kind Kind);
+/// @return An error if the header does not match the fleet, the version or the kind.
+result<done, wire_error> checkEnvelopeHeader(const envelope_header &Header, std::string_view Fleet,
+                                             message_kind Kind);
 
-/// @return Head and message in one string of bytes.
+/// @return The encoded header and message.
 template <typename Message>
 std::string encodeEnvelope(std::string_view Fleet, message_kind Kind, const Message &Value) {
   std::string Bytes;
   string_output_archive Archive(Bytes);
-  Archive(headFor(Fleet, Kind), Value);
+  Archive(makeEnvelopeHeader(Fleet, Kind), Value);
   return Bytes;
 }
 
-/// Reads head and message. @param Limit Bytes over it are refused unread.
+/// Decodes header and message. @param Limit A larger message is rejected without decoding.
 template <typename Message>
 result<Message, wire_error> decodeEnvelope(std::string_view Fleet, message_kind Kind,
                                            std::span<const char> Bytes, std::size_t Limit) {
   if (Bytes.size() > Limit)
     return wire_error::TooLarge;
-  return withoutExceptions<Message>([&]() -> result<Message, wire_error> {
+  return catchDecodingErrors<Message>([&]() -> result<Message, wire_error> {
     bounded_input_archive Archive(Bytes);
-    envelope_head Head;
-    Archive(Head);
-    const auto Checked = checkHead(Head, Fleet, Kind);
+    envelope_header Header;
+    Archive(Header);
+    const auto Checked = checkEnvelopeHeader(Header, Fleet, Kind);
     if (!succeeded(Checked))
       return errorOf(Checked);
-    return readLastValue<Message>(Archive);
+    return readFinalValue<Message>(Archive);
   });
 }
 
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -1,4 +1,4 @@
-/** @file wire.h Public header of wire: cereal messages in bounded envelopes, for TCP and UDP. */
+/** @file wire.h Public header of wire: bounded decoding of cereal messages over TCP and UDP. */
 #ifndef POLLENSTALL_WIRE_WIRE_H
 #define POLLENSTALL_WIRE_WIRE_H
 
--- a/tests/control/entry_link_test.cpp
+++ b/tests/control/entry_link_test.cpp
@@ -163,9 +163,9 @@
   const std::size_t Leader = Cluster.waitForLeader();
   const std::string Huge("\xFF\xFF\xFF\xFFxx", 6);
   const std::string Foreign =
-      frameOf(encodeEnvelope("other-fleet", message_kind::ControlLink, std::uint64_t{1}));
+      encodeFrame(encodeEnvelope("other-fleet", message_kind::ControlLink, std::uint64_t{1}));
   random_source Random(11);
-  std::string Noise = frameOf(std::string(64, 'x'));
+  std::string Noise = encodeFrame(std::string(64, 'x'));
   for (std::size_t Index = 4; Index < Noise.size(); ++Index)
     Noise[Index] = static_cast<char>(Random());
   for (const std::string &Address : {Cluster.entryAddresses()[Leader], Cluster.peerAddress(Leader)})
