--- a/programs/pollenstall-control/control_main.cpp
+++ b/programs/pollenstall-control/control_main.cpp
@@ -102,9 +102,9 @@
   if (Settings.Interface == "platform")
     for (operator_route &Route :
          platformRoutes(controlServices(*Host.Core, "http://" + Settings.ListenOperators)))
-      Server.route(Route.Method, Route.Path, Route.Access, std::move(Route.Handle), Route.Lane);
+      Server.route(Route.Method, Route.Path, Route.Access, std::move(Route.Handle), Route.Pool);
   Server
-      .onCrowded([](std::size_t Open) {
+      .onConnectionLimit([](std::size_t Open) {
         logEvent(log_level::Warning, "operator_connections_refused",
                  {{"open", static_cast<std::int64_t>(Open)}});
       })
--- a/src/operators/key_hash.cpp
+++ b/src/operators/key_hash.cpp
@@ -1,4 +1,4 @@
-/** @file key_hash.cpp SHA-256 by OpenSSL. */
+/** @file key_hash.cpp Computes SHA-256 with OpenSSL. */
 #include "operators/key_hash_func.h"
 
 #include <openssl/crypto.h>
@@ -30,7 +30,7 @@
   return Authorization.substr(Scheme.size());
 }
 
-bool sameSecret(std::string_view A, std::string_view B) {
+bool equalInConstantTime(std::string_view A, std::string_view B) {
   return A.size() == B.size() && CRYPTO_memcmp(A.data(), B.data(), A.size()) == 0;
 }
 
--- a/src/operators/key_hash_func.h
+++ b/src/operators/key_hash_func.h
@@ -1,4 +1,4 @@
-/** @file key_hash_func.h Bearer keys are kept and compared as SHA-256 only. */
+/** @file key_hash_func.h Hashes bearer keys, which are stored and compared only as SHA-256. */
 #ifndef POLLENSTALL_OPERATORS_KEY_HASH_FUNC_H
 #define POLLENSTALL_OPERATORS_KEY_HASH_FUNC_H
 
@@ -8,14 +8,14 @@
 
 namespace pollenstall {
 
-/// @return SHA-256 of the key in lower-case hex.
+/// @return The SHA-256 of the key in lower-case hex.
 std::string keyHash(std::string_view Key);
 
-/// @return The key in "Bearer <key>", or nothing where the header has another form.
+/// @return The key of the header value "Bearer <key>", or nothing if it has another form.
 std::optional<std::string_view> bearerKey(std::string_view Authorization);
 
-/// Compares in a time that does not depend on where the texts differ.
-bool sameSecret(std::string_view A, std::string_view B);
+/// Compares two secrets in a time that does not depend on where they differ.
+bool equalInConstantTime(std::string_view A, std::string_view B);
 
 } // namespace pollenstall
 
--- a/src/operators/operator_routes_base.h
+++ b/src/operators/operator_routes_base.h
@@ -1,4 +1,4 @@
-/** @file operator_routes_base.h Finds the route of a call and checks the key. */
+/** @file operator_routes_base.h Routes calls to handlers and checks the key. */
 #ifndef POLLENSTALL_OPERATORS_OPERATOR_ROUTES_BASE_H
 #define POLLENSTALL_OPERATORS_OPERATOR_ROUTES_BASE_H
 
@@ -17,17 +17,18 @@
 
   /**
    * Answers a call: 404 for an unknown path, 405 for another method, 401 without the key.
-   * @param Target Path and query as they stand in the request line.
-   * @param Authorization The header's value; empty where there is none.
+   * @param Target Path and query as in the request line.
+   * @param Authorization The header's value; empty if it is absent.
    */
   [[nodiscard]] operator_reply answer(const std::string &Method, std::string_view Target,
                                       std::string_view Authorization, std::string Body) const;
 
-  /// @return Whether the call can be answered at once: no handler behind the key would run for it.
-  [[nodiscard]] bool answersAtOnce(std::string_view Method, std::string_view Target) const;
+  /// @return Whether the answer cannot block, because only an operator_access::Open route or an
+  /// error can answer the call.
+  [[nodiscard]] bool isNonBlocking(std::string_view Method, std::string_view Target) const;
 
-  /// @return The lane of the call's route; that of operators where there is no such route.
-  [[nodiscard]] call_lane laneOf(std::string_view Method, std::string_view Target) const;
+  /// @return The pool of the call's route, or call_pool::Operators if no route matches.
+  [[nodiscard]] call_pool poolOf(std::string_view Method, std::string_view Target) const;
 
 private:
   [[nodiscard]] bool authorised(std::string_view Authorization) const;
--- a/src/operators/operator_server.cpp
+++ b/src/operators/operator_server.cpp
@@ -1,8 +1,9 @@
-/** @file operator_server.cpp HTTP by Beast: one call at a time on each connection, all bounded. */
+/** @file operator_server.cpp Serves HTTP with Beast: one call at a time on each connection, with
+ * limits on size, time and concurrency. */
 #include "operators/operator_server_base.h"
 
 #include "address/address.h"
-#include "operators/idle_order_base.h"
+#include "operators/idle_connections_base.h"
 #include "operators/operator_routes_base.h"
 
 #include <boost/asio/dispatch.hpp>
@@ -36,118 +37,122 @@
 
 constexpr std::size_t MaxBodyBytes = 4U << 20U;
 constexpr std::size_t MaxHeaderBytes = 16U << 10U;
-/// The rest of the file limit is for the log, for peers and for entries.
-constexpr std::size_t FileLimitPart = 2;
-constexpr std::size_t LeastConnections = 64;
-/// Where every connection is in a call, so many more are told to come back; others are closed.
-constexpr std::size_t MostRefusals = 64;
-constexpr std::size_t Threads = 2;
-/// Handlers that are not merely open may block; they never run on the threads that serve the
-/// platform.
+/// The rest of the file limit is reserved for the log, peers and entries.
+constexpr std::size_t FileLimitDivisor = 2;
+constexpr std::size_t MinConnections = 64;
+/// If no connection is idle, this many connections over the limit get a 503; more are closed
+/// without an answer.
+constexpr std::size_t MaxRefusals = 64;
+constexpr std::size_t IoThreads = 2;
+/// Handlers of routes other than operator_access::Open may block, so they do not run on the threads
+/// that serve the platform.
 constexpr std::size_t HandlerThreads = 4;
-constexpr std::size_t MaxHandling = 32; ///< Of each lane.
-constexpr std::size_t Lanes = 2;
-constexpr std::chrono::seconds ReturnAfter{1};
-constexpr std::chrono::seconds CrowdedInterval{1};
-constexpr std::chrono::seconds CallLimit{30};
+constexpr std::size_t MaxCallsInFlight = 32; ///< In each pool.
+constexpr std::size_t PoolCount = 2;
+constexpr std::chrono::seconds RetryDelay{1};
+constexpr std::chrono::seconds LimitReportInterval{1};
+constexpr std::chrono::seconds CallTimeout{30};
 constexpr unsigned Ok = 200;
 constexpr unsigned Unavailable = 503;
 constexpr unsigned BadRequest = 400;
 constexpr unsigned BodyTooLarge = 413;
 
-std::size_t connectionBound(std::size_t Wanted) {
-  if (Wanted > 0)
-    return Wanted;
+std::size_t connectionLimit(std::size_t Configured) {
+  if (Configured > 0)
+    return Configured;
   rlimit Files{};
   if (getrlimit(RLIMIT_NOFILE, &Files) != 0 || Files.rlim_cur == RLIM_INFINITY)
-    return LeastConnections;
-  return std::max<std::size_t>(LeastConnections, Files.rlim_cur / FileLimitPart);
+    return MinConnections;
+  return std::max<std::size_t>(MinConnections, Files.rlim_cur / FileLimitDivisor);
 }
 
-operator_reply comeBack(std::string_view Why) {
-  operator_reply Reply{Unavailable, "application/json", errorBody("busy", Why)};
-  Reply.RetryAfter = ReturnAfter;
+operator_reply busyReply(std::string_view Message) {
+  operator_reply Reply{Unavailable, "application/json", errorBody("busy", Message)};
+  Reply.RetryAfter = RetryDelay;
   return Reply;
 }
 
 class session;
 
-/// The calls of one lane.
-struct handler_lane {
+/// The handler threads of one call_pool.
+struct handler_pool {
   asio::thread_pool Handlers{HandlerThreads};
-  std::atomic<std::size_t> Handling{0}; ///< Calls that wait for a handler or run in one.
+  std::atomic<std::size_t> CallsInFlight{0}; ///< Queued and running calls.
 };
 
-/// What the connections of one server share.
-struct server_desk {
+/// Resources shared by the connections of one server.
+struct session_resources {
   operator_routes Routes;
-  std::array<handler_lane, Lanes> Handlers{};
-  std::atomic<std::size_t> Open{0}; ///< Connections.
-  idle_order<session> Idle{};
+  std::array<handler_pool, PoolCount> Handlers{};
+  std::atomic<std::size_t> OpenConnections{0}; ///< Number of connections.
+  idle_connections<session> IdleConnections{};
 
-  handler_lane &laneOf(std::string_view Method, std::string_view Target) {
-    return Handlers[static_cast<std::size_t>(Routes.laneOf(Method, Target))];
+  handler_pool &poolOf(std::string_view Method, std::string_view Target) {
+    return Handlers[static_cast<std::size_t>(Routes.poolOf(Method, Target))];
   }
 };
 
-/// One connection; lives as long as an operation on it is pending.
+/// One connection; exists as long as an operation on it is pending.
 class session : public std::enable_shared_from_this<session> {
 public:
-  session(tcp::socket Socket, server_desk &Shared) : Stream(std::move(Socket)), Desk(Shared) {
-    ++Desk.Open;
+  session(tcp::socket Socket, session_resources &SharedResources)
+      : Stream(std::move(Socket)), Resources(SharedResources) {
+    ++Resources.OpenConnections;
   }
   session(const session &) = delete;
   session &operator=(const session &) = delete;
-  ~session() { --Desk.Open; }
+  ~session() { --Resources.OpenConnections; }
 
-  /// The first read, on the strand: an answer may else be handled while it is still being started.
+  /// Starts the first read on the strand. Otherwise its completion could run while the read is
+  /// still being started.
   void start() {
     asio::dispatch(Stream.get_executor(), [Self = shared_from_this()] { Self->read(); });
   }
 
-  /// Answers without a call that there is no room, and ends.
+  /// Sends a 503 without reading a call, then closes the connection.
   void refuse() {
     asio::dispatch(Stream.get_executor(), [Self = shared_from_this()] {
-      Self->write(comeBack("too many connections"), false);
+      Self->write(busyReply("too many connections"), false);
     });
   }
 
-  /// @return Whether it waits for a call and nobody closes it yet: the caller of this does.
-  bool claimForClosing() { return Waiting && !Closing.exchange(true); }
+  /// Claims an idle connection for closing. @return True if it waits for a call and nobody else has
+  /// claimed it; the caller must then close it.
+  bool claimForClosing() { return AwaitingCall && !Closing.exchange(true); }
 
-  /// A call that comes at the same moment goes on.
+  /// Closes the connection unless a call has arrived in the meantime.
   void closeIfIdle() {
     asio::dispatch(Stream.get_executor(), [Self = shared_from_this()] {
-      if (Self->Waiting)
+      if (Self->AwaitingCall)
         Self->Stream.close();
       Self->Closing = false;
     });
   }
 
 private:
-  void beginWaiting() {
-    Place = Desk.Idle.add(shared_from_this());
-    Waiting = true;
+  void beginIdle() {
+    IdlePosition = Resources.IdleConnections.add(shared_from_this());
+    AwaitingCall = true;
   }
 
-  void endWaiting() {
-    Waiting = false;
-    Desk.Idle.remove(Place);
+  void endIdle() {
+    AwaitingCall = false;
+    Resources.IdleConnections.remove(IdlePosition);
   }
 
   void read() {
-    beginWaiting();
+    beginIdle();
     Parser.emplace();
     Parser->body_limit(MaxBodyBytes);
     Parser->header_limit(MaxHeaderBytes);
-    Stream.expires_after(CallLimit);
+    Stream.expires_after(CallTimeout);
     http::async_read(
         Stream, Buffer, *Parser,
         [Self = shared_from_this()](beast::error_code Error, std::size_t) { Self->onRead(Error); });
   }
 
   void onRead(beast::error_code Error) {
-    endWaiting();
+    endIdle();
     if (Error == http::error::body_limit)
       return write({BodyTooLarge, "application/json", errorBody("too_large", "body over 4 MiB")},
                    false);
@@ -164,21 +169,21 @@
     const bool KeepAlive = Request.keep_alive();
     const std::string_view Method(Request.method_string().data(), Request.method_string().size());
     const std::string_view Target(Request.target().data(), Request.target().size());
-    if (Desk.Routes.answersAtOnce(Method, Target))
+    if (Resources.Routes.isNonBlocking(Method, Target))
       return write(answerTo(std::move(Request)), KeepAlive);
-    handler_lane &Lane = Desk.laneOf(Method, Target);
-    if (Lane.Handling >= MaxHandling)
-      return write(comeBack("too many calls at once"), KeepAlive);
-    ++Lane.Handling;
-    asio::post(Lane.Handlers,
-               [Self = shared_from_this(), &Lane, Request = std::move(Request),
-                KeepAlive]() mutable { Self->handle(Lane, std::move(Request), KeepAlive); });
+    handler_pool &Pool = Resources.poolOf(Method, Target);
+    if (Pool.CallsInFlight >= MaxCallsInFlight)
+      return write(busyReply("too many calls at once"), KeepAlive);
+    ++Pool.CallsInFlight;
+    asio::post(Pool.Handlers,
+               [Self = shared_from_this(), &Pool, Request = std::move(Request),
+                KeepAlive]() mutable { Self->handle(Pool, std::move(Request), KeepAlive); });
   }
 
-  /// Runs on a handler's thread.
-  void handle(handler_lane &Lane, http::request<http::string_body> Request, bool KeepAlive) {
+  /// Answers a call; runs on a thread of the handler pool.
+  void handle(handler_pool &Pool, http::request<http::string_body> Request, bool KeepAlive) {
     operator_reply Reply = answerTo(std::move(Request));
-    --Lane.Handling;
+    --Pool.CallsInFlight;
     asio::post(Stream.get_executor(),
                [Self = shared_from_this(), Reply = std::move(Reply), KeepAlive]() mutable {
                  Self->write(std::move(Reply), KeepAlive);
@@ -187,8 +192,9 @@
 
   operator_reply answerTo(http::request<http::string_body> Request) const {
     const std::string Authorization(Request[http::field::authorization]);
-    return Desk.Routes.answer(std::string(Request.method_string()), std::string(Request.target()),
-                              Authorization, std::move(Request.body()));
+    return Resources.Routes.answer(std::string(Request.method_string()),
+                                   std::string(Request.target()), Authorization,
+                                   std::move(Request.body()));
   }
 
   void write(operator_reply Reply, bool KeepAlive) {
@@ -201,7 +207,7 @@
     Response->keep_alive(KeepAlive);
     Response->body() = std::move(Reply.Body);
     Response->prepare_payload();
-    Stream.expires_after(CallLimit);
+    Stream.expires_after(CallTimeout);
     http::async_write(Stream, *Response,
                       [Self = shared_from_this(), KeepAlive](beast::error_code Error, std::size_t) {
                         if (!Error && KeepAlive)
@@ -210,12 +216,12 @@
   }
 
   beast::tcp_stream Stream;
-  server_desk &Desk;
+  session_resources &Resources;
   beast::flat_buffer Buffer;
   std::optional<http::request_parser<http::string_body>> Parser;
   std::optional<http::response<http::string_body>> Response;
-  idle_order<session>::place Place; ///< While it waits for a call.
-  std::atomic<bool> Waiting{false};
+  idle_connections<session>::position IdlePosition; ///< Valid while it waits for a call.
+  std::atomic<bool> AwaitingCall{false};
   std::atomic<bool> Closing{false};
 };
 
@@ -225,39 +231,42 @@
 class operator_server::state {
 public:
   explicit state(operator_server_plan Plan)
-      : Most(connectionBound(Plan.MaxConnections)), OnCrowded(std::move(Plan.OnCrowded)),
+      : ConnectionLimit(connectionLimit(Plan.MaxConnections)),
+        OnConnectionLimit(std::move(Plan.OnConnectionLimit)),
         Registry(Plan.Registry ? Plan.Registry : std::make_shared<prometheus::Registry>()),
-        GaveWay(counter("pollenstall_operator_connections_gave_way_total",
-                        "Idle connections closed for others at the bound")),
-        Refused(counter("pollenstall_operator_connections_refused_total",
-                        "Connections turned away since all others were in calls")),
-        Desk{operator_routes(std::move(Plan.Routes), std::move(Plan.KeyHash))}, Acceptor(Context) {}
+        EvictedConnections(
+            counter("pollenstall_operator_connections_gave_way_total",
+                    "Idle connections closed to admit others at the connection limit")),
+        RefusedConnections(counter("pollenstall_operator_connections_refused_total",
+                                   "Connections refused because all others were in calls")),
+        Resources{operator_routes(std::move(Plan.Routes), std::move(Plan.KeyHash))},
+        Acceptor(Context) {}
   state(const state &) = delete;
   state &operator=(const state &) = delete;
 
   ~state() {
-    for (handler_lane &Lane : Desk.Handlers)
-      Lane.Handlers.join();
+    for (handler_pool &Pool : Resources.Handlers)
+      Pool.Handlers.join();
     Context.stop();
-    for (std::thread &Worker : Workers)
-      Worker.join();
+    for (std::thread &Thread : IoThreadList)
+      Thread.join();
   }
 
   result<done, operator_server_error> start(const std::string &Address) {
-    const auto Listening = listenOn(Acceptor, Address);
-    if (!succeeded(Listening))
-      return operator_server_error{errorOf(Listening)};
+    const auto Bound = listenOn(Acceptor, Address);
+    if (!succeeded(Bound))
+      return operator_server_error{errorOf(Bound)};
     accept();
-    for (std::size_t Count = 0; Count < Threads; ++Count)
-      Workers.emplace_back([this] { Context.run(); });
+    for (std::size_t Count = 0; Count < IoThreads; ++Count)
+      IoThreadList.emplace_back([this] { Context.run(); });
     return done{};
   }
 
   [[nodiscard]] std::string address() const {
     const auto Endpoint = Acceptor.local_endpoint();
     const std::string Host = Endpoint.address().to_string();
-    const std::string Shown = Endpoint.address().is_v6() ? "[" + Host + "]" : Host;
-    return Shown + ":" + std::to_string(Endpoint.port());
+    const std::string HostText = Endpoint.address().is_v6() ? "[" + Host + "]" : Host;
+    return HostText + ":" + std::to_string(Endpoint.port());
   }
 
 private:
@@ -277,44 +286,44 @@
   }
 
   void admit(tcp::socket Socket) {
-    const std::size_t Open = Desk.Open;
-    if (Open < Most)
-      return std::make_shared<session>(std::move(Socket), Desk)->start();
-    // Backend servers keep their connections between two notices. They lose little by a new one,
-    // and an operator who found no room could change nothing.
-    if (const auto Longest = Desk.Idle.longest()) {
-      Longest->closeIfIdle();
-      GaveWay.Increment();
-      return std::make_shared<session>(std::move(Socket), Desk)->start();
+    const std::size_t OpenConnections = Resources.OpenConnections;
+    if (OpenConnections < ConnectionLimit)
+      return std::make_shared<session>(std::move(Socket), Resources)->start();
+    // Backend servers keep idle connections between two announcements. Reconnecting costs them
+    // little, while an operator without a connection could change nothing.
+    if (const auto Evicted = Resources.IdleConnections.claimLongestIdle()) {
+      Evicted->closeIfIdle();
+      EvictedConnections.Increment();
+      return std::make_shared<session>(std::move(Socket), Resources)->start();
     }
-    Refused.Increment();
-    noteCrowded(Open);
-    if (Open < Most + MostRefusals)
-      std::make_shared<session>(std::move(Socket), Desk)->refuse();
+    RefusedConnections.Increment();
+    reportConnectionLimit(OpenConnections);
+    if (OpenConnections < ConnectionLimit + MaxRefusals)
+      std::make_shared<session>(std::move(Socket), Resources)->refuse();
   }
 
-  void noteCrowded(std::size_t Open) {
+  void reportConnectionLimit(std::size_t OpenConnections) {
     const auto Now = std::chrono::steady_clock::now();
-    if (!OnCrowded || (CrowdedAt && Now - *CrowdedAt < CrowdedInterval))
+    if (!OnConnectionLimit || (LimitReportedAt && Now - *LimitReportedAt < LimitReportInterval))
       return;
-    CrowdedAt = Now;
-    OnCrowded(Open);
+    LimitReportedAt = Now;
+    OnConnectionLimit(OpenConnections);
   }
 
   prometheus::Counter &counter(const char *Name, const char *Help) {
     return prometheus::BuildCounter().Name(Name).Help(Help).Register(*Registry).Add({});
   }
 
-  const std::size_t Most;
-  const std::function<void(std::size_t)> OnCrowded;
-  std::optional<std::chrono::steady_clock::time_point> CrowdedAt;
+  const std::size_t ConnectionLimit;
+  const std::function<void(std::size_t)> OnConnectionLimit;
+  std::optional<std::chrono::steady_clock::time_point> LimitReportedAt;
   std::shared_ptr<prometheus::Registry> Registry;
-  prometheus::Counter &GaveWay;
-  prometheus::Counter &Refused;
-  server_desk Desk;
+  prometheus::Counter &EvictedConnections;
+  prometheus::Counter &RefusedConnections;
+  session_resources Resources;
   asio::io_context Context;
   tcp::acceptor Acceptor;
-  std::vector<std::thread> Workers;
+  std::vector<std::thread> IoThreadList;
 };
 
 operator_server::operator_server(std::unique_ptr<state> Started) : State(std::move(Started)) {}
@@ -328,8 +337,8 @@
 
 operator_server_builder &operator_server_builder::route(std::string Method, std::string Path,
                                                         operator_access Access,
-                                                        operator_handler Handler, call_lane Lane) {
-  Plan.Routes.push_back({std::move(Method), std::move(Path), Access, std::move(Handler), Lane});
+                                                        operator_handler Handler, call_pool Pool) {
+  Plan.Routes.push_back({std::move(Method), std::move(Path), Access, std::move(Handler), Pool});
   return *this;
 }
 
@@ -339,8 +348,8 @@
 }
 
 operator_server_builder &
-operator_server_builder::onCrowded(std::function<void(std::size_t Open)> Hook) {
-  Plan.OnCrowded = std::move(Hook);
+operator_server_builder::onConnectionLimit(std::function<void(std::size_t OpenConnections)> Hook) {
+  Plan.OnConnectionLimit = std::move(Hook);
   return *this;
 }
 
--- a/src/operators/operator_server_base.h
+++ b/src/operators/operator_server_base.h
@@ -1,4 +1,4 @@
-/** @file operator_server_base.h A small HTTP server on a thread of its own, for operators. */
+/** @file operator_server_base.h An HTTP server for operators, with its own threads. */
 #ifndef POLLENSTALL_OPERATORS_OPERATOR_SERVER_BASE_H
 #define POLLENSTALL_OPERATORS_OPERATOR_SERVER_BASE_H
 
@@ -15,31 +15,31 @@
 
 namespace pollenstall {
 
-/// A path, or a path prefix where it ends with "/".
+/// A route with its handler. A path that ends with "/" matches as a prefix.
 struct operator_route {
   std::string Method;
   std::string Path;
   operator_access Access{operator_access::KeyNeeded};
   operator_handler Handle;
-  call_lane Lane{call_lane::Operators};
+  call_pool Pool{call_pool::Operators};
 };
 
-/// Everything an operator server is built from.
+/// Configuration of an operator server.
 struct operator_server_plan {
-  std::string Address; ///< "IP:port"; port 0 takes one from the kernel.
-  std::string KeyHash; ///< SHA-256 of the operators' key; empty refuses every call that needs it.
+  std::string Address; ///< "IP:port"; with port 0 the kernel chooses the port.
+  std::string KeyHash; ///< SHA-256 of the operators' key; if empty, calls that need it get 401.
   std::vector<operator_route> Routes;
   std::size_t MaxConnections{0}; ///< 0: half of the process's file limit.
   std::shared_ptr<prometheus::Registry> Registry;
-  std::function<void(std::size_t Open)> OnCrowded; ///< Callers were turned away.
+  std::function<void(std::size_t Open)> OnConnectionLimit; ///< Called when connections are refused.
 };
 
 /**
- * Serves operators apart from callers: bounded bodies and headers, a time limit for each call, and
- * a bound on connections. At the bound the connection that has been idle for longest gives way;
- * where none is idle a caller is told to come back. Handlers behind the key run on threads of their
- * own, so that calls that wait (for a quorum, say) cannot hold up /healthz; past a bound of such
- * calls the answer is 503.
+ * Serves operators separately from callers. It limits the size of bodies and headers, the duration
+ * of a call and the number of connections. At the connection limit it closes the longest idle
+ * connection; if none is idle, it refuses the new one with 503 and Retry-After. Handlers that may
+ * block, for example on a quorum, run on separate threads, so that they cannot delay /healthz. If
+ * too many such calls are in flight, the answer is 503.
  */
 class operator_server {
 public:
@@ -47,7 +47,7 @@
   operator_server &operator=(const operator_server &) = delete;
   ~operator_server();
 
-  /// @return Where it listens, with the port that the kernel gave.
+  /// @return The listening address, with the actual port.
   [[nodiscard]] std::string address() const;
 
 private:
@@ -58,30 +58,31 @@
   std::unique_ptr<state> State;
 };
 
-/// Collects routes, then starts the server.
+/// Collects routes and starts the server.
 class operator_server_builder {
 public:
-  /// @param Address "IP:port". @param KeyHash SHA-256 of the operators' key, hex.
+  /// @param Address "IP:port". @param KeyHash SHA-256 of the operators' key in hex.
   operator_server_builder(std::string Address, std::string KeyHash);
 
-  /// Adds a route; the longest matching path wins.
+  /// Adds a route. The longest matching path wins.
   operator_server_builder &route(std::string Method, std::string Path, operator_access Access,
-                                 operator_handler Handler, call_lane Lane = call_lane::Operators);
-  /// GET /healthz: 200 while the process answers.
+                                 operator_handler Handler, call_pool Pool = call_pool::Operators);
+  /// Adds GET /healthz, which answers 200 while the process responds.
   operator_server_builder &health();
-  /// GET /readyz: 200 where Ready() holds, otherwise 503, for the platform's balancer.
+  /// Adds GET /readyz for the platform's load balancer: 200 if Ready() returns true, otherwise 503.
   operator_server_builder &readiness(std::function<bool()> Ready);
-  /// GET /metrics in Prometheus' text format.
+  /// Adds GET /metrics in the Prometheus text format.
   operator_server_builder &metrics(std::shared_ptr<prometheus::Registry> Registry);
-  /// GET /dump: the process's state as JSON, without keys and prompts.
+  /// Adds GET /dump: the state of the process as JSON, without keys and prompts.
   operator_server_builder &dump(std::function<std::string()> Dump);
 
-  /// Connections at once.
+  /// Sets the limit of concurrent connections.
   operator_server_builder &maxConnections(std::size_t Count);
-  /// Called, at most once a second, after callers were turned away for want of connections.
-  operator_server_builder &onCrowded(std::function<void(std::size_t Open)> Hook);
+  /// Sets a hook that is called, at most once a second, when connections over the limit are
+  /// refused.
+  operator_server_builder &onConnectionLimit(std::function<void(std::size_t Open)> Hook);
 
-  /// Binds and starts the threads.
+  /// Binds the address and starts the threads.
   result<std::unique_ptr<operator_server>, operator_server_error> start();
 
 private:
--- a/src/operators/operator_type.h
+++ b/src/operators/operator_type.h
@@ -1,4 +1,4 @@
-/** @file operator_type.h Calls that arrive at the operators' address, and their answers. */
+/** @file operator_type.h Calls to an operator server and their replies. */
 #ifndef POLLENSTALL_OPERATORS_OPERATOR_TYPE_H
 #define POLLENSTALL_OPERATORS_OPERATOR_TYPE_H
 
@@ -9,7 +9,7 @@
 
 namespace pollenstall {
 
-/// One call; already authorised where the route asks for the key.
+/// A call, authorised if its route needs the key.
 struct operator_call {
   std::string Method;
   std::string Path; ///< Without the query.
@@ -17,32 +17,34 @@
   std::string Body;
 };
 
-/// The answer of a handler.
+/// The reply of a handler.
 struct operator_reply {
   unsigned Status{200};
   std::string ContentType{"application/json"};
   std::string Body;
-  std::string Location{};             ///< Where to ask instead, as a URL; empty where nowhere.
-  std::chrono::seconds RetryAfter{0}; ///< When to ask again; 0: nothing is said of it.
+  std::string Location{};             ///< URL to retry the call at; empty: no Location header.
+  std::chrono::seconds RetryAfter{0}; ///< Delay before a retry; 0: no Retry-After header.
 };
 
-/// It may block for as long as the call may take, but for one of operator_access::Open.
+/// Answers a call. It may block up to the time limit of a call, unless its route is
+/// operator_access::Open.
 using operator_handler = std::function<operator_reply(const operator_call &)>;
 
-/// Whether a route asks for the operators' key.
+/// Whether a route needs the operators' key, and whether its handler may block.
 enum class operator_access : std::uint8_t {
-  Open,      ///< For the platform's balancer and the metrics collector; answers at once.
-  OpenWaits, ///< Without a key as well, but its handler may block.
-  KeyNeeded, ///< 401 without the key; its handler may block.
+  Open, ///< No key, and the handler must not block; for load balancer and metrics collector.
+  OpenBlocking, ///< No key, but the handler may block.
+  KeyNeeded,    ///< Answers 401 without the key; the handler may block.
 };
 
-/// Calls that wait apart from each other, so that a crowd of one sort cannot shut out the other.
-enum class call_lane : std::uint8_t {
-  Operators, ///< Changes and reads.
-  Notices,   ///< What backend servers say of themselves, each of them every second or so.
+/// Pool of handler threads. Each pool has its own limit, so that a burst of one kind of call cannot
+/// starve the other.
+enum class call_pool : std::uint8_t {
+  Operators, ///< Changes and reads by operators.
+  Notices,   ///< Announcements of backend servers, about one a second from each.
 };
 
-/// Why the server could not start.
+/// The reason why the server could not start.
 struct operator_server_error {
   std::string Text;
 };
--- a/src/operators/operators.h
+++ b/src/operators/operators.h
@@ -1,5 +1,5 @@
-/** @file operators.h Public header of operators: the HTTP address that operators and the platform
- * use. */
+/** @file operators.h Public header of operators: the HTTP server for operators and the
+ * platform. */
 #ifndef POLLENSTALL_OPERATORS_OPERATORS_H
 #define POLLENSTALL_OPERATORS_OPERATORS_H
 
--- a/tests/operators/operators_test.cpp
+++ b/tests/operators/operators_test.cpp
@@ -1,4 +1,4 @@
-/** @file operators_test.cpp The operators' address: keys, paths, bounds. */
+/** @file operators_test.cpp Tests keys, routes and limits of the operator server. */
 #include "operators/operators.h"
 
 #include <boost/asio/connect.hpp>
@@ -21,8 +21,8 @@
 
 constexpr std::string_view Key = "operators-key";
 
-/// A server, and callers with connections of their own.
-struct served_callers : testing::Test {
+/// A server and a function that connects to it.
+struct server_fixture : testing::Test {
   asio::ip::tcp::socket connect() {
     const std::string Address = Server->address();
     const auto Port = static_cast<std::uint16_t>(std::stoi(Address.substr(Address.rfind(':') + 1)));
@@ -35,7 +35,7 @@
   std::unique_ptr<operator_server> Server;
 };
 
-struct operator_server_running : served_callers {
+struct running_server : server_fixture {
   void SetUp() override {
     auto Started =
         operator_server_builder("127.0.0.1:0", keyHash(Key))
@@ -76,61 +76,61 @@
   bool Ready{true};
 };
 
-TEST_F(operator_server_running, AnswersThePlatformWithoutAKey) {
+TEST_F(running_server, AnswersThePlatformWithoutAKey) {
   EXPECT_EQ(call("GET", "/healthz", "wrong").result_int(), 200U);
   EXPECT_EQ(call("GET", "/readyz", "wrong").result_int(), 200U);
   EXPECT_EQ(call("GET", "/metrics", "wrong").result_int(), 200U);
 }
 
-TEST_F(operator_server_running, TellsTheBalancerWhenNotReady) {
+TEST_F(running_server, ReportsNotReadyToTheLoadBalancer) {
   Ready = false;
   EXPECT_EQ(call("GET", "/readyz").result_int(), 503U);
 }
 
-TEST_F(operator_server_running, RefusesTheRestWithoutTheKey) {
+TEST_F(running_server, RefusesOtherRoutesWithoutTheKey) {
   EXPECT_EQ(call("GET", "/dump", "wrong").result_int(), 401U);
   EXPECT_EQ(call("GET", "/dump").result_int(), 200U);
   EXPECT_EQ(answerTo("GET /dump HTTP/1.1\r\nHost: x\r\n\r\n").result_int(), 401U);
 }
 
-TEST_F(operator_server_running, HandsOverBodyQueryAndPathBelowAPrefix) {
+TEST_F(running_server, PassesBodyQueryAndPathToTheHandler) {
   EXPECT_EQ(call("POST", "/v1/echo?a=b", std::string(Key), "text").body(), "text|a=b");
   EXPECT_EQ(call("GET", "/v1/items/7").body(), "/v1/items/7");
 }
 
-TEST_F(operator_server_running, TellsApartAnUnknownPathAndAWrongMethod) {
+TEST_F(running_server, DistinguishesAnUnknownPathFromAWrongMethod) {
   EXPECT_EQ(call("GET", "/nothing").result_int(), 404U);
   EXPECT_EQ(call("DELETE", "/healthz").result_int(), 405U);
 }
 
-TEST_F(operator_server_running, RefusesABodyOverItsBound) {
+TEST_F(running_server, RefusesABodyOverTheLimit) {
   EXPECT_EQ(answerTo("POST /v1/echo HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n")
                 .result_int(),
             413U);
 }
 
-TEST_F(operator_server_running, AnswersGarbageWithAnErrorAndGoesOn) {
+TEST_F(running_server, RejectsInvalidHttpAndKeepsServing) {
   EXPECT_EQ(answerTo(std::string("\x01\x02garbage\r\n\r\n")).result_int(), 400U);
   EXPECT_EQ(call("GET", "/healthz").result_int(), 200U);
 }
 
-/// A server with a bound on connections, and many callers that keep theirs.
-struct crowded_server : served_callers {
+/// A server with a connection limit, for callers that keep connections open.
+struct limited_server : server_fixture {
   void start(std::size_t MaxConnections) {
     auto Started = operator_server_builder("127.0.0.1:0", keyHash(Key))
                        .maxConnections(MaxConnections)
-                       .onCrowded([this](std::size_t) { ++CrowdedTold; })
+                       .onConnectionLimit([this](std::size_t) { ++LimitReports; })
                        .metrics(Registry)
                        .route(
-                           "PUT", "/notices/", operator_access::OpenWaits,
+                           "PUT", "/notices/", operator_access::OpenBlocking,
                            [this](const operator_call &) {
                              ++Notices;
                              if (Released.valid())
                                Released.wait();
                              return operator_reply{};
                            },
-                           call_lane::Notices)
-                       .route("PUT", "/change", operator_access::OpenWaits,
+                           call_pool::Notices)
+                       .route("PUT", "/change", operator_access::OpenBlocking,
                               [](const operator_call &) { return operator_reply{}; })
                        .start();
     ASSERT_TRUE(succeeded(Started)) << errorOf(Started).Text;
@@ -155,68 +155,68 @@
   }
 
   std::shared_ptr<prometheus::Registry> Registry{std::make_shared<prometheus::Registry>()};
-  std::atomic<int> CrowdedTold{0};
+  std::atomic<int> LimitReports{0};
   std::atomic<int> Notices{0};
   std::shared_future<void> Released;
 };
 
-// 650 backend servers keep a connection each to one control host, and 350 more hosts come by. With
-// a bound of 128 connections the rest was closed in silence: 27 of 155 servers never got an answer,
-// and no operator did.
-TEST_F(crowded_server, AnswersAThousandConnections) {
+// 650 backend servers each keep a connection to one control host, and 350 more hosts connect. With
+// a limit of 128 connections the excess was closed without an answer: 27 of 155 servers and all
+// operators never got one.
+TEST_F(limited_server, AnswersAThousandConnections) {
   start(2'048);
   constexpr std::size_t Servers = 1'000;
-  std::vector<asio::ip::tcp::socket> Kept;
+  std::vector<asio::ip::tcp::socket> Connections;
   for (std::size_t Number = 0; Number < Servers; ++Number)
-    Kept.push_back(connect());
+    Connections.push_back(connect());
   for (std::size_t Number = 0; Number < Servers; ++Number) {
-    send(Kept[Number], "/notices/" + std::to_string(Number));
-    ASSERT_EQ(answer(Kept[Number]).result_int(), 200U) << Number;
+    send(Connections[Number], "/notices/" + std::to_string(Number));
+    ASSERT_EQ(answer(Connections[Number]).result_int(), 200U) << Number;
   }
   EXPECT_EQ(change(), 200U);
 }
 
-// More backend servers than the bound keep connections that are idle between two notices. An
-// operator comes: the longest idle one gives way.
-TEST_F(crowded_server, LetsAnOperatorInWhereIdleConnectionsFillIt) {
-  constexpr std::size_t Most = 16;
-  start(Most);
-  std::vector<asio::ip::tcp::socket> Kept;
-  for (std::size_t Number = 0; Number < 3 * Most; ++Number) {
-    Kept.push_back(connect());
-    send(Kept.back(), "/notices/1");
-    ASSERT_EQ(answer(Kept.back()).result_int(), 200U) << Number;
+// More backend servers than the limit keep connections that are idle between two announcements. The
+// longest idle connection is closed when an operator connects.
+TEST_F(limited_server, EvictsIdleConnectionsForAnOperator) {
+  constexpr std::size_t ConnectionLimit = 16;
+  start(ConnectionLimit);
+  std::vector<asio::ip::tcp::socket> Connections;
+  for (std::size_t Number = 0; Number < 3 * ConnectionLimit; ++Number) {
+    Connections.push_back(connect());
+    send(Connections.back(), "/notices/1");
+    ASSERT_EQ(answer(Connections.back()).result_int(), 200U) << Number;
   }
-  for (std::size_t Call = 0; Call < Most; ++Call)
+  for (std::size_t Call = 0; Call < ConnectionLimit; ++Call)
     EXPECT_EQ(change(), 200U);
 }
 
-// Every connection is in a call. Who comes then is told when to come back: closed in silence, it
-// would look like a host that has died.
-TEST_F(crowded_server, TellsWhoFindsNoRoomToComeBack) {
+// While every connection is in a call, a new connection gets 503 with Retry-After. Closed without
+// an answer, the host would look dead to the caller.
+TEST_F(limited_server, RefusesWithRetryAfterWhenAllConnectionsAreBusy) {
   std::promise<void> Release;
   Released = Release.get_future().share();
-  constexpr std::size_t Most = 4;
-  start(Most);
+  constexpr std::size_t ConnectionLimit = 4;
+  start(ConnectionLimit);
   std::vector<asio::ip::tcp::socket> Busy;
-  for (std::size_t Number = 0; Number < Most; ++Number) {
+  for (std::size_t Number = 0; Number < ConnectionLimit; ++Number) {
     Busy.push_back(connect());
     send(Busy.back(), "/notices/1");
   }
-  while (Notices < static_cast<int>(Most))
+  while (Notices < static_cast<int>(ConnectionLimit))
     std::this_thread::yield();
-  asio::ip::tcp::socket Late = connect();
-  const auto Told = answer(Late);
-  EXPECT_EQ(Told.result_int(), 503U);
-  EXPECT_EQ(Told[http::field::retry_after], "1");
-  EXPECT_EQ(CrowdedTold, 1);
+  asio::ip::tcp::socket Excess = connect();
+  const auto Refusal = answer(Excess);
+  EXPECT_EQ(Refusal.result_int(), 503U);
+  EXPECT_EQ(Refusal[http::field::retry_after], "1");
+  EXPECT_EQ(LimitReports, 1);
   Release.set_value();
   for (asio::ip::tcp::socket &Socket : Busy)
     EXPECT_EQ(answer(Socket).result_int(), 200U);
 }
 
-// All notices wait for a leader. A change does not wait behind them.
-TEST_F(crowded_server, KeepsHandlersForOperators) {
+// A change must not queue behind announcements that wait for a leader.
+TEST_F(limited_server, KeepsHandlersFreeForOperators) {
   std::promise<void> Release;
   Released = Release.get_future().share();
   start(256);
@@ -231,9 +231,9 @@
   Release.set_value();
 }
 
-// Changes sent to a control host that is cut off wait for seconds, each holding a thread. The
-// platform's health check comes meanwhile; unanswered, it would make the platform replace the host.
-TEST(BlockedCalls, DoNotHoldUpTheHealthCheck) {
+// Changes sent to a partitioned control host block for seconds, each in a thread. The health check
+// must still be answered, since the platform replaces a host that does not answer it.
+TEST(BlockedCalls, DoNotDelayTheHealthCheck) {
   constexpr int Blocked = 16;
   std::promise<void> Release;
   const std::shared_future<void> Released = Release.get_future().share();
@@ -281,8 +281,8 @@
 
 TEST(KeyHash, IsSha256InHex) {
   EXPECT_EQ(keyHash("abc"), "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
-  EXPECT_TRUE(sameSecret("abc", "abc"));
-  EXPECT_FALSE(sameSecret("abc", "abd"));
+  EXPECT_TRUE(equalInConstantTime("abc", "abc"));
+  EXPECT_FALSE(equalInConstantTime("abc", "abd"));
   EXPECT_EQ(bearerKey("Bearer k"), "k");
   EXPECT_EQ(bearerKey("Basic k"), std::nullopt);
 }
