--- a/src/program/log.cpp
+++ b/src/program/log.cpp
@@ -1,4 +1,4 @@
-/** @file log.cpp One JSON object a line; log4cxx does levels, buffering and output. */
+/** @file log.cpp Formats events as one JSON object per line; log4cxx filters and writes them. */
 #include "program/log_func.h"
 
 #include "core/core.h"
@@ -16,8 +16,8 @@
 
 namespace {
 
-/// Lines that wait for the reader of the log: about 10,000 of them.
-constexpr std::size_t MostLogBytes = 4U << 20U;
+/// Memory for queued lines, about 10,000 of them.
+constexpr std::size_t MaxLogBytes = 4U << 20U;
 
 std::string ProgramName;
 std::unique_ptr<log_writer> Writer; ///< Null before startLogging().
@@ -27,7 +27,7 @@
   return Logger;
 }
 
-log4cxx::LevelPtr levelOf(log_level Level) {
+log4cxx::LevelPtr log4cxxLevel(log_level Level) {
   switch (Level) {
   case log_level::Debug:
     return log4cxx::Level::getDebug();
@@ -40,7 +40,7 @@
   }
 }
 
-const char *nameOf(log_level Level) {
+const char *levelName(log_level Level) {
   switch (Level) {
   case log_level::Debug:
     return "debug";
@@ -53,10 +53,10 @@
   }
 }
 
-boost::json::object lineOf(log_level Level, std::string_view Event) {
+boost::json::object makeLine(log_level Level, std::string_view Event) {
   boost::json::object Line;
   Line["time_unix_ms"] = wallClock().count();
-  Line["level"] = nameOf(Level);
+  Line["level"] = levelName(Level);
   Line["program"] = ProgramName;
   Line["event"] = Event;
   return Line;
@@ -65,14 +65,14 @@
 void write(const std::string &Line) { eventLogger()->forcedLog(log4cxx::Level::getInfo(), Line); }
 
 std::string droppedLine(std::uint64_t Count) {
-  boost::json::object Line = lineOf(log_level::Warning, "log_lines_dropped");
+  boost::json::object Line = makeLine(log_level::Warning, "log_lines_dropped");
   Line["lines"] = Count;
   return boost::json::serialize(Line);
 }
 
 } // namespace
 
-void startLogging(std::string_view Program, log_level Least) {
+void startLogging(std::string_view Program, log_level MinLevel) {
   ProgramName = Program;
   const auto Layout = std::make_shared<log4cxx::PatternLayout>(LOG4CXX_STR("%m%n"));
   const auto Appender =
@@ -80,32 +80,33 @@
   eventLogger()->setAdditivity(false);
   eventLogger()->removeAllAppenders();
   eventLogger()->addAppender(Appender);
-  eventLogger()->setLevel(levelOf(Least));
-  Writer = std::make_unique<log_writer>(MostLogBytes, write, droppedLine);
-  // What is registered now runs before log4cxx's own statics are destroyed. Left to the static
-  // objects, a process that ended at once wrote its last line through a logger that was gone.
+  eventLogger()->setLevel(log4cxxLevel(MinLevel));
+  Writer = std::make_unique<log_writer>(MaxLogBytes, write, droppedLine);
+  // A handler registered here runs before the statics of log4cxx are destroyed. If Writer were
+  // destroyed with the other statics, a process that exits immediately would write its last line
+  // through a destroyed logger.
   std::atexit([] { Writer.reset(); });
 }
 
 std::optional<log_level> logLevelFromText(std::string_view Text) {
   for (const log_level Level :
        {log_level::Debug, log_level::Info, log_level::Warning, log_level::Error})
-    if (Text == nameOf(Level))
+    if (Text == levelName(Level))
       return Level;
   return std::nullopt;
 }
 
 void logEvent(log_level Level, std::string_view Event, std::initializer_list<log_field> Fields) {
-  const log4cxx::LevelPtr Wanted = levelOf(Level);
-  if (!eventLogger()->isEnabledFor(Wanted))
+  const log4cxx::LevelPtr Log4cxxLevel = log4cxxLevel(Level);
+  if (!eventLogger()->isEnabledFor(Log4cxxLevel))
     return;
-  boost::json::object Line = lineOf(Level, Event);
+  boost::json::object Line = makeLine(Level, Event);
   for (const auto &[Name, Value] : Fields)
-    std::visit([&Line, Key = Name](const auto &Plain) { Line[Key] = Plain; }, Value);
+    std::visit([&Line, Key = Name](const auto &FieldValue) { Line[Key] = FieldValue; }, Value);
   std::string Text = boost::json::serialize(Line);
   const bool Severe = Level == log_level::Warning || Level == log_level::Error;
   if (Writer)
-    Writer->push(std::move(Text), Severe ? line_weight::Severe : line_weight::Ordinary);
+    Writer->push(std::move(Text), Severe ? line_severity::Severe : line_severity::Ordinary);
   else
     write(Text);
 }
--- a/src/program/log_func.h
+++ b/src/program/log_func.h
@@ -1,4 +1,4 @@
-/** @file log_func.h Log events as JSON lines, written through log4cxx to standard error. */
+/** @file log_func.h Writes log events as JSON lines to standard error, through log4cxx. */
 #ifndef POLLENSTALL_PROGRAM_LOG_FUNC_H
 #define POLLENSTALL_PROGRAM_LOG_FUNC_H
 
@@ -16,17 +16,18 @@
 
 /// A value of a log event's field.
 using log_value = std::variant<std::string, std::int64_t, double, bool>;
-/// A field; prompts and keys must never be put into one.
+/// A field of a log event. It must never contain a prompt or a key.
 using log_field = std::pair<std::string_view, log_value>;
 
-/// Sets up log4cxx once, before the first event. @param Program Stands in every line.
-void startLogging(std::string_view Program, log_level Least);
+/// Configures log4cxx; called once, before the first event. @param Program Part of every line.
+void startLogging(std::string_view Program, log_level MinLevel);
 
-/// @return The level a settings file names, or nothing.
+/// @return The log level of a name in a settings file, or nothing if it is unknown.
 std::optional<log_level> logLevelFromText(std::string_view Text);
 
 /**
- * Writes one line: time, level, program, event and the fields. Never waits for the log's reader.
+ * Writes one line with time, level, program, event and fields. Never blocks on the reader of the
+ * log.
  * @param Event A fixed lower_snake name, listed in docs/OPERATING.md.
  */
 void logEvent(log_level Level, std::string_view Event,
--- a/src/program/log_writer.cpp
+++ b/src/program/log_writer.cpp
@@ -1,4 +1,4 @@
-/** @file log_writer.cpp The queue and the thread behind it. */
+/** @file log_writer.cpp The line queue and its writer thread. */
 #include "program/log_writer_base.h"
 
 #include <condition_variable>
@@ -11,64 +11,65 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds EndLimit{500};
+constexpr std::chrono::milliseconds ShutdownFlushTimeout{500};
 
 } // namespace
 
 struct log_writer::state {
-  state(std::size_t Bound, line_sink Writes, dropped_line Says)
-      : MostBytes(Bound), Sink(std::move(Writes)), Told(std::move(Says)) {}
+  state(std::size_t ByteLimit, line_sink LineSink, dropped_line_formatter DroppedFormatter)
+      : MaxBytes(ByteLimit), Sink(std::move(LineSink)), FormatDropped(std::move(DroppedFormatter)) {
+  }
 
   void run() {
     std::unique_lock<std::mutex> Lock(Guard);
     while (true) {
-      Filled.wait(Lock, [this] { return !Lines.empty() || Ending; });
+      LinesQueued.wait(Lock, [this] { return !Lines.empty() || Stopping; });
       if (Lines.empty())
         return;
       std::deque<std::string> Batch = std::exchange(Lines, {});
       if (const std::uint64_t Count = std::exchange(Dropped, 0); Count > 0)
-        Batch.push_back(Told(Count));
+        Batch.push_back(FormatDropped(Count));
       Bytes = 0;
       Lock.unlock();
       for (const std::string &Line : Batch)
         Sink(Line);
       Lock.lock();
       Idle = Lines.empty();
-      Written.notify_all();
+      BatchWritten.notify_all();
     }
   }
 
-  const std::size_t MostBytes;
+  const std::size_t MaxBytes;
   const line_sink Sink;
-  const dropped_line Told;
+  const dropped_line_formatter FormatDropped;
   std::mutex Guard;
-  std::condition_variable Filled;
-  std::condition_variable Written;
+  std::condition_variable LinesQueued;
+  std::condition_variable BatchWritten;
   std::deque<std::string> Lines;
   std::size_t Bytes{0};
   std::uint64_t Dropped{0};
   bool Idle{true};
-  bool Ending{false};
+  bool Stopping{false};
 };
 
-log_writer::log_writer(std::size_t MostBytes, line_sink Sink, dropped_line Told)
-    : State(std::make_shared<state>(MostBytes, std::move(Sink), std::move(Told))) {
-  std::thread([Kept = State] { Kept->run(); }).detach();
+log_writer::log_writer(std::size_t MaxBytes, line_sink Sink, dropped_line_formatter FormatDropped)
+    : State(std::make_shared<state>(MaxBytes, std::move(Sink), std::move(FormatDropped))) {
+  std::thread([SharedState = State] { SharedState->run(); }).detach();
 }
 
 log_writer::~log_writer() {
-  flush(EndLimit);
+  flush(ShutdownFlushTimeout);
   const std::lock_guard<std::mutex> Lock(State->Guard);
-  State->Ending = true;
-  State->Filled.notify_all();
+  State->Stopping = true;
+  State->LinesQueued.notify_all();
 }
 
-bool log_writer::push(std::string Line, line_weight Weight) {
+bool log_writer::push(std::string Line, line_severity Severity) {
   {
     const std::lock_guard<std::mutex> Lock(State->Guard);
-    const std::size_t Room =
-        Weight == line_weight::Severe ? State->MostBytes : State->MostBytes / 4 * 3;
-    if (State->Bytes + Line.size() > Room) {
+    const std::size_t Capacity =
+        Severity == line_severity::Severe ? State->MaxBytes : State->MaxBytes / 4 * 3;
+    if (State->Bytes + Line.size() > Capacity) {
       ++State->Dropped;
       return false;
     }
@@ -76,13 +77,13 @@
     State->Lines.push_back(std::move(Line));
     State->Idle = false;
   }
-  State->Filled.notify_one();
+  State->LinesQueued.notify_one();
   return true;
 }
 
 bool log_writer::flush(std::chrono::milliseconds Limit) {
   std::unique_lock<std::mutex> Lock(State->Guard);
-  return State->Written.wait_for(Lock, Limit, [this] { return State->Idle; });
+  return State->BatchWritten.wait_for(Lock, Limit, [this] { return State->Idle; });
 }
 
 } // namespace pollenstall
--- a/src/program/program.cpp
+++ b/src/program/program.cpp
@@ -1,4 +1,4 @@
-/** @file program.cpp The common command line, by popt. */
+/** @file program.cpp Parses the common command line with popt. */
 #include "program/program_func.h"
 
 #include <popt.h>
@@ -47,7 +47,7 @@
       return exit_code::Ok;
     case ConfigOption:
       Options.ConfigFile = Config;
-      free(Config); // popt hands the copy over
+      free(Config); // popt passes ownership of the copy
       Config = nullptr;
       break;
     case CheckOption:
--- a/src/program/program.h
+++ b/src/program/program.h
@@ -1,4 +1,4 @@
-/** @file program.h Public header of program: what every binary needs to start, log and stop. */
+/** @file program.h Public header of program: startup, logging and shutdown of a binary. */
 #ifndef POLLENSTALL_PROGRAM_PROGRAM_H
 #define POLLENSTALL_PROGRAM_PROGRAM_H
 
--- a/src/program/program_func.h
+++ b/src/program/program_func.h
@@ -1,4 +1,4 @@
-/** @file program_func.h The start of every binary: command line, settings, log, exit code. */
+/** @file program_func.h Common start of every binary: command line, settings and exit code. */
 #ifndef POLLENSTALL_PROGRAM_PROGRAM_FUNC_H
 #define POLLENSTALL_PROGRAM_PROGRAM_FUNC_H
 
@@ -14,7 +14,7 @@
 
 namespace pollenstall {
 
-/// What the common command line asked for.
+/// Options of the common command line.
 struct program_options {
   std::string ConfigFile;
   bool CheckOnly{false};
@@ -22,19 +22,19 @@
 };
 
 /**
- * Reads --help, --version, --config FILE, --check and --manual.
- * @return The options, or the exit code where the process is to stop at once.
+ * Parses --help, --version, --config FILE, --check and --manual.
+ * @return The options, or an exit code if the process must stop.
  */
 result<program_options, exit_code> readOptions(int Count, const char **Values,
                                                const program_description &Description);
 
-/// One row of the settings' manual.
+/// Prints one row of the settings manual.
 void printManualRow(const std::string &Key, const std::string &Allowed, const std::string &Default,
                     const std::string &Meaning);
 
 /**
- * Runs a binary: options, settings, then Body.
- * @param Body Gets checked settings; blocks until the process is to end.
+ * Runs a binary: parses options, loads settings and calls Body.
+ * @param Body Receives the checked settings; returns when the process must end.
  * @return The exit code of the process.
  */
 template <typename Settings>
--- a/src/program/stop_signal.cpp
+++ b/src/program/stop_signal.cpp
@@ -1,4 +1,4 @@
-/** @file stop_signal.cpp Signals that end a process, taken synchronously. */
+/** @file stop_signal.cpp Waits synchronously for the signals that stop a process. */
 #include "program/stop_signal_base.h"
 
 #include "program/log_func.h"
@@ -32,8 +32,8 @@
 
 bool stop_signal::waitFor(std::chrono::milliseconds Limit) const {
   const auto Seconds = std::chrono::duration_cast<std::chrono::seconds>(Limit);
-  const std::chrono::nanoseconds Rest = Limit - Seconds;
-  const timespec Timeout{Seconds.count(), Rest.count()};
+  const std::chrono::nanoseconds Nanoseconds = Limit - Seconds;
+  const timespec Timeout{Seconds.count(), Nanoseconds.count()};
   return isStop(sigtimedwait(&Signals, nullptr, &Timeout));
 }
 
--- a/src/program/stop_signal_base.h
+++ b/src/program/stop_signal_base.h
@@ -10,16 +10,16 @@
 /**
  * Blocks SIGTERM, SIGINT, SIGHUP and SIGPIPE in the constructing thread and all threads it starts
  * later. A signal handler could interrupt any thread at any point; waiting for the signal cannot.
- * SIGHUP says that the settings have changed. They are read at the start only, so it is logged and
- * ends nothing.
+ * SIGHUP requests a reload of the settings. They are read only at the start, so it is logged and
+ * otherwise ignored.
  */
 class stop_signal {
 public:
   stop_signal();
 
-  /// Waits until the process is asked to stop.
+  /// Waits for SIGTERM or SIGINT.
   void wait() const;
-  /// Waits at most so long. @return Whether the process was asked to stop.
+  /// Waits for a signal for at most Limit. @return Whether it was SIGTERM or SIGINT.
   [[nodiscard]] bool waitFor(std::chrono::milliseconds Limit) const;
 
 private:
--- a/tests/program/log_writer_test.cpp
+++ b/tests/program/log_writer_test.cpp
@@ -1,4 +1,4 @@
-/** @file log_writer_test.cpp A log whose reader is slow, stands still, and reads on. */
+/** @file log_writer_test.cpp Tests a log whose reader stalls and continues. */
 #include "program/log_writer_base.h"
 
 #include <gtest/gtest.h>
@@ -13,19 +13,20 @@
 using namespace std::chrono_literals;
 
 constexpr std::chrono::seconds Limit{10};
-constexpr std::size_t MostBytes = 1'000;
+constexpr std::size_t MaxBytes = 1'000;
 
-/// Takes lines only while its gate is open. Shared with the writer's thread, which may outlive it.
-struct gated_reader {
+/// A sink that blocks until it is open. Shared with the writer's thread, which may outlive the
+/// test.
+struct blockable_reader {
   std::mutex Guard;
   std::condition_variable Changed;
   bool Open{true};
-  bool Entered{false};
+  bool Consuming{false};
   std::vector<std::string> Lines;
 
-  void take(const std::string &Line) {
+  void consume(const std::string &Line) {
     std::unique_lock<std::mutex> Lock(Guard);
-    Entered = true;
+    Consuming = true;
     Changed.notify_all();
     Changed.wait(Lock, [this] { return Open; });
     Lines.push_back(Line);
@@ -35,60 +36,61 @@
     Open = Value;
     Changed.notify_all();
   }
-  void waitUntilEntered() {
+  void waitUntilConsuming() {
     std::unique_lock<std::mutex> Lock(Guard);
-    ASSERT_TRUE(Changed.wait_for(Lock, Limit, [this] { return Entered; }));
+    ASSERT_TRUE(Changed.wait_for(Lock, Limit, [this] { return Consuming; }));
   }
 };
 
-struct a_log : testing::Test {
-  std::shared_ptr<gated_reader> Reader = std::make_shared<gated_reader>();
-  log_writer Log{MostBytes, [Kept = Reader](const std::string &Line) { Kept->take(Line); },
+struct log_writer_test : testing::Test {
+  std::shared_ptr<blockable_reader> Reader = std::make_shared<blockable_reader>();
+  log_writer Log{MaxBytes,
+                 [SharedReader = Reader](const std::string &Line) { SharedReader->consume(Line); },
                  [](std::uint64_t Count) { return "dropped " + std::to_string(Count); }};
 
-  /// The reader holds the first line and takes no other one.
-  void stopReading() {
+  /// Blocks the reader on the first line.
+  void stallReader() {
     Reader->setOpen(false);
-    ASSERT_TRUE(Log.push("first", line_weight::Ordinary));
-    Reader->waitUntilEntered();
+    ASSERT_TRUE(Log.push("first", line_severity::Ordinary));
+    Reader->waitUntilConsuming();
   }
 };
 
-TEST_F(a_log, WritesItsLinesInOrder) {
+TEST_F(log_writer_test, WritesItsLinesInOrder) {
   for (const char *Line : {"a", "b", "c"})
-    EXPECT_TRUE(Log.push(Line, line_weight::Ordinary));
+    EXPECT_TRUE(Log.push(Line, line_severity::Ordinary));
   ASSERT_TRUE(Log.flush(Limit));
   EXPECT_EQ(Reader->Lines, (std::vector<std::string>{"a", "b", "c"}));
 }
 
-// The reader of the log stands still. Whoever logs goes on at once; what finds no room is dropped,
-// and the log says how much when it is read again.
-TEST_F(a_log, DelaysNobodyWhileItsReaderStandsStill) {
-  stopReading();
-  int Taken = 0;
+// While the reader stalls, push() does not block. Lines that do not fit are dropped, and their
+// number is logged when the reader continues.
+TEST_F(log_writer_test, DropsLinesWithoutBlockingWhileTheReaderStalls) {
+  stallReader();
+  int Accepted = 0;
   for (int Count = 0; Count < 100; ++Count)
-    Taken += Log.push(std::string(50, 'x'), line_weight::Ordinary) ? 1 : 0;
-  EXPECT_EQ(Taken, 15) << "three quarters of 1,000 bytes";
+    Accepted += Log.push(std::string(50, 'x'), line_severity::Ordinary) ? 1 : 0;
+  EXPECT_EQ(Accepted, 15) << "three quarters of 1,000 bytes";
   Reader->setOpen(true);
   ASSERT_TRUE(Log.flush(Limit));
   ASSERT_EQ(Reader->Lines.size(), 1U + 15U + 1U);
   EXPECT_EQ(Reader->Lines.back(), "dropped 85");
 }
 
-// Ordinary lines have filled what they may. A failure's line still finds room.
-TEST_F(a_log, KeepsRoomForSevereLines) {
-  stopReading();
-  while (Log.push(std::string(50, 'x'), line_weight::Ordinary)) {
+// A severe line still fits after ordinary lines have filled their part of the memory.
+TEST_F(log_writer_test, ReservesMemoryForSevereLines) {
+  stallReader();
+  while (Log.push(std::string(50, 'x'), line_severity::Ordinary)) {
   }
-  EXPECT_TRUE(Log.push("failure", line_weight::Severe));
+  EXPECT_TRUE(Log.push("failure", line_severity::Severe));
   Reader->setOpen(true);
   ASSERT_TRUE(Log.flush(Limit));
   EXPECT_EQ(Reader->Lines[Reader->Lines.size() - 2], "failure");
 }
 
-// A process ends while its log's reader stands still: it ends all the same.
-TEST_F(a_log, LetsItsProcessEndWhileItsReaderStandsStill) {
-  stopReading();
+// A process must be able to end while the reader of its log stalls.
+TEST_F(log_writer_test, FlushTimesOutWhileTheReaderStalls) {
+  stallReader();
   EXPECT_FALSE(Log.flush(1ms));
 }
 
