--- a/src/control_link/control_link_codec_func.h
+++ b/src/control_link/control_link_codec_func.h
@@ -116,7 +116,7 @@
 
 /// @return One message to a control host or an entry, framed for the wire.
 template <typename Message> std::string linkFrame(const std::string &Fleet, const Message &Value) {
-  return frameOf(encodeEnvelope(Fleet, message_kind::ControlLink, Value));
+  return encodeFrame(encodeEnvelope(Fleet, message_kind::ControlLink, Value));
 }
 
 /// @return Whether a received number is a valid enumerator.
--- a/src/fleet_model/engine_model.cpp
+++ b/src/fleet_model/engine_model.cpp
@@ -34,8 +34,8 @@
 void engine_model::addRemotePart(std::size_t JobId, double Tokens, double Prompt) {
   // Token pairs of attention are divided evenly among the parts: on average, half of the prompt
   // precedes a token.
-  const double PerToken =
-      Thousand / Figures.ReadPerSecond + Prompt / 2.0 / Million * Figures.PairsMs;
+  const double PerToken = Thousand / Figures.PrefillTokensPerSecond +
+                          Prompt / 2.0 / Million * Figures.MsPerMillionPairs;
   RemoteParts.push_back({JobId, Tokens, 0, PerToken});
 }
 
@@ -128,8 +128,8 @@
   const double PrecedingTokens = Active.Job.PrefillEngines > 1
                                      ? Active.Job.Prompt / 2.0
                                      : OwnPart - Active.RemainingPrefill + Tokens / 2.0;
-  return Tokens / Figures.ReadPerSecond * Thousand +
-         Tokens * PrecedingTokens / Million * Figures.PairsMs;
+  return Tokens / Figures.PrefillTokensPerSecond * Thousand +
+         Tokens * PrecedingTokens / Million * Figures.MsPerMillionPairs;
 }
 
 double engine_model::prefillParts(double &Budget) {
--- a/src/fleet_model/engine_model_base.h
+++ b/src/fleet_model/engine_model_base.h
@@ -45,7 +45,7 @@
 class engine_model {
 public:
   /// @param TokensPerEvent Tokens that a job emits per pass.
-  engine_model(const engine_figures &Declared, double TokensPerEvent)
+  engine_model(const engine_profile &Declared, double TokensPerEvent)
       : Figures(Declared), EventTokens(TokensPerEvent) {}
 
   /// Queues a job.
@@ -103,7 +103,7 @@
   double prefillParts(double &Budget);
   double prefillJobs(double &Budget);
 
-  engine_figures Figures;
+  engine_profile Figures;
   double EventTokens;
   bool InPass{false};
   std::list<active_job> Running;      ///< Ordered by urgency and age.
--- a/src/fleet_model/model_load.cpp
+++ b/src/fleet_model/model_load.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-using faults = std::vector<toml_fault>;
+using faults = std::vector<toml_error>;
 
 constexpr toml_range<double> PositiveRange{1e-6, 1e9};
 constexpr toml_range<double> NonNegativeRange{0, 1e9};
@@ -22,8 +22,8 @@
   return {"a name", [](const std::string &Text) { return !Text.empty(); }};
 }
 
-engine_figures readEngine(toml_reader &Table) {
-  engine_figures Figures;
+engine_profile readEngine(toml_reader &Table) {
+  engine_profile Figures;
   Figures.Places = static_cast<std::uint32_t>(Table.whole("places", CountRange, Figures.Places));
   Figures.Memory = tokens(Table.whole("memory_tokens", TokenRange, 315'000));
   Figures.StepsPerPass =
@@ -31,8 +31,9 @@
   Figures.StepMs = Table.number("step_ms", PositiveRange, Figures.StepMs);
   Figures.PerSequenceMs = Table.number("per_sequence_ms", NonNegativeRange, Figures.PerSequenceMs);
   Figures.PerContextMs = Table.number("per_context_ms", NonNegativeRange, Figures.PerContextMs);
-  Figures.ReadPerSecond = Table.number("read_per_second", PositiveRange, Figures.ReadPerSecond);
-  Figures.PairsMs = Table.number("pairs_ms", NonNegativeRange, Figures.PairsMs);
+  Figures.PrefillTokensPerSecond =
+      Table.number("read_per_second", PositiveRange, Figures.PrefillTokensPerSecond);
+  Figures.MsPerMillionPairs = Table.number("pairs_ms", NonNegativeRange, Figures.MsPerMillionPairs);
   Figures.Chunk = tokens(Table.whole("chunk_tokens", TokenRange, Figures.Chunk.value()));
   Table.finish("an engine");
   return Figures;
@@ -48,7 +49,7 @@
 
 request_kind readKind(toml_reader &Table) {
   request_kind Kind;
-  Kind.Name = Table.text("name", toml_need::Required, nameRule());
+  Kind.Name = Table.text("name", toml_presence::Required, nameRule());
   Kind.PerSecond = Table.number("per_second", PositiveRange, Kind.PerSecond);
   Kind.Prompt = readSize(Table, "prompt_tokens", 1'000);
   Kind.Events = readSize(Table, "answer_events", 1);
@@ -65,7 +66,7 @@
 
 load_phase readPhase(toml_reader &Table) {
   load_phase Phase;
-  Phase.Kind = Table.text("kind", toml_need::Optional, nameRule());
+  Phase.Kind = Table.text("kind", toml_presence::Optional, nameRule());
   Phase.From = Table.number("from_s", NonNegativeRange, Phase.From);
   Phase.Until = Table.number("until_s", NonNegativeRange, Phase.Until);
   Phase.Factor = Table.number("factor", NonNegativeRange, Phase.Factor);
@@ -139,7 +140,7 @@
   faults Faults;
   toml_reader Table(valueOf(Parsed), "", Faults);
   model_load Load;
-  Load.Name = Table.text("name", toml_need::Required, nameRule());
+  Load.Name = Table.text("name", toml_presence::Required, nameRule());
   Load.Seconds = Table.number("seconds", PositiveRange, Load.Seconds);
   Load.Entries = static_cast<std::size_t>(Table.whole("entries", CountRange, 8));
   Load.Engines = static_cast<std::size_t>(Table.whole("engines", CountRange, 18));
@@ -152,13 +153,13 @@
   Load.TokensPerEvent = Table.number("tokens_per_event", PositiveRange, Load.TokensPerEvent);
   if (auto Engine = Table.table("engine"))
     Load.Engine = readEngine(*Engine);
-  for (toml_reader &Kind : Table.tables("kind", toml_need::Required))
+  for (toml_reader &Kind : Table.tables("kind", toml_presence::Required))
     Load.Kinds.push_back(readKind(Kind));
-  for (toml_reader &Phase : Table.tables("phase", toml_need::Optional))
+  for (toml_reader &Phase : Table.tables("phase", toml_presence::Optional))
     Load.Phases.push_back(readPhase(Phase));
-  for (toml_reader &Outage : Table.tables("loss", toml_need::Optional))
+  for (toml_reader &Outage : Table.tables("loss", toml_presence::Optional))
     Load.EngineOutages.push_back(readEngineOutage(Outage));
-  for (toml_reader &Outage : Table.tables("entry_loss", toml_need::Optional))
+  for (toml_reader &Outage : Table.tables("entry_loss", toml_presence::Optional))
     Load.EntryOutages.push_back(readEntryOutage(Outage));
   if (auto Tuning = Table.table("tuning"))
     readTuning(*Tuning, Load.Tuning);
--- a/src/fleet_model/model_load_func.h
+++ b/src/fleet_model/model_load_func.h
@@ -12,7 +12,7 @@
 namespace pollenstall {
 
 /// @return The load, or an error for each invalid key. Unknown keys are errors too.
-result<model_load, std::vector<toml_fault>> parseModelLoad(std::string_view Text);
+result<model_load, std::vector<toml_error>> parseModelLoad(std::string_view Text);
 
 } // namespace pollenstall
 
--- a/src/fleet_model/model_load_type.h
+++ b/src/fleet_model/model_load_type.h
@@ -70,7 +70,7 @@
   double CallerDelayMs{1.0}; ///< One way, between callers and entries.
   /// Probability that a refused caller retries. It retries once, after the suggested delay.
   double RetryProbability{1.0};
-  engine_figures Engine;
+  engine_profile Engine;
   double TokensPerEvent{51};
   std::vector<request_kind> Kinds;
   std::vector<load_phase> Phases;
--- a/tests/relay/header_routed_call_test.cpp
+++ b/tests/relay/header_routed_call_test.cpp
@@ -192,7 +192,7 @@
 TEST(CallOfAnUnknownRoute, WaitsForTheDeclarationThatAddsIt) {
   relay_limits Limits;
   Limits.ReadyWait = std::chrono::seconds(20);
-  relay_harness Relay(repeat_rule::Resume, Limits);
+  relay_harness Relay(retry_mode::Resume, Limits);
   Relay.setDeclarationStale();
   Relay.send("p", {}, "/new/b");
   Relay.settle();
@@ -258,7 +258,7 @@
   const scripted_server Closes([](auto &Socket, const received_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s1\r\nConnection: close\r\n\r\nall of it");
   });
-  relay_harness Relay(repeat_rule::Never);
+  relay_harness Relay(retry_mode::Never);
   Relay.call("p");
   Relay.start(Closes, 1, false);
   Relay.next<attempt_completed>();
@@ -274,7 +274,7 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(20)); // Lets the bytes be sent first.
     resetConnection(Socket);
   });
-  relay_harness Relay(repeat_rule::Never);
+  relay_harness Relay(retry_mode::Never);
   Relay.call("p");
   Relay.start(Resets, 1, false);
   Relay.next<attempt_failed>();
@@ -293,7 +293,7 @@
   });
   const scripted_server Answers(
       [&Head](auto &Socket, const received_request &) { sendText(Socket, Head + "all of it."); });
-  relay_harness Relay(repeat_rule::Always);
+  relay_harness Relay(retry_mode::Always);
   Relay.call("p");
   Relay.start(Breaks, 1);
   EXPECT_EQ(Relay.next<attempt_failed>().Failure, attempt_failure::BrokenSent);
@@ -312,7 +312,7 @@
   const scripted_server Crossed([](auto &Socket, const received_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s0\r\nContent-Length: 6\r\n\r\nsecret");
   });
-  relay_harness Relay(repeat_rule::Never);
+  relay_harness Relay(retry_mode::Never);
   Relay.call("p");
   Relay.start(Crossed, 1, false);
   EXPECT_EQ(Relay.next<attempt_failed>().Failure, attempt_failure::BadAnswer);
@@ -329,7 +329,7 @@
     sendText(Socket,
              "HTTP/1.1 503 Full\r\nX-Send: s1\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
   });
-  relay_harness Relay(repeat_rule::Never);
+  relay_harness Relay(retry_mode::Never);
   Relay.call("p");
   Relay.start(Full, 1, false);
   EXPECT_EQ(Relay.next<attempt_failed>().Failure, attempt_failure::Declined);
@@ -346,7 +346,7 @@
     sendText(Socket,
              "HTTP/1.1 500 Oops\r\nX-Send: s1\r\nX-Sign: 7\r\nContent-Length: 4\r\n\r\noops");
   });
-  relay_harness Relay(repeat_rule::Always);
+  relay_harness Relay(retry_mode::Always);
   Relay.call("p");
   Relay.start(Fails, 1, true);
   EXPECT_EQ(Relay.next<attempt_failed>().Failure, attempt_failure::ErrorAnswer);
@@ -367,7 +367,7 @@
   });
   relay_limits Limits;
   Limits.ReadyWait = std::chrono::seconds(10);
-  relay_harness Relay(repeat_rule::Never, Limits);
+  relay_harness Relay(retry_mode::Never, Limits);
   Relay.setDeclared(false);
   const auto Called = std::async(std::launch::async, [&Relay] { Relay.call("p"); });
   EXPECT_EQ(Called.wait_for(std::chrono::milliseconds(50)), std::future_status::timeout);
@@ -395,7 +395,7 @@
   const scripted_server Server([](auto &Socket, const received_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s1\r\nContent-Length: 2\r\n\r\nok");
   });
-  relay_harness Relay(repeat_rule::Never);
+  relay_harness Relay(retry_mode::Never);
   Relay.drain();
   Relay.call("p");
   Relay.start(Server, 1, false);
--- a/tests/relay/relay_harness.cpp
+++ b/tests/relay/relay_harness.cpp
@@ -55,7 +55,7 @@
   return Calls;
 }
 
-declaration_view declarationWith(repeat_rule Repeat, const std::string &PathPrefix = "/a/") {
+declaration_view declarationWith(retry_mode Repeat, const std::string &PathPrefix = "/a/") {
   fleet_declaration Fleet;
   service_declaration Service;
   Service.Name = service_name("svc");
@@ -65,7 +65,7 @@
   Route.Name = "route";
   Route.Host = "example.test";
   Route.PathPrefix = PathPrefix;
-  Route.Repeat = Repeat;
+  Route.RetryMode = Repeat;
   Route.MaxAttempts = 3;
   Route.LongestGap = std::chrono::milliseconds(100);
   Route.Services = {{service_name("svc"), 1}};
@@ -80,7 +80,7 @@
          "Transfer-Encoding: chunked\r\n\r\n";
 }
 
-relay_harness::relay_harness(repeat_rule Repeat, const relay_limits &Limits)
+relay_harness::relay_harness(retry_mode Repeat, const relay_limits &Limits)
     : Declaration(declarationWith(Repeat)), Work(asio::make_work_guard(Io)), Ring(RingCapacity),
       CrashUpdateRing(RingCapacity) {
   Relay = relay_builder(Io, Ring)
@@ -223,7 +223,7 @@
 }
 
 void relay_harness::declareRoute(const std::string &PathPrefix) {
-  Declaration = declarationWith(repeat_rule::Resume, PathPrefix);
+  Declaration = declarationWith(retry_mode::Resume, PathPrefix);
   setDeclared(true);
 }
 
--- a/tests/relay/relay_harness_base.h
+++ b/tests/relay/relay_harness_base.h
@@ -25,7 +25,7 @@
 /// A relay with one declared route; the test replaces the decision thread.
 class relay_harness {
 public:
-  explicit relay_harness(repeat_rule Repeat = repeat_rule::Resume, const relay_limits &Limits = {});
+  explicit relay_harness(retry_mode Repeat = retry_mode::Resume, const relay_limits &Limits = {});
   ~relay_harness();
   relay_harness(const relay_harness &) = delete;
   relay_harness &operator=(const relay_harness &) = delete;
