--- a/programs/pollenstall-entry/decision_core.cpp
+++ b/programs/pollenstall-entry/decision_core.cpp
@@ -150,11 +150,11 @@
   const backend_key &Key = View.Announcement.Key;
   const auto Previous = Backends.find(Key);
   const bool WasAlreadyLost =
-      Previous != Backends.end() && Previous->second.Standing == backend_status::Lost;
+      Previous != Backends.end() && Previous->second.Status == backend_status::Lost;
   Backends.insert_or_assign(Key, View);
   Scheduler.updateBackend(withDrain(View), Now);
   Reaper.addEngine(View.Announcement);
-  if (View.Standing == backend_status::Lost && !WasAlreadyLost)
+  if (View.Status == backend_status::Lost && !WasAlreadyLost)
     Dispatcher.backendLost(Key, Now);
   PollPending = true;
 }
@@ -178,9 +178,9 @@
 }
 
 void decision_core::handleEvent(const backends_listed &Listed, mono_time Now) {
-  const std::vector<backend_listing> Changes = Listed.Whole
+  const std::vector<backend_listing> Changes = Listed.IsFullList
                                                    ? Directory.applyFullList(Listed.Listings, Now)
-                                                   : Directory.take(Listed.Listings);
+                                                   : Directory.applyUpdates(Listed.Listings);
   for (const backend_listing &Listing : Changes)
     onListingChanged(Listing, Now);
 }
--- a/programs/pollenstall-entry/decision_thread.cpp
+++ b/programs/pollenstall-entry/decision_thread.cpp
@@ -181,7 +181,7 @@
   std::visit(
       overloaded{
           [this](const declaration_received &Received) { handleDeclaration(Received); },
-          [this](const declaration_announced &Newer) { Freshness.announced(Newer.Revision); },
+          [this](const declaration_announced &Newer) { Freshness.recordAnnounced(Newer.Revision); },
           [this](const lease_extended &Lease) { Freshness.extend(Lease.Revision, Lease.Until); },
           [this, Now](const claim_answered &Answer) {
             Core.handleEvent(dispatch_event(Answer), Now);
@@ -217,7 +217,7 @@
       valueOf(Parsed).Limits.RetryPercent =
           static_cast<std::uint32_t>(std::lround(*DecisionOptions.RetryShare * 100));
     installDeclaration(std::make_shared<const declaration_index>(valueOf(std::move(Parsed))));
-    Freshness.inUse(Received.Revision);
+    Freshness.markInUse(Received.Revision);
     RevisionGauge.Set(static_cast<double>(Received.Revision.value()));
     logEvent(log_level::Info, "declaration_in_use",
              {{"revision", static_cast<std::int64_t>(Received.Revision.value())},
@@ -370,7 +370,7 @@
 }
 
 mono_duration decision_thread::sleepDuration(mono_time Now) const {
-  if (Outbox.waiting() > 0)
+  if (Outbox.queued() > 0)
     return FullRingSleep;
   mono_duration Sleep = MaxSleep;
   if (const auto Wake = Core.nextWake())
--- a/programs/pollenstall-entry/decision_thread_base.h
+++ b/programs/pollenstall-entry/decision_thread_base.h
@@ -78,7 +78,7 @@
   void stop();
 
   /// @return Whether new requests are admitted; from any thread.
-  [[nodiscard]] bool ready() const { return Ready.holds(boot_clock::now()); }
+  [[nodiscard]] bool ready() const { return Ready.isReady(boot_clock::now()); }
   /// @return Whether a newer incarnation of this host runs; from any thread.
   [[nodiscard]] bool superseded() const { return Superseded.load(std::memory_order_relaxed); }
   /// @return Number of abandoned attempts whose end the backend server has not confirmed; from any
--- a/src/fleet_model/engine_model.cpp
+++ b/src/fleet_model/engine_model.cpp
@@ -111,7 +111,7 @@
 
 void engine_model::admit() {
   const auto Memory = static_cast<double>(Figures.Memory.value());
-  while (!Waiting.empty() && Running.size() < Figures.Places) {
+  while (!Waiting.empty() && Running.size() < Figures.BatchSlots) {
     active_job &Active = Waiting.front();
     if (memoryUsed() + Active.Job.Prompt - Active.Job.ReservedElsewhere + Active.Job.Answer >
         Memory)
@@ -165,7 +165,7 @@
     StepMs += Figures.PerSequenceMs + localContext(Active) / Thousand * Figures.PerContextMs;
   }
   const double Steps = AnyDecoding ? static_cast<double>(Figures.StepsPerPass) : 1.0;
-  double Budget = Steps * static_cast<double>(Figures.Chunk.value());
+  double Budget = Steps * static_cast<double>(Figures.PrefillChunk.value());
   const double PrefillMs = prefillParts(Budget) + prefillJobs(Budget);
   TimeSpent.Prefill += PrefillMs;
   TimeSpent.Decode += AnyDecoding ? Steps * StepMs : 0;
--- a/src/fleet_model/model_load.cpp
+++ b/src/fleet_model/model_load.cpp
@@ -24,17 +24,19 @@
 
 engine_profile readEngine(toml_reader &Table) {
   engine_profile Figures;
-  Figures.Places = static_cast<std::uint32_t>(Table.whole("places", CountRange, Figures.Places));
-  Figures.Memory = tokens(Table.whole("memory_tokens", TokenRange, 315'000));
+  Figures.BatchSlots =
+      static_cast<std::uint32_t>(Table.integer("places", CountRange, Figures.BatchSlots));
+  Figures.Memory = tokens(Table.integer("memory_tokens", TokenRange, 315'000));
   Figures.StepsPerPass =
-      static_cast<std::uint32_t>(Table.whole("steps_per_pass", StepRange, Figures.StepsPerPass));
+      static_cast<std::uint32_t>(Table.integer("steps_per_pass", StepRange, Figures.StepsPerPass));
   Figures.StepMs = Table.number("step_ms", PositiveRange, Figures.StepMs);
   Figures.PerSequenceMs = Table.number("per_sequence_ms", NonNegativeRange, Figures.PerSequenceMs);
   Figures.PerContextMs = Table.number("per_context_ms", NonNegativeRange, Figures.PerContextMs);
   Figures.PrefillTokensPerSecond =
       Table.number("read_per_second", PositiveRange, Figures.PrefillTokensPerSecond);
   Figures.MsPerMillionPairs = Table.number("pairs_ms", NonNegativeRange, Figures.MsPerMillionPairs);
-  Figures.Chunk = tokens(Table.whole("chunk_tokens", TokenRange, Figures.Chunk.value()));
+  Figures.PrefillChunk =
+      tokens(Table.integer("chunk_tokens", TokenRange, Figures.PrefillChunk.value()));
   Table.finish("an engine");
   return Figures;
 }
@@ -57,7 +59,7 @@
   Kind.GapMs = Table.number("gap_ms", PositiveRange, Kind.GapMs);
   Kind.TimeoutMs = Table.number("timeout_ms", PositiveRange, Kind.TimeoutMs);
   Kind.PatienceMs = Table.number("patience_ms", NonNegativeRange, Kind.PatienceMs);
-  Kind.Urgency = static_cast<std::uint32_t>(Table.whole("urgency", UrgencyRange, Kind.Urgency));
+  Kind.Urgency = static_cast<std::uint32_t>(Table.integer("urgency", UrgencyRange, Kind.Urgency));
   Kind.Worth = Table.number("worth", NonNegativeRange, Kind.Worth);
   Kind.LateWorth = Table.number("late_worth", NonNegativeRange, Kind.LateWorth);
   Table.finish("a kind of request");
@@ -87,7 +89,7 @@
   entry_outage Outage;
   Outage.StartSeconds = Table.number("at_s", NonNegativeRange, Outage.StartSeconds);
   Outage.DurationSeconds = Table.number("for_s", NonNegativeRange, Outage.DurationSeconds);
-  Outage.Count = static_cast<std::size_t>(Table.whole("count", CountRange, 1));
+  Outage.Count = static_cast<std::size_t>(Table.integer("count", CountRange, 1));
   Table.finish("a loss of entries");
   return Outage;
 }
@@ -104,11 +106,11 @@
   Tuning.WaitPart = Table.number("wait_part", FractionRange, Tuning.WaitPart);
   Tuning.HeadroomPart = Table.number("room_part", FractionRange, Tuning.HeadroomPart);
   Tuning.LongPartMs = Table.number("long_part_ms", NonNegativeRange, Tuning.LongPartMs);
-  Tuning.MaxPrefillEngines =
-      static_cast<std::uint32_t>(Table.whole("most_readers", CountRange, Tuning.MaxPrefillEngines));
+  Tuning.MaxPrefillEngines = static_cast<std::uint32_t>(
+      Table.integer("most_readers", CountRange, Tuning.MaxPrefillEngines));
   Tuning.SpareSlots =
-      static_cast<std::uint32_t>(Table.whole("spare_places", UrgencyRange, Tuning.SpareSlots));
-  Tuning.MinPackedChoices = static_cast<std::size_t>(Table.whole(
+      static_cast<std::uint32_t>(Table.integer("spare_places", UrgencyRange, Tuning.SpareSlots));
+  Tuning.MinPackedChoices = static_cast<std::size_t>(Table.integer(
       "packed_choices", CountRange, static_cast<std::int64_t>(Tuning.MinPackedChoices)));
   Tuning.ChoicesPerUnknown =
       Table.number("choices_per_unknown", NonNegativeRange, Tuning.ChoicesPerUnknown);
@@ -142,9 +144,9 @@
   model_load Load;
   Load.Name = Table.text("name", toml_presence::Required, nameRule());
   Load.Seconds = Table.number("seconds", PositiveRange, Load.Seconds);
-  Load.Entries = static_cast<std::size_t>(Table.whole("entries", CountRange, 8));
-  Load.Engines = static_cast<std::size_t>(Table.whole("engines", CountRange, 18));
-  Load.FailureDomains = static_cast<std::size_t>(Table.whole("domains", CountRange, 3));
+  Load.Entries = static_cast<std::size_t>(Table.integer("entries", CountRange, 8));
+  Load.Engines = static_cast<std::size_t>(Table.integer("engines", CountRange, 18));
+  Load.FailureDomains = static_cast<std::size_t>(Table.integer("domains", CountRange, 3));
   Load.ReportDelayMs = Table.number("report_delay_ms", NonNegativeRange, Load.ReportDelayMs);
   Load.ReportLoss = Table.number("report_loss", FractionRange, Load.ReportLoss);
   Load.HostDelayMs = Table.number("host_delay_ms", NonNegativeRange, Load.HostDelayMs);
