--- a/src/fake_backend/announcer.cpp
+++ b/src/fake_backend/announcer.cpp
@@ -1,4 +1,4 @@
-/** @file announcer.cpp One short connection for each announcement. */
+/** @file announcer.cpp Opens one short connection for each announcement. */
 #include "fake_backend/announcer_base.h"
 
 #include "address/address.h"
@@ -14,79 +14,82 @@
 namespace http = boost::beast::http;
 
 namespace {
-constexpr std::chrono::seconds ExchangeLimit{1};
-constexpr std::size_t EntriesKept = 64;
+constexpr std::chrono::seconds ExchangeTimeout{1};
+constexpr std::size_t MaxEntries = 64;
 } // namespace
 
-announcer::announcer(boost::asio::io_context &Io, std::vector<std::string> Entries,
-                     std::string BearerKey, std::chrono::milliseconds Interval, body_hook MakeBody)
-    : Context(Io), Timer(Io), Known(std::move(Entries)), Key(std::move(BearerKey)), Pause(Interval),
-      Body(std::move(MakeBody)) {}
+announcer::announcer(boost::asio::io_context &Io, std::vector<std::string> InitialEntries,
+                     std::string BearerKey, std::chrono::milliseconds IntervalBetween,
+                     body_builder BodyBuilder)
+    : Context(Io), Timer(Io), EntryAddresses(std::move(InitialEntries)), Key(std::move(BearerKey)),
+      AnnounceInterval(IntervalBetween), BuildBody(std::move(BodyBuilder)) {}
 
-void announcer::announceNow(std::function<void()> Then) {
-  AfterNext = std::move(Then);
-  FailedInRow = 0;
+void announcer::announceNow(std::function<void()> OnComplete) {
+  OnAnnounced = std::move(OnComplete);
+  ConsecutiveFailures = 0;
   Timer.cancel();
   announce();
 }
 
 void announcer::announce() {
-  const std::uint64_t Turn = ++LastTurn;
-  const auto Endpoint = Known.empty() ? std::nullopt : tcpEndpoint(Known[Current]);
+  const std::uint64_t ExchangeId = ++LastExchangeId;
+  const auto Endpoint =
+      EntryAddresses.empty() ? std::nullopt : tcpEndpoint(EntryAddresses[CurrentEntry]);
   const auto Exchange = std::make_shared<exchange_state>(Context);
   if (!Endpoint) {
-    boost::asio::post(Context, [this, Exchange, Turn] { finish(Exchange, Turn, false); });
+    boost::asio::post(Context,
+                      [this, Exchange, ExchangeId] { finish(Exchange, ExchangeId, false); });
     return;
   }
   Exchange->Request = {http::verb::post, "/v1/announcements", 11};
-  Exchange->Request.set(http::field::host, Known[Current]);
+  Exchange->Request.set(http::field::host, EntryAddresses[CurrentEntry]);
   Exchange->Request.set(http::field::authorization, "Bearer " + Key);
   Exchange->Request.set(http::field::content_type, "application/json");
   Exchange->Request.keep_alive(false);
-  Exchange->Request.body() = Body();
+  Exchange->Request.body() = BuildBody();
   Exchange->Request.prepare_payload();
-  Exchange->Stream.expires_after(ExchangeLimit);
+  Exchange->Stream.expires_after(ExchangeTimeout);
   Exchange->Stream.async_connect(*Endpoint,
-                                 [this, Exchange, Turn](boost::system::error_code Error) {
+                                 [this, Exchange, ExchangeId](boost::system::error_code Error) {
                                    if (Error)
-                                     finish(Exchange, Turn, false);
+                                     finish(Exchange, ExchangeId, false);
                                    else
-                                     write(Exchange, Turn);
+                                     write(Exchange, ExchangeId);
                                  });
 }
 
-void announcer::write(const exchange_ptr &Exchange, std::uint64_t Turn) {
-  const auto Read = [this, Exchange, Turn](boost::system::error_code Error, std::size_t) {
-    finish(Exchange, Turn, !Error && Exchange->Response.result() == http::status::ok);
+void announcer::write(const exchange_ptr &Exchange, std::uint64_t ExchangeId) {
+  const auto Read = [this, Exchange, ExchangeId](boost::system::error_code Error, std::size_t) {
+    finish(Exchange, ExchangeId, !Error && Exchange->Response.result() == http::status::ok);
   };
-  http::async_write(Exchange->Stream, Exchange->Request,
-                    [this, Exchange, Turn, Read](boost::system::error_code Error, std::size_t) {
-                      if (Error)
-                        finish(Exchange, Turn, false);
-                      else
-                        http::async_read(Exchange->Stream, Exchange->Buffer, Exchange->Response,
-                                         Read);
-                    });
+  http::async_write(
+      Exchange->Stream, Exchange->Request,
+      [this, Exchange, ExchangeId, Read](boost::system::error_code Error, std::size_t) {
+        if (Error)
+          finish(Exchange, ExchangeId, false);
+        else
+          http::async_read(Exchange->Stream, Exchange->Buffer, Exchange->Response, Read);
+      });
 }
 
-void announcer::finish(const exchange_ptr &Exchange, std::uint64_t Turn, bool Taken) {
-  if (Turn != LastTurn)
+void announcer::finish(const exchange_ptr &Exchange, std::uint64_t ExchangeId, bool Accepted) {
+  if (ExchangeId != LastExchangeId)
     return;
-  if (Taken) {
-    FailedInRow = 0;
+  if (Accepted) {
+    ConsecutiveFailures = 0;
     addEntries(Exchange->Response.body());
   } else {
     const auto Status = static_cast<std::int64_t>(Exchange->Response.result_int());
     logEvent(log_level::Debug, "announcement_failed", {{"status", Status}});
-    Current = Known.empty() ? 0 : (Current + 1) % Known.size();
-    if (++FailedInRow < Known.size()) {
+    CurrentEntry = EntryAddresses.empty() ? 0 : (CurrentEntry + 1) % EntryAddresses.size();
+    if (++ConsecutiveFailures < EntryAddresses.size()) {
       announce();
       return;
     }
-    FailedInRow = 0;
+    ConsecutiveFailures = 0;
   }
-  if (const auto Then = std::exchange(AfterNext, nullptr))
-    Then();
+  if (const auto OnComplete = std::exchange(OnAnnounced, nullptr))
+    OnComplete();
   scheduleNext();
 }
 
@@ -98,17 +101,18 @@
   const boost::json::value *List = Value.get_object().if_contains("announce_to");
   if (!List || !List->is_array())
     return;
-  for (const boost::json::value &Item : List->get_array()) {
-    if (!Item.is_string() || Known.size() >= EntriesKept)
+  for (const boost::json::value &EntryAddress : List->get_array()) {
+    if (!EntryAddress.is_string() || EntryAddresses.size() >= MaxEntries)
       continue;
-    const std::string Address(Item.get_string());
-    if (tcpEndpoint(Address) && std::find(Known.begin(), Known.end(), Address) == Known.end())
-      Known.push_back(Address);
+    const std::string Address(EntryAddress.get_string());
+    if (tcpEndpoint(Address) &&
+        std::find(EntryAddresses.begin(), EntryAddresses.end(), Address) == EntryAddresses.end())
+      EntryAddresses.push_back(Address);
   }
 }
 
 void announcer::scheduleNext() {
-  Timer.expires_after(Pause);
+  Timer.expires_after(AnnounceInterval);
   Timer.async_wait([this](boost::system::error_code Error) {
     if (!Error)
       announce();
--- a/src/fake_backend/announcer_base.h
+++ b/src/fake_backend/announcer_base.h
@@ -1,4 +1,5 @@
-/** @file announcer_base.h Announces the backend server to one entry, on failure to the next. */
+/** @file announcer_base.h Periodically announces the backend server to one entry and
+ * fails over to the next one. */
 #ifndef POLLENSTALL_FAKE_BACKEND_ANNOUNCER_BASE_H
 #define POLLENSTALL_FAKE_BACKEND_ANNOUNCER_BASE_H
 
@@ -16,18 +17,20 @@
 
 namespace pollenstall {
 
-/// Loop of announcements on the backend server's own thread.
+/// Sends announcements at a fixed interval on the backend server's event loop thread.
 class announcer {
 public:
-  using body_hook = std::function<std::string()>;
+  using body_builder = std::function<std::string()>;
 
-  announcer(boost::asio::io_context &Io, std::vector<std::string> Entries, std::string BearerKey,
-            std::chrono::milliseconds Interval, body_hook MakeBody);
+  announcer(boost::asio::io_context &Io, std::vector<std::string> InitialEntries,
+            std::string BearerKey, std::chrono::milliseconds IntervalBetween,
+            body_builder BodyBuilder);
 
   /// Sends the first announcement.
   void start() { announce(); }
-  /// Announces at once. @param Then Called after an entry took it, or after every entry failed.
-  void announceNow(std::function<void()> Then);
+  /// Sends an announcement immediately. @param OnComplete Called after an entry has accepted it, or
+  /// after all known entries have failed.
+  void announceNow(std::function<void()> OnComplete);
 
 private:
   struct exchange_state {
@@ -40,21 +43,21 @@
   using exchange_ptr = std::shared_ptr<exchange_state>;
 
   void announce();
-  void write(const exchange_ptr &Exchange, std::uint64_t Turn);
-  void finish(const exchange_ptr &Exchange, std::uint64_t Turn, bool Taken);
+  void write(const exchange_ptr &Exchange, std::uint64_t ExchangeId);
+  void finish(const exchange_ptr &Exchange, std::uint64_t ExchangeId, bool Accepted);
   void addEntries(const std::string &Answer);
   void scheduleNext();
 
   boost::asio::io_context &Context;
   boost::asio::steady_timer Timer;
-  std::vector<std::string> Known;
+  std::vector<std::string> EntryAddresses;
   std::string Key;
-  std::chrono::milliseconds Pause;
-  body_hook Body;
-  std::function<void()> AfterNext;
-  std::size_t Current{0};
-  std::size_t FailedInRow{0};
-  std::uint64_t LastTurn{0}; ///< An answer of an earlier turn is dropped.
+  std::chrono::milliseconds AnnounceInterval;
+  body_builder BuildBody;
+  std::function<void()> OnAnnounced;
+  std::size_t CurrentEntry{0};
+  std::size_t ConsecutiveFailures{0};
+  std::uint64_t LastExchangeId{0}; ///< Results of earlier exchanges are dropped.
 };
 
 } // namespace pollenstall
--- a/src/fake_backend/backend_calls.cpp
+++ b/src/fake_backend/backend_calls.cpp
@@ -1,5 +1,6 @@
-/** @file backend_calls.cpp Attempts, cache, state, orders, faults and counts. */
-#include "fake_backend/stream_answer_base.h"
+/** @file backend_calls.cpp Handlers for attempts, KV cache, state, orders, faults and statistics.
+ */
+#include "fake_backend/answer_stream_base.h"
 #include "program/program.h"
 
 #include <charconv>
@@ -17,22 +18,22 @@
 constexpr std::string_view StreamSuffix = "/stream";
 constexpr std::string_view HandlePrefix = "kv-";
 
-std::string_view targetOf(const backend_request &Request) {
+std::string_view requestTarget(const backend_request &Request) {
   return {Request.target().data(), Request.target().size()};
 }
 
-/// Attempts have slashes, which some clients send as %2F.
-std::string decoded(std::string_view Path) {
+/// Decodes percent-encoding: attempt names contain slashes, which some clients send as %2F.
+std::string percentDecoded(std::string_view Path) {
   std::string Text;
-  for (std::size_t Place = 0; Place < Path.size(); ++Place) {
+  for (std::size_t Position = 0; Position < Path.size(); ++Position) {
     unsigned int Byte = 0;
-    const char *First = Path.data() + Place + 1;
-    if (Path[Place] == '%' && Place + 2 < Path.size() &&
+    const char *First = Path.data() + Position + 1;
+    if (Path[Position] == '%' && Position + 2 < Path.size() &&
         std::from_chars(First, First + 2, Byte, 16).ptr == First + 2) {
       Text += static_cast<char>(Byte);
-      Place += 2;
+      Position += 2;
     } else {
-      Text += Path[Place];
+      Text += Path[Position];
     }
   }
   return Text;
@@ -51,37 +52,37 @@
   }
 }
 
-json::array textArray(const std::vector<std::string> &Texts) {
-  return json::array(Texts.begin(), Texts.end());
+json::array jsonStringArray(const std::vector<std::string> &Strings) {
+  return json::array(Strings.begin(), Strings.end());
 }
 
-json::object countsOf(const std::map<std::string, std::int64_t> &Counts) {
+json::object countsObject(const std::map<std::string, std::int64_t> &Counts) {
   json::object Object;
   for (const auto &[Name, Count] : Counts)
     Object[Name] = Count;
   return Object;
 }
 
-/// @return The body's object; an empty one where it has none.
-json::object objectOf(const backend_request &Request) {
+/// Parses the body. @return Its JSON object, or an empty one if the body is not a JSON object.
+json::object parseBodyObject(const backend_request &Request) {
   json::error_code Error;
   json::value Value = json::parse(Request.body(), Error);
   return !Error && Value.is_object() ? std::move(Value.get_object()) : json::object();
 }
 
-std::string textOf(const json::object &Object, std::string_view Key) {
+std::string stringField(const json::object &Object, std::string_view Key) {
   const json::value *Value = Object.if_contains(Key);
   return Value && Value->is_string() ? std::string(Value->get_string()) : std::string();
 }
 
-std::int64_t numberOf(const json::object &Object, std::string_view Key) {
+std::int64_t integerField(const json::object &Object, std::string_view Key) {
   const json::value *Value = Object.if_contains(Key);
   return Value && Value->is_int64() ? Value->get_int64() : 0;
 }
 
-json::object orderJson(const engine_order &Order) {
+json::object orderObject(const engine_order &Order) {
   return {{"fence", Order.Fence},
-          {"order", Order.Order},
+          {"order", Order.Command},
           {"model", Order.Model},
           {"version", Order.Version},
           {"role", Order.Role}};
@@ -90,7 +91,7 @@
 } // namespace
 
 bool backend_server::handleCall(const session_ptr &Session, const backend_request &Request) {
-  const std::string_view Target = targetOf(Request);
+  const std::string_view Target = requestTarget(Request);
   if (Request.method() == http::verb::get)
     return handleGet(Session, Request, Target);
   if (Request.method() == http::verb::post)
@@ -145,13 +146,14 @@
 }
 
 void backend_server::handleAttempt(const session_ptr &Session, const backend_request &Request) {
-  std::string Attempt = decoded(targetOf(Request).substr(AttemptsPath.size()));
+  std::string Attempt = percentDecoded(requestTarget(Request).substr(AttemptsPath.size()));
   if (Request.method() == http::verb::delete_ && Settings.Cancels) {
     cancelAttempt(Session, Attempt);
     return;
   }
   const auto NotFound = [&Session] {
-    Session->reply(errorResponse(http::status::not_found, "not_found", "cannot do that", false));
+    Session->reply(errorResponse(http::status::not_found, "not_found",
+                                 "the attempt cannot be resumed or cancelled", false));
   };
   if (Request.method() != http::verb::get || !Attempt.ends_with(StreamSuffix) ||
       !Settings.Resumes) {
@@ -161,83 +163,91 @@
   Attempt.resize(Attempt.size() - StreamSuffix.size());
   const job_ptr Job = Engine.find(Attempt);
   const auto LastEvent = Request["Last-Event-ID"];
-  std::int64_t After = 0;
-  std::from_chars(LastEvent.data(), LastEvent.data() + LastEvent.size(), After);
-  if (!Job || Job->State == job_state::Cancelled || After < 0 || After >= eventCount(Job->Answer)) {
+  std::int64_t LastSeenEvent = 0;
+  std::from_chars(LastEvent.data(), LastEvent.data() + LastEvent.size(), LastSeenEvent);
+  if (!Job || Job->State == job_state::Cancelled || LastSeenEvent < 0 ||
+      LastSeenEvent >= eventCount(Job->Answer)) {
     NotFound();
     return;
   }
-  std::make_shared<stream_answer>(*this, Session, Job, After + 1)->start(echoOf(Attempt));
+  std::make_shared<answer_stream>(*this, Session, Job, LastSeenEvent + 1)
+      ->start(attemptToEcho(Attempt));
 }
 
 void backend_server::cancelAttempt(const session_ptr &Session, const std::string &Attempt) {
-  if (strikes(Faults.DropCancelNext)) {
+  if (consumeFault(Faults.DropCancelNext)) {
     Session->close();
     return;
   }
-  const auto Before = Engine.cancel(Attempt, boot_clock::now());
+  const auto PreviousState = Engine.cancel(Attempt, boot_clock::now());
   const char *State = "unknown";
-  if (Before)
-    State = *Before == job_state::Finished ? "finished" : "cancelled";
+  if (PreviousState)
+    State = *PreviousState == job_state::Finished ? "finished" : "cancelled";
   Session->reply(jsonResponse(http::status::ok, {{"state", State}}));
 }
 
 void backend_server::handleCacheEvents(const session_ptr &Session, const backend_request &Request) {
   const auto LastEvent = Request["Last-Event-ID"];
-  std::uint64_t After = 0;
-  std::from_chars(LastEvent.data(), LastEvent.data() + LastEvent.size(), After);
-  CacheReaders.push_back({Session, After});
+  std::uint64_t LastSeenEvent = 0;
+  std::from_chars(LastEvent.data(), LastEvent.data() + LastEvent.size(), LastSeenEvent);
+  CacheSubscribers.push_back({Session, LastSeenEvent});
   Session->openStream({});
   Session->writeEvents(": open\n\n", [] {});
 }
 
 void backend_server::handleOrder(const session_ptr &Session, const backend_request &Request) {
-  const json::object Body = objectOf(Request);
-  const engine_order Order{numberOf(Body, "fence"), textOf(Body, "order"), textOf(Body, "model"),
-                           textOf(Body, "version"), textOf(Body, "role")};
-  const auto Executed = Orders.execute(Order);
+  const json::object Body = parseBodyObject(Request);
+  const engine_order Order{integerField(Body, "fence"), stringField(Body, "order"),
+                           stringField(Body, "model"), stringField(Body, "version"),
+                           stringField(Body, "role")};
+  const auto Executed = OrderExecutor.execute(Order);
   if (succeeded(Executed)) {
-    Session->reply(jsonResponse(http::status::ok, {{"fence", Orders.fence()}}));
+    Session->reply(jsonResponse(http::status::ok, {{"fence", OrderExecutor.fence()}}));
     return;
   }
   switch (errorOf(Executed)) {
-  case order_refusal::OldFence:
-    Session->reply(jsonResponse(http::status::conflict, {{"fence", Orders.fence()}}));
+  case order_refusal::StaleFence:
+    Session->reply(jsonResponse(http::status::conflict, {{"fence", OrderExecutor.fence()}}));
     return;
   case order_refusal::NotSupported:
-    Session->reply(errorResponse(http::status::not_found, "no_orders", "takes no orders", true));
+    Session->reply(errorResponse(http::status::not_found, "no_orders",
+                                 "the engine does not support orders", true));
     return;
   case order_refusal::Invalid:
-    Session->reply(
-        errorResponse(http::status::bad_request, "invalid_order", "load, unload or role", true));
+    Session->reply(errorResponse(http::status::bad_request, "invalid_order",
+                                 "the order must be load, unload or role", true));
   }
 }
 
 void backend_server::handleExport(const session_ptr &Session, const backend_request &Request) {
-  const std::string Attempt = textOf(objectOf(Request), "attempt");
+  const std::string Attempt = stringField(parseBodyObject(Request), "attempt");
   const job_ptr Job = Engine.find(Attempt);
   if (!Settings.MovesCache || !Job || Job->ended()) {
-    Session->reply(errorResponse(http::status::not_found, "not_found", "holds no cache", true));
+    Session->reply(errorResponse(http::status::not_found, "not_found",
+                                 "no KV cache to export for this attempt", true));
     return;
   }
-  const std::int64_t Blocks = Job->Prefilled / Settings.BlockTokens;
+  const std::int64_t Blocks = Job->PrefilledTokens / Settings.BlockTokens;
   const std::string Handle = std::string(HandlePrefix) + std::to_string(Blocks) + "-" + Attempt;
   Session->reply(jsonResponse(http::status::ok, {{"handle", Handle}, {"blocks", Blocks}}));
 }
 
 void backend_server::handleImport(const session_ptr &Session, const backend_request &Request) {
-  const json::object Body = objectOf(Request);
-  const std::string Handle = textOf(Body, "handle");
+  const json::object Body = parseBodyObject(Request);
+  const std::string Handle = stringField(Body, "handle");
   std::int64_t Blocks = -1;
   if (Handle.starts_with(HandlePrefix))
     std::from_chars(Handle.data() + HandlePrefix.size(), Handle.data() + Handle.size(), Blocks);
   if (!Settings.MovesCache || Blocks < 0) {
-    Session->reply(errorResponse(http::status::bad_request, "invalid_handle", "no handle", true));
+    Session->reply(errorResponse(http::status::bad_request, "invalid_handle",
+                                 "the KV cache cannot be imported: invalid handle or not supported",
+                                 true));
     return;
   }
-  const std::string Attempt = textOf(Body, "attempt");
+  const std::string Attempt = stringField(Body, "attempt");
   if (!Engine.importBlocks(Attempt.empty() ? Handle : Attempt, Blocks, boot_clock::now())) {
-    Session->reply(errorResponse(http::status::service_unavailable, "no_memory", "no room", true));
+    Session->reply(errorResponse(http::status::service_unavailable, "no_memory",
+                                 "not enough KV memory for the import", true));
     return;
   }
   Session->reply(jsonResponse(http::status::ok, {{"handle", Handle}, {"blocks", Blocks}}));
@@ -251,19 +261,19 @@
     return;
   }
   logEvent(log_level::Info, "faults", {{"plan", Request.body()}});
-  Session->reply(jsonResponse(http::status::ok, {}), [this] { strikeAtOnce(); });
+  Session->reply(jsonResponse(http::status::ok, {}), [this] { applyImmediateFaults(); });
 }
 
 json::object backend_server::modelsJson() const {
   json::array Data;
-  for (const std::string &Model : Orders.models())
+  for (const std::string &Model : OrderExecutor.models())
     Data.push_back(json::object{{"id", Model}, {"object", "model"}, {"owned_by", Settings.Fleet}});
   return {{"object", "list"}, {"data", Data}};
 }
 
 json::object backend_server::attemptsJson() const {
   json::array List;
-  for (const job_ptr &Job : Engine.listed())
+  for (const job_ptr &Job : Engine.undeliveredJobs())
     List.push_back(json::object{
         {"attempt", Job->Attempt}, {"state", stateName(Job->State)}, {"blocks", Job->blocks()}});
   return {{"attempts", List}};
@@ -277,21 +287,21 @@
 }
 
 json::object backend_server::stateJson() const {
-  return {{"models", textArray(Orders.models())},
-          {"role", Orders.role()},
-          {"fence", Orders.fence()},
-          {"incarnation", OwnIncarnation}};
+  return {{"models", jsonStringArray(OrderExecutor.models())},
+          {"role", OrderExecutor.role()},
+          {"fence", OrderExecutor.fence()},
+          {"incarnation", ProcessIncarnation}};
 }
 
 json::object backend_server::statsJson() const {
   const engine_load Load = Engine.load();
   json::array Executed;
-  for (const engine_order &Order : Orders.executed())
-    Executed.push_back(orderJson(Order));
-  return {{"incarnation", OwnIncarnation},
+  for (const engine_order &Order : OrderExecutor.executed())
+    Executed.push_back(orderObject(Order));
+  return {{"incarnation", ProcessIncarnation},
           {"starts", Starts},
-          {"starts_by_attempt", countsOf(StartsByAttempt)},
-          {"starts_by_key", countsOf(StartsByKey)},
+          {"starts_by_attempt", countsObject(StartsByAttempt)},
+          {"starts_by_key", countsObject(StartsByKey)},
           {"declined", Declined},
           {"events_sent", EventsSent},
           {"open_answers", OpenAnswers},
@@ -300,7 +310,7 @@
           {"used_blocks", Load.UsedBlocks},
           {"cached_blocks", Load.CachedBlocks},
           {"cancels", Engine.cancels()},
-          {"fence", Orders.fence()},
+          {"fence", OrderExecutor.fence()},
           {"orders", Executed}};
 }
 
@@ -311,13 +321,13 @@
   const json::object Body{
       {"fleet", Settings.Fleet},
       {"address", Address},
-      {"incarnation", OwnIncarnation},
+      {"incarnation", ProcessIncarnation},
       {"sequence", ++AnnounceSequence},
       {"failure_domain", Settings.FailureDomain},
       {"service", Settings.Service},
       {"kind", Settings.Kind},
       {"labels", Labels},
-      {"models", textArray(Orders.models())},
+      {"models", jsonStringArray(OrderExecutor.models())},
       {"capabilities",
        {{"priorities", Settings.Priorities},
         {"cancels", Settings.Cancels},
--- a/src/fake_backend/backend_server.cpp
+++ b/src/fake_backend/backend_server.cpp
@@ -1,4 +1,5 @@
-/** @file backend_server.cpp Connections, the step timer, sampling and leaving. */
+/** @file backend_server.cpp Accepts connections, runs the step and periodic timers, and shuts down.
+ */
 #include "fake_backend/backend_server_base.h"
 
 #include "address/address.h"
@@ -17,9 +18,9 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds SamplePause{10};
+constexpr std::chrono::milliseconds PeriodicTaskInterval{10};
 
-engine_limits limitsOf(const backend_settings &Settings) {
+engine_limits engineLimits(const backend_settings &Settings) {
   engine_limits Limits;
   Limits.StepBase = std::chrono::microseconds(Settings.BaseUs);
   Limits.PrefillTokenUs = Settings.PrefillTokenUs;
@@ -35,10 +36,10 @@
   return Limits;
 }
 
-order_checking checkingOf(const backend_settings &Settings) {
+order_support orderSupport(const backend_settings &Settings) {
   if (Settings.Orders == "fenced")
-    return order_checking::Fenced;
-  return Settings.Orders == "unfenced" ? order_checking::Unfenced : order_checking::None;
+    return order_support::Fenced;
+  return Settings.Orders == "unfenced" ? order_support::Unfenced : order_support::None;
 }
 
 std::int64_t unixNanoseconds() {
@@ -56,20 +57,21 @@
 
 } // namespace
 
-backend_server::backend_server(const backend_settings &Given)
-    : Settings(Given), Engine(limitsOf(Given)), Orders(checkingOf(Given), Given.Models),
-      CacheEvents(Given.CacheEventLag, Given.CacheEventLoss,
-                  static_cast<std::uint64_t>(Given.Seed)),
-      OwnIncarnation(unixNanoseconds()), Address(Given.Listen), Io(1), Acceptor(Io), StepTimer(Io),
-      SampleTimer(Io) {
-  applyFaults(Faults, Given.Faults); // checked when the settings were read
+backend_server::backend_server(const backend_settings &InitialSettings)
+    : Settings(InitialSettings), Engine(engineLimits(InitialSettings)),
+      OrderExecutor(orderSupport(InitialSettings), InitialSettings.Models),
+      CacheEvents(InitialSettings.CacheEventLag, InitialSettings.CacheEventLoss,
+                  static_cast<std::uint64_t>(InitialSettings.Seed)),
+      ProcessIncarnation(unixNanoseconds()), Address(InitialSettings.Listen), Io(1), Acceptor(Io),
+      StepTimer(Io), PeriodicTimer(Io) {
+  applyFaults(Faults, InitialSettings.Faults); // validated when the settings were read
   if (!Settings.AnnounceTo.empty())
     Announcer = std::make_unique<announcer>(Io, Settings.AnnounceTo, readKey(Settings.KeyFile),
                                             Settings.AnnounceInterval,
                                             [this] { return announcementJson(); });
 }
 
-result<done, std::string> backend_server::openPort() {
+result<done, std::string> backend_server::openListener() {
   auto Listening = listenOn(Acceptor, Address);
   if (!succeeded(Listening))
     return Listening;
@@ -79,12 +81,13 @@
 }
 
 result<done, backend_start_error> backend_server::listen() {
-  const auto Opened = openPort();
+  const auto Opened = openListener();
   if (!succeeded(Opened))
     return backend_start_error{errorOf(Opened)};
   if (!Settings.AddressFile.empty())
     std::ofstream(Settings.AddressFile) << Address << "\n";
-  logEvent(log_level::Info, "listening", {{"address", Address}, {"incarnation", OwnIncarnation}});
+  logEvent(log_level::Info, "listening",
+           {{"address", Address}, {"incarnation", ProcessIncarnation}});
   return done{};
 }
 
@@ -102,10 +105,10 @@
 }
 
 void backend_server::run() {
-  strikeAtOnce();
+  applyImmediateFaults();
   if (Announcer)
     Announcer->start();
-  sampleLater();
+  schedulePeriodicTasks();
   Io.run();
 }
 
@@ -122,20 +125,21 @@
   });
 }
 
-void backend_server::stopIfEmpty() {
-  if (LeaveAnnounced && OpenAnswers == 0 && Engine.listed().empty())
+void backend_server::stopIfDrained() {
+  if (LeaveAnnounced && OpenAnswers == 0 && Engine.undeliveredJobs().empty())
     Io.stop();
 }
 
 void backend_server::stepEngine() {
   if (Stepping)
     return;
-  const auto Span = Engine.beginStep();
-  if (!Span)
+  const auto StepTime = Engine.beginStep();
+  if (!StepTime)
     return;
   Stepping = true;
-  const auto Stretched = std::chrono::duration<double, std::micro>(*Span) * Faults.SlowFactor;
-  StepTimer.expires_after(std::chrono::duration_cast<asio::steady_timer::duration>(Stretched));
+  const auto ScaledStepTime =
+      std::chrono::duration<double, std::micro>(*StepTime) * Faults.SlowFactor;
+  StepTimer.expires_after(std::chrono::duration_cast<asio::steady_timer::duration>(ScaledStepTime));
   StepTimer.async_wait([this](boost::system::error_code Error) {
     if (Error)
       return;
@@ -145,50 +149,50 @@
   });
 }
 
-void backend_server::sampleLater() {
-  SampleTimer.expires_after(SamplePause);
-  SampleTimer.async_wait([this](boost::system::error_code Error) {
+void backend_server::schedulePeriodicTasks() {
+  PeriodicTimer.expires_after(PeriodicTaskInterval);
+  PeriodicTimer.async_wait([this](boost::system::error_code Error) {
     if (Error)
       return;
-    sample();
-    sampleLater();
+    runPeriodicTasks();
+    schedulePeriodicTasks();
   });
 }
 
-void backend_server::sample() {
+void backend_server::runPeriodicTasks() {
   const mono_time Now = boot_clock::now();
-  Engine.sweep(Now);
+  Engine.removeExpired(Now);
   engine_load Load = Engine.load();
   Load.Sequence = ++LoadSequence;
   Loads.emplace_back(Now, Load);
   while (Loads.size() > 1 && Loads[1].first <= Now - Settings.LoadLag)
     Loads.pop_front();
   CacheEvents.add(Engine.cache().takeChanges(), Now);
-  for (cache_reader &Reader : CacheReaders) {
-    const session_ptr Session = Reader.Session.lock();
+  for (cache_subscriber &Subscriber : CacheSubscribers) {
+    const session_ptr Session = Subscriber.Session.lock();
     std::string Events;
     if (!Session || Session->closed() || Session->writing())
       continue;
-    Reader.After = CacheEvents.read(Events, Reader.After, Now);
+    Subscriber.LastSentEvent = CacheEvents.read(Events, Subscriber.LastSentEvent, Now);
     if (!Events.empty())
       Session->writeEvents(Events, [] {});
   }
-  std::erase_if(CacheReaders, [](const cache_reader &Reader) {
-    const session_ptr Session = Reader.Session.lock();
+  std::erase_if(CacheSubscribers, [](const cache_subscriber &Subscriber) {
+    const session_ptr Session = Subscriber.Session.lock();
     return !Session || Session->closed();
   });
   stepEngine();
-  stopIfEmpty();
+  stopIfDrained();
 }
 
-void backend_server::strikeAtOnce() {
+void backend_server::applyImmediateFaults() {
   if (Faults.FreezeMs > 0)
     std::this_thread::sleep_for(std::chrono::milliseconds(std::exchange(Faults.FreezeMs, 0)));
   boost::system::error_code Ignored;
   if (Faults.RefuseConnections) {
     Acceptor.close(Ignored);
   } else if (!Acceptor.is_open()) {
-    const auto Opened = openPort();
+    const auto Opened = openListener();
     if (!succeeded(Opened))
       logEvent(log_level::Error, "reopen_failed", {{"reason", errorOf(Opened)}});
   }
--- a/src/fake_backend/backend_server_base.h
+++ b/src/fake_backend/backend_server_base.h
@@ -1,5 +1,5 @@
-/** @file backend_server_base.h The stand-in: one thread that serves, steps the engine and
- * announces.
+/** @file backend_server_base.h The fake backend server: one thread serves connections, steps the
+ * engine model and sends announcements.
  */
 #ifndef POLLENSTALL_FAKE_BACKEND_BACKEND_SERVER_BASE_H
 #define POLLENSTALL_FAKE_BACKEND_BACKEND_SERVER_BASE_H
@@ -9,8 +9,8 @@
 #include "fake_backend/backend_settings_type.h"
 #include "fake_backend/cache_event_log_base.h"
 #include "fake_backend/engine_base.h"
+#include "fake_backend/engine_order_executor_base.h"
 #include "fake_backend/fault_type.h"
-#include "fake_backend/order_gate_base.h"
 #include "fake_backend/prompt_scan_func.h"
 #include "fake_backend/session_base.h"
 
@@ -28,55 +28,55 @@
 
 namespace pollenstall {
 
-/// Why the stand-in could not start.
+/// The reason why the backend server could not start.
 struct backend_start_error {
   std::string Message;
 };
 
-/// A stand-in for a backend server. All but leave() is for the thread that calls run().
+/// A fake backend server. Only leave() may be called from another thread than run().
 class backend_server {
 public:
-  explicit backend_server(const backend_settings &Given);
+  explicit backend_server(const backend_settings &InitialSettings);
 
-  /// Binds the address and writes the address file.
+  /// Binds the listen address and writes the address file.
   result<done, backend_start_error> listen();
-  /// Serves until the work that was running at leave() has ended.
+  /// Serves until leave() is called and all work in progress has ended.
   void run();
-  /// Announces that it is leaving, declines new work and ends run() once it holds nothing.
-  /// Safe from any thread.
+  /// Announces that the server is leaving and declines new work; run() returns after the leave was
+  /// announced and all jobs were delivered. Thread-safe.
   void leave();
 
   /// @return The bound address.
   [[nodiscard]] const std::string &address() const { return Address; }
 
 private:
-  friend class stream_answer;
+  friend class answer_stream;
 
-  // backend_server.cpp: connections and time
-  result<done, std::string> openPort();
+  // backend_server.cpp: connections and timers
+  result<done, std::string> openListener();
   void accept();
   void stepEngine();
-  void sampleLater();
-  void sample();
-  void strikeAtOnce();
-  void stopIfEmpty();
+  void schedulePeriodicTasks();
+  void runPeriodicTasks();
+  void applyImmediateFaults();
+  void stopIfDrained();
 
-  // backend_work.cpp: work
+  // backend_work.cpp: model calls and plain calls
   void handle(const session_ptr &Session, backend_request &&Request);
   void handleModelCall(const session_ptr &Session, const backend_request &Request);
-  job_ptr jobOf(const backend_request &Request, model_call &&Call);
+  job_ptr createJob(const backend_request &Request, model_call &&Call);
   void answerJob(const session_ptr &Session, const job_ptr &Job, bool Stream);
-  void answerWhole(const session_ptr &Session, const job_ptr &Job, const std::string &Echo);
+  void answerUnstreamed(const session_ptr &Session, const job_ptr &Job, const std::string &Echo);
   void handlePlain(const session_ptr &Session, const backend_request &Request);
-  bool declines(const session_ptr &Session, const backend_request &Request);
-  bool failsStarted(const session_ptr &Session, const std::string &Attempt);
-  std::string attemptOf(const backend_request &Request);
-  std::string echoOf(const std::string &Attempt);
+  bool declineIfRequired(const session_ptr &Session, const backend_request &Request);
+  bool replyInjectedError(const session_ptr &Session, const std::string &Attempt);
+  std::string attemptFromRequest(const backend_request &Request);
+  std::string attemptToEcho(const std::string &Attempt);
   void countStart(const backend_request &Request, const std::string &Attempt);
-  void sendWhole(const session_ptr &Session, backend_response &&Response,
-                 const session::plain_hook &Then);
+  void sendUnstreamed(const session_ptr &Session, backend_response &&Response,
+                      const session::callback &OnComplete);
 
-  // backend_calls.cpp: attempts, state and faults
+  // backend_calls.cpp: attempts, KV cache, state, orders, faults and statistics
   bool handleCall(const session_ptr &Session, const backend_request &Request);
   bool handleGet(const session_ptr &Session, const backend_request &Request,
                  std::string_view Target);
@@ -96,17 +96,17 @@
   [[nodiscard]] boost::json::object statsJson() const;
   [[nodiscard]] std::string announcementJson();
 
-  struct cache_reader {
+  struct cache_subscriber {
     std::weak_ptr<session> Session;
-    std::uint64_t After{0};
+    std::uint64_t LastSentEvent{0};
   };
 
   backend_settings Settings;
   fault_plan Faults;
   engine Engine;
-  order_gate Orders;
+  engine_order_executor OrderExecutor;
   cache_event_log CacheEvents;
-  std::vector<cache_reader> CacheReaders;
+  std::vector<cache_subscriber> CacheSubscribers;
   std::deque<std::pair<mono_time, engine_load>> Loads;
   std::map<std::string, std::int64_t> StartsByAttempt;
   std::map<std::string, std::int64_t> StartsByKey;
@@ -117,7 +117,7 @@
   std::uint64_t LoadSequence{0};
   std::uint64_t AnnounceSequence{0};
   std::uint64_t DirectAttempts{0};
-  std::int64_t OwnIncarnation;
+  std::int64_t ProcessIncarnation;
   std::int64_t OpenAnswers{0};
   std::string Address;
   bool Stepping{false};
@@ -127,14 +127,14 @@
   boost::asio::io_context Io;
   boost::asio::ip::tcp::acceptor Acceptor;
   boost::asio::steady_timer StepTimer;
-  boost::asio::steady_timer SampleTimer;
+  boost::asio::steady_timer PeriodicTimer;
   std::unique_ptr<announcer> Announcer;
 };
 
-/// @return A JSON answer.
+/// Returns a JSON response.
 backend_response jsonResponse(boost::beast::http::status Status, const boost::json::object &Body);
-/// @return An error in the shape of the callers' interface; NotStarted adds the header that says
-/// so.
+/// Returns an error response in the format of the callers' API.
+/// @param NotStarted Whether to add the header which says that no work was started.
 backend_response errorResponse(boost::beast::http::status Status, std::string_view Code,
                                std::string_view Message, bool NotStarted);
 
--- a/src/fake_backend/backend_settings_type.h
+++ b/src/fake_backend/backend_settings_type.h
@@ -1,4 +1,4 @@
-/** @file backend_settings_type.h Settings of the stand-in. */
+/** @file backend_settings_type.h Settings of the fake backend. */
 #ifndef POLLENSTALL_FAKE_BACKEND_BACKEND_SETTINGS_TYPE_H
 #define POLLENSTALL_FAKE_BACKEND_BACKEND_SETTINGS_TYPE_H
 
@@ -11,7 +11,7 @@
 
 namespace pollenstall {
 
-/// As the TOML file gives them; the table of backendSettings() has the meanings.
+/// Values of the settings file; backendSettings() describes each key.
 struct backend_settings {
   std::string Listen;
   std::string AddressFile;
@@ -49,7 +49,7 @@
   std::string LogLevel;
 };
 
-/// @return The table that reads them.
+/// Returns the table of keys, defaults, checks and help texts.
 settings_table<backend_settings> backendSettings();
 
 } // namespace pollenstall
--- a/src/fake_backend/cache_event_log_base.h
+++ b/src/fake_backend/cache_event_log_base.h
@@ -1,4 +1,5 @@
-/** @file cache_event_log_base.h Cache events as engines publish them: late and with gaps. */
+/** @file cache_event_log_base.h Log of KV cache events, published with a delay and with gaps as
+ * engines do. */
 #ifndef POLLENSTALL_FAKE_BACKEND_CACHE_EVENT_LOG_BASE_H
 #define POLLENSTALL_FAKE_BACKEND_CACHE_EVENT_LOG_BASE_H
 
@@ -10,32 +11,34 @@
 
 namespace pollenstall {
 
-/// Numbers every event, loses some of them and shows each only after a lag.
+/// Numbers all events, drops some of them and publishes each after a delay.
 class cache_event_log {
 public:
-  /// @param LossShare Probability from 0 to 1 that an event is lost.
-  cache_event_log(mono_duration EventLag, double LossShare, std::uint64_t Seed)
-      : Lag(EventLag), Loss(LossShare), Random(Seed) {}
+  /// @param EventLossProbability Probability from 0 to 1 that an event is dropped.
+  cache_event_log(mono_duration Lag, double EventLossProbability, std::uint64_t Seed)
+      : VisibilityLag(Lag), LossProbability(EventLossProbability), Random(Seed) {}
 
+  /// Appends one event for the stored and one for the removed blocks.
   void add(const prefix_cache::changes &Changes, mono_time Now);
 
-  /// Appends the events after After that may be seen by now, as SSE. @return The last one's number.
+  /// Appends the events after number After that are visible at Now as SSE text.
+  /// @return Number of the last appended event, or After if there is none.
   std::uint64_t read(std::string &Out, std::uint64_t After, mono_time Now) const;
 
 private:
-  struct entry {
+  struct event {
     std::uint64_t Number{0};
     mono_time VisibleAt;
     std::string Json;
   };
 
-  void addOne(const char *Kind, const std::vector<std::uint64_t> &Hashes, mono_time Now);
+  void addEvent(const char *Kind, const std::vector<std::uint64_t> &Hashes, mono_time Now);
 
-  mono_duration Lag;
-  double Loss;
+  mono_duration VisibilityLag;
+  double LossProbability;
   random_source Random;
-  std::deque<entry> Entries;
-  std::uint64_t Last{0};
+  std::deque<event> Events;
+  std::uint64_t LastNumber{0};
 };
 
 } // namespace pollenstall
--- a/src/fake_backend/engine.cpp
+++ b/src/fake_backend/engine.cpp
@@ -1,4 +1,4 @@
-/** @file engine.cpp Admission by blocks, chunked prefill, one token a step for each sequence. */
+/** @file engine.cpp Block-based admission, chunked prefill, and one token per step and sequence. */
 #include "fake_backend/engine_base.h"
 
 #include <algorithm>
@@ -9,71 +9,72 @@
 std::int64_t engine_job::eventsReady() const {
   if (State == job_state::Finished)
     return eventCount(Answer);
-  return Produced == 0 ? 0 : Produced + 1;
+  return ProducedTokens == 0 ? 0 : ProducedTokens + 1;
 }
 
-engine::queue_key engine::keyOf(const engine_job &Job) const {
-  return {Limits.Priorities ? Job.Priority : 0, Job.Arrival};
+engine::queue_key engine::queueKey(const engine_job &Job) const {
+  return {EngineLimits.Priorities ? Job.Priority : 0, Job.Arrival};
 }
 
-std::int64_t engine::blocksFor(const engine_job &Job) const {
+std::int64_t engine::requiredBlocks(const engine_job &Job) const {
   const std::int64_t Tokens = Job.Answer.PromptTokens + Job.Answer.AnswerTokens;
-  return (Tokens + Limits.BlockTokens - 1) / Limits.BlockTokens;
+  return (Tokens + EngineLimits.BlockTokens - 1) / EngineLimits.BlockTokens;
 }
 
-std::int64_t engine::usedBlocks() const { return OwnBlocks + ImportedBlocks + Cache.pinned(); }
+std::int64_t engine::usedBlocks() const { return PrivateBlocks + ImportedBlocks + Cache.pinned(); }
 
 result<done, submit_error> engine::submit(const job_ptr &Job) {
-  if (blocksFor(*Job) > Limits.Blocks)
+  if (requiredBlocks(*Job) > EngineLimits.Blocks)
     return submit_error::TooLarge;
   if (!Jobs.try_emplace(Job->Attempt, Job).second)
-    return submit_error::AttemptKnown;
-  Job->Arrival = ++Arrivals;
-  Waiting.emplace(keyOf(*Job), Job);
+    return submit_error::DuplicateAttempt;
+  Job->Arrival = ++LastArrival;
+  Waiting.emplace(queueKey(*Job), Job);
   return done{};
 }
 
 bool engine::makeRoom(std::int64_t Blocks) {
-  if (usedBlocks() + Blocks > Limits.Blocks)
+  if (usedBlocks() + Blocks > EngineLimits.Blocks)
     return false;
-  while (usedBlocks() + Cache.idle() + Blocks > Limits.Blocks)
-    Cache.evictOne();
+  while (usedBlocks() + Cache.idle() + Blocks > EngineLimits.Blocks)
+    Cache.evictLeastRecentlyUsed();
   return true;
 }
 
 bool engine::admit(engine_job &Job) {
-  takeImport(Job);
-  const std::int64_t Matching = Cache.matching(Job.BlockHashes);
+  consumeImport(Job);
+  const std::int64_t Matching = Cache.countCachedPrefix(Job.BlockHashes);
   for (std::int64_t Index = 0; Index < Matching; ++Index) {
     Cache.pin(Job.BlockHashes[Index]);
     Job.PinnedHashes.push_back(Job.BlockHashes[Index]);
   }
-  const std::int64_t Own = blocksFor(Job) - Matching;
-  if (!makeRoom(Own)) {
+  const std::int64_t NewBlocks = requiredBlocks(Job) - Matching;
+  if (!makeRoom(NewBlocks)) {
     release(Job);
     return false;
   }
-  Job.OwnBlocks = Own;
-  OwnBlocks += Own;
-  // The last token of a prompt is always computed: the first answer token comes out of it.
-  const std::int64_t Known = std::max(Matching * Limits.BlockTokens, Job.ImportedTokens);
-  Job.Prefilled = std::min(Known, Job.Answer.PromptTokens - 1);
-  Job.Answer.CachedTokens = Job.Prefilled;
+  Job.PrivateBlocks = NewBlocks;
+  PrivateBlocks += NewBlocks;
+  // The last prompt token is always computed because its result is the first answer token.
+  const std::int64_t ReusableTokens =
+      std::max(Matching * EngineLimits.BlockTokens, Job.ImportedTokens);
+  Job.PrefilledTokens = std::min(ReusableTokens, Job.Answer.PromptTokens - 1);
+  Job.Answer.CachedTokens = Job.PrefilledTokens;
   Job.State = job_state::Prefill;
   return true;
 }
 
-void engine::takeImport(engine_job &Job) {
+void engine::consumeImport(engine_job &Job) {
   const auto Found = Imports.find(Job.Attempt);
   if (Found == Imports.end())
     return;
-  Job.ImportedTokens = Found->second.Blocks * Limits.BlockTokens;
+  Job.ImportedTokens = Found->second.Blocks * EngineLimits.BlockTokens;
   ImportedBlocks -= Found->second.Blocks;
   Imports.erase(Found);
 }
 
 void engine::admitWaiting() {
-  while (!Waiting.empty() && std::cmp_less(Running.size(), Limits.MaxRunning)) {
+  while (!Waiting.empty() && std::cmp_less(Running.size(), EngineLimits.MaxRunning)) {
     const auto First = Waiting.begin();
     if (!admit(*First->second))
       return;
@@ -91,76 +92,78 @@
   for (const auto &[Key, Job] : Running)
     if (Job->State == job_state::Decode)
       StepDecode.push_back(Job);
-  std::int64_t Budget = Limits.ChunkTokens;
+  std::int64_t Budget = EngineLimits.ChunkTokens;
   std::int64_t PrefillTokens = 0;
   for (const auto &[Key, Job] : Running) {
     if (Job->State != job_state::Prefill || Budget == 0)
       continue;
-    const std::int64_t Part = std::min(Budget, Job->Answer.PromptTokens - Job->Prefilled);
-    StepPrefill.emplace_back(Job, Part);
-    Budget -= Part;
-    PrefillTokens += Part;
+    const std::int64_t StepTokens =
+        std::min(Budget, Job->Answer.PromptTokens - Job->PrefilledTokens);
+    StepPrefill.emplace_back(Job, StepTokens);
+    Budget -= StepTokens;
+    PrefillTokens += StepTokens;
   }
   const auto PrefillUs =
-      static_cast<std::int64_t>(Limits.PrefillTokenUs * static_cast<double>(PrefillTokens));
-  return Limits.StepBase + std::chrono::microseconds(PrefillUs) +
-         Limits.PerSequence * static_cast<std::int64_t>(StepDecode.size());
+      static_cast<std::int64_t>(EngineLimits.PrefillTokenUs * static_cast<double>(PrefillTokens));
+  return EngineLimits.StepBase + std::chrono::microseconds(PrefillUs) +
+         EngineLimits.PerSequence * static_cast<std::int64_t>(StepDecode.size());
 }
 
 void engine::endStep(mono_time Now) {
   const auto Prefill = std::exchange(StepPrefill, {});
   const auto Decode = std::exchange(StepDecode, {});
-  std::vector<job_ptr> Further;
-  for (const auto &[Job, Part] : Prefill) {
+  std::vector<job_ptr> Progressed;
+  for (const auto &[Job, StepTokens] : Prefill) {
     if (Job->ended())
       continue;
-    Job->Prefilled += Part;
-    if (Job->Prefilled < Job->Answer.PromptTokens)
+    Job->PrefilledTokens += StepTokens;
+    if (Job->PrefilledTokens < Job->Answer.PromptTokens)
       continue;
-    storePrefix(*Job);
+    cachePrefix(*Job);
     Job->State = job_state::Decode;
-    Further.push_back(Job);
+    Progressed.push_back(Job);
   }
   for (const job_ptr &Job : Decode)
     if (!Job->ended())
-      Further.push_back(Job);
-  for (const job_ptr &Job : Further)
-    if (++Job->Produced == Job->Answer.AnswerTokens)
-      end(Job, job_state::Finished, Now);
-  for (const job_ptr &Job : Further)
+      Progressed.push_back(Job);
+  for (const job_ptr &Job : Progressed)
+    if (++Job->ProducedTokens == Job->Answer.AnswerTokens)
+      finishJob(Job, job_state::Finished, Now);
+  for (const job_ptr &Job : Progressed)
     if (Job->OnProgress)
       Job->OnProgress();
 }
 
-void engine::storePrefix(engine_job &Job) {
+void engine::cachePrefix(engine_job &Job) {
   for (std::size_t Index = Job.PinnedHashes.size(); Index < Job.BlockHashes.size(); ++Index) {
     const std::uint64_t Hash = Job.BlockHashes[Index];
-    if (!Cache.adopt(Hash))
-      break; // another job stored the same prefix meanwhile; this copy stays its own
+    if (!Cache.insertPinned(Hash))
+      break; // another job has cached the same prefix; this copy stays private
     Job.PinnedHashes.push_back(Hash);
-    --Job.OwnBlocks;
-    --OwnBlocks;
+    --Job.PrivateBlocks;
+    --PrivateBlocks;
   }
 }
 
 void engine::release(engine_job &Job) {
-  OwnBlocks -= std::exchange(Job.OwnBlocks, 0);
-  // Longest prefix first, so that eviction takes the ends of prefixes before their beginnings.
+  PrivateBlocks -= std::exchange(Job.PrivateBlocks, 0);
+  // Unpins the longest prefix first, so that eviction removes the ends of prefixes before their
+  // beginnings.
   for (auto Hash = Job.PinnedHashes.rbegin(); Hash != Job.PinnedHashes.rend(); ++Hash)
     Cache.unpin(*Hash);
   Job.PinnedHashes.clear();
-  trimCache();
+  evictExcessBlocks();
 }
 
-void engine::trimCache() {
-  while (Cache.idle() > Limits.PrefixCacheBlocks)
-    Cache.evictOne();
+void engine::evictExcessBlocks() {
+  while (Cache.idle() > EngineLimits.PrefixCacheBlocks)
+    Cache.evictLeastRecentlyUsed();
 }
 
-void engine::end(const job_ptr &Job, job_state State, mono_time Now) {
+void engine::finishJob(const job_ptr &Job, job_state State, mono_time Now) {
   release(*Job);
-  Waiting.erase(keyOf(*Job));
-  Running.erase(keyOf(*Job));
+  Waiting.erase(queueKey(*Job));
+  Running.erase(queueKey(*Job));
   Job->State = State;
   Job->EndedAt = Now;
   Job->BlockHashes = {};
@@ -181,46 +184,46 @@
   const job_ptr Job = find(Attempt);
   if (!Job)
     return std::nullopt;
-  const job_state Before = Job->State;
+  const job_state PreviousState = Job->State;
   if (Job->ended())
-    return Before;
+    return PreviousState;
   ++Cancels;
-  end(Job, job_state::Cancelled, Now);
+  finishJob(Job, job_state::Cancelled, Now);
   if (Job->OnProgress)
     Job->OnProgress();
-  return Before;
+  return PreviousState;
 }
 
-std::uint64_t engine::attach(engine_job &Job, std::function<void()> OnProgress) {
+std::uint64_t engine::attachReader(engine_job &Job, std::function<void()> OnProgress) {
   Job.OnProgress = std::move(OnProgress);
   Job.UnreadSince.reset();
-  return ++Job.Reader;
+  return ++Job.ReaderId;
 }
 
-void engine::detach(const job_ptr &Job, std::uint64_t Reader, mono_time Now) {
-  if (Job->Reader != Reader)
+void engine::detachReader(const job_ptr &Job, std::uint64_t ReaderId, mono_time Now) {
+  if (Job->ReaderId != ReaderId)
     return;
   Job->OnProgress = nullptr;
   Job->UnreadSince = Now;
-  if (!Limits.Resumes)
+  if (!EngineLimits.Resumes)
     cancel(Job->Attempt, Now);
 }
 
-void engine::sweep(mono_time Now) {
+void engine::removeExpired(mono_time Now) {
   const auto Expired = [this, Now](const std::optional<mono_time> &Since) {
-    return Since && Now - *Since > Limits.ResumeWindow;
+    return Since && Now - *Since > EngineLimits.ResumeWindow;
   };
-  std::vector<std::string> Unresumed;
+  std::vector<std::string> UnresumedAttempts;
   for (const auto &[Attempt, Job] : Jobs)
     if (!Job->ended() && Expired(Job->UnreadSince))
-      Unresumed.push_back(Attempt);
-  for (const std::string &Attempt : Unresumed)
+      UnresumedAttempts.push_back(Attempt);
+  for (const std::string &Attempt : UnresumedAttempts)
     cancel(Attempt, Now);
-  std::erase_if(Jobs, [&Expired](const auto &Item) { return Expired(Item.second->EndedAt); });
-  std::erase_if(Imports, [this, Now](const auto &Item) {
-    const bool Over = Now - Item.second.At > Limits.ResumeWindow;
-    ImportedBlocks -= Over ? Item.second.Blocks : 0;
-    return Over;
+  std::erase_if(Jobs, [&Expired](const auto &Entry) { return Expired(Entry.second->EndedAt); });
+  std::erase_if(Imports, [this, Now](const auto &Entry) {
+    const bool ImportExpired = Now - Entry.second.ReservedAt > EngineLimits.ResumeWindow;
+    ImportedBlocks -= ImportExpired ? Entry.second.Blocks : 0;
+    return ImportExpired;
   });
 }
 
@@ -232,7 +235,7 @@
   return true;
 }
 
-std::vector<job_ptr> engine::listed() const {
+std::vector<job_ptr> engine::undeliveredJobs() const {
   std::vector<job_ptr> List;
   for (const auto &[Attempt, Job] : Jobs)
     if (!Job->ended() || (Job->State == job_state::Finished && !Job->Delivered))
@@ -247,7 +250,7 @@
   for (const auto &[Key, Job] : Waiting)
     Load.WaitingPrefillTokens += Job->Answer.PromptTokens;
   for (const auto &[Key, Job] : Running)
-    Load.WaitingPrefillTokens += Job->Answer.PromptTokens - Job->Prefilled;
+    Load.WaitingPrefillTokens += Job->Answer.PromptTokens - Job->PrefilledTokens;
   Load.UsedBlocks = usedBlocks();
   Load.CachedBlocks = Cache.idle();
   return Load;
--- a/src/fake_backend/engine_base.h
+++ b/src/fake_backend/engine_base.h
@@ -1,5 +1,5 @@
-/** @file engine_base.h A model of continuous batching over KV memory in blocks; no clock, no I/O.
- */
+/** @file engine_base.h Simulates an engine with continuous batching and block-based KV memory,
+ * without a clock or I/O. */
 #ifndef POLLENSTALL_FAKE_BACKEND_ENGINE_BASE_H
 #define POLLENSTALL_FAKE_BACKEND_ENGINE_BASE_H
 
@@ -13,60 +13,65 @@
 
 namespace pollenstall {
 
-/// Runs jobs step by step; the owner waits beginStep()'s time between beginStep() and endStep().
+/// Runs jobs step by step. The caller waits for the duration that beginStep() returns before it
+/// calls endStep().
 class engine {
 public:
-  explicit engine(const engine_limits &EngineLimits) : Limits(EngineLimits) {}
+  explicit engine(const engine_limits &InitialLimits) : EngineLimits(InitialLimits) {}
 
-  /// Puts a job into the waiting queue.
+  /// Adds a job to the waiting queue.
   result<done, submit_error> submit(const job_ptr &Job);
 
-  /// Admits waiting jobs and plans a step. @return Its time, or nothing where there is no work.
+  /// Admits waiting jobs and plans a step. @return Its duration, or nothing if no job is running.
   std::optional<std::chrono::microseconds> beginStep();
-  /// Carries the planned step out and calls OnProgress of every job that got further.
+  /// Executes the planned step and calls OnProgress of each job that produced a token.
   void endStep(mono_time Now);
 
-  /// @return The job, or null.
+  /// Returns the job of an attempt, or null if the attempt is unknown.
   [[nodiscard]] job_ptr find(const std::string &Attempt) const;
-  /// Ends a job and frees its memory. @return Its state before, or nothing where it is unknown.
+  /// Cancels a job or an import and frees its memory.
+  /// @return Its previous state, or nothing if the attempt is unknown.
   std::optional<job_state> cancel(const std::string &Attempt, mono_time Now);
-  /// Attaches a reader in place of the one before. @return The reader's number, for detach().
-  static std::uint64_t attach(engine_job &Job, std::function<void()> OnProgress);
-  /// Notes that a reader is gone; unless another took its place, the stream waits for a resume.
-  void detach(const job_ptr &Job, std::uint64_t Reader, mono_time Now);
-  /// Cancels jobs that nobody resumed and forgets jobs that ended long ago.
-  void sweep(mono_time Now);
+  /// Attaches a stream reader and replaces the previous one. @return Reader id for detachReader().
+  static std::uint64_t attachReader(engine_job &Job, std::function<void()> OnProgress);
+  /// Detaches a reader unless another one has replaced it. The job then waits for a resume, or is
+  /// cancelled if the engine does not support resumes.
+  void detachReader(const job_ptr &Job, std::uint64_t ReaderId, mono_time Now);
+  /// Cancels jobs that were not resumed within the resume window and removes ended jobs and unused
+  /// imports that are older than it.
+  void removeExpired(mono_time Now);
 
-  /// Reserves memory for an imported KV cache until its attempt comes. @return False: no room.
+  /// Reserves memory for an imported KV cache until its attempt is admitted.
+  /// @return False if the memory is insufficient or the attempt already has an import.
   bool importBlocks(const std::string &Attempt, std::int64_t Blocks, mono_time Now);
 
-  /// @return Jobs that hold memory, wait, or ended without having been read to the end.
-  [[nodiscard]] std::vector<job_ptr> listed() const;
+  /// Returns the waiting and running jobs, and the finished ones whose answer was not delivered.
+  [[nodiscard]] std::vector<job_ptr> undeliveredJobs() const;
   [[nodiscard]] engine_load load() const;
   [[nodiscard]] bool idle() const { return Waiting.empty() && Running.empty(); }
   [[nodiscard]] std::int64_t cancels() const { return Cancels; }
   prefix_cache &cache() { return Cache; }
 
 private:
-  using queue_key = std::pair<std::int64_t, std::uint64_t>; ///< Priority, arrival.
+  using queue_key = std::pair<std::int64_t, std::uint64_t>; ///< Priority and arrival number.
   struct import_record {
     std::int64_t Blocks{0};
-    mono_time At;
+    mono_time ReservedAt;
   };
 
-  [[nodiscard]] queue_key keyOf(const engine_job &Job) const;
-  [[nodiscard]] std::int64_t blocksFor(const engine_job &Job) const;
+  [[nodiscard]] queue_key queueKey(const engine_job &Job) const;
+  [[nodiscard]] std::int64_t requiredBlocks(const engine_job &Job) const;
   [[nodiscard]] std::int64_t usedBlocks() const;
   bool makeRoom(std::int64_t Blocks);
   void admitWaiting();
   bool admit(engine_job &Job);
-  void storePrefix(engine_job &Job);
+  void cachePrefix(engine_job &Job);
   void release(engine_job &Job);
-  void end(const job_ptr &Job, job_state State, mono_time Now);
-  void takeImport(engine_job &Job);
-  void trimCache();
+  void finishJob(const job_ptr &Job, job_state State, mono_time Now);
+  void consumeImport(engine_job &Job);
+  void evictExcessBlocks();
 
-  engine_limits Limits;
+  engine_limits EngineLimits;
   prefix_cache Cache;
   std::map<queue_key, job_ptr> Waiting;
   std::map<queue_key, job_ptr> Running;
@@ -74,10 +79,10 @@
   std::unordered_map<std::string, import_record> Imports;
   std::vector<std::pair<job_ptr, std::int64_t>> StepPrefill;
   std::vector<job_ptr> StepDecode;
-  std::int64_t OwnBlocks{0};
+  std::int64_t PrivateBlocks{0};
   std::int64_t ImportedBlocks{0};
   std::int64_t Cancels{0};
-  std::uint64_t Arrivals{0};
+  std::uint64_t LastArrival{0};
 };
 
 } // namespace pollenstall
--- a/src/fake_backend/fake_backend.h
+++ b/src/fake_backend/fake_backend.h
@@ -1,5 +1,5 @@
-/** @file fake_backend.h Public header of fake_backend: a stand-in for an engine or a plain service.
- */
+/** @file fake_backend.h Public header of fake_backend, which simulates an engine or a plain
+ * service. */
 #ifndef POLLENSTALL_FAKE_BACKEND_FAKE_BACKEND_H
 #define POLLENSTALL_FAKE_BACKEND_FAKE_BACKEND_H
 
--- a/src/fake_backend/fault.cpp
+++ b/src/fake_backend/fault.cpp
@@ -1,4 +1,4 @@
-/** @file fault.cpp Faults from JSON. */
+/** @file fault.cpp Parses fault plans from JSON. */
 #include "fake_backend/fault_type.h"
 
 #include <boost/json.hpp>
@@ -12,7 +12,7 @@
 
 using setter = std::function<bool(fault_plan &, const boost::json::value &)>;
 
-setter count(std::int64_t fault_plan::*Member) {
+setter countSetter(std::int64_t fault_plan::*Member) {
   return [Member](fault_plan &Plan, const boost::json::value &Value) {
     if (!Value.is_int64() || Value.get_int64() < 0)
       return false;
@@ -21,7 +21,7 @@
   };
 }
 
-setter optionalCount(std::optional<std::int64_t> fault_plan::*Member) {
+setter optionalCountSetter(std::optional<std::int64_t> fault_plan::*Member) {
   return [Member](fault_plan &Plan, const boost::json::value &Value) {
     if (Value.is_null()) {
       Plan.*Member = std::nullopt;
@@ -48,7 +48,7 @@
   return true;
 }
 
-bool setRefuse(fault_plan &Plan, const boost::json::value &Value) {
+bool setRefuseConnections(fault_plan &Plan, const boost::json::value &Value) {
   if (!Value.is_bool())
     return false;
   Plan.RefuseConnections = Value.get_bool();
@@ -56,21 +56,21 @@
 }
 
 const std::map<std::string_view, setter> &setters() {
-  static const std::map<std::string_view, setter> Table{
-      {"die_after_events", optionalCount(&fault_plan::DieAfterEvents)},
+  static const std::map<std::string_view, setter> Setters{
+      {"die_after_events", optionalCountSetter(&fault_plan::DieAfterEvents)},
       {"die_on_prompt", setDieOnPrompt},
-      {"cut_after_events", optionalCount(&fault_plan::CutAfterEvents)},
-      {"freeze_ms", count(&fault_plan::FreezeMs)},
+      {"cut_after_events", optionalCountSetter(&fault_plan::CutAfterEvents)},
+      {"freeze_ms", countSetter(&fault_plan::FreezeMs)},
       {"slow_factor", setSlowFactor},
-      {"refuse_connections", setRefuse},
-      {"late_ms", count(&fault_plan::LateMs)},
-      {"decline_next", count(&fault_plan::DeclineNext)},
-      {"error_next", count(&fault_plan::ErrorNext)},
-      {"wrong_attempt_next", count(&fault_plan::WrongAttemptNext)},
-      {"half_answer_next", count(&fault_plan::HalfAnswerNext)},
-      {"no_done_next", count(&fault_plan::NoDoneNext)},
-      {"drop_cancel_next", count(&fault_plan::DropCancelNext)}};
-  return Table;
+      {"refuse_connections", setRefuseConnections},
+      {"late_ms", countSetter(&fault_plan::LateMs)},
+      {"decline_next", countSetter(&fault_plan::DeclineNext)},
+      {"error_next", countSetter(&fault_plan::ErrorNext)},
+      {"wrong_attempt_next", countSetter(&fault_plan::WrongAttemptNext)},
+      {"half_answer_next", countSetter(&fault_plan::HalfAnswerNext)},
+      {"no_done_next", countSetter(&fault_plan::NoDoneNext)},
+      {"drop_cancel_next", countSetter(&fault_plan::DropCancelNext)}};
+  return Setters;
 }
 
 } // namespace
@@ -79,16 +79,16 @@
   boost::json::error_code Error;
   const boost::json::value Value = boost::json::parse(Json, Error);
   if (Error || !Value.is_object())
-    return fault_error{"faults are a JSON object"};
-  fault_plan Next = Plan;
+    return fault_error{"faults must be a JSON object"};
+  fault_plan Updated = Plan;
   for (const auto &[Key, Setting] : Value.get_object()) {
     const auto Found = setters().find(std::string_view(Key.data(), Key.size()));
     if (Found == setters().end())
       return fault_error{"unknown fault " + std::string(Key)};
-    if (!Found->second(Next, Setting))
-      return fault_error{"not allowed for " + std::string(Key)};
+    if (!Found->second(Updated, Setting))
+      return fault_error{"invalid value of fault " + std::string(Key)};
   }
-  Plan = Next;
+  Plan = Updated;
   return done{};
 }
 
--- a/src/fake_backend/prefix_cache.cpp
+++ b/src/fake_backend/prefix_cache.cpp
@@ -1,4 +1,4 @@
-/** @file prefix_cache.cpp Counted blocks with LRU eviction. */
+/** @file prefix_cache.cpp Reference-counted blocks with LRU eviction. */
 #include "core/core.h"
 #include "fake_backend/prefix_cache_base.h"
 
@@ -6,7 +6,7 @@
 
 namespace pollenstall {
 
-std::int64_t prefix_cache::matching(const std::vector<std::uint64_t> &Hashes) const {
+std::int64_t prefix_cache::countCachedPrefix(const std::vector<std::uint64_t> &Hashes) const {
   std::int64_t Count = 0;
   for (const std::uint64_t Hash : Hashes) {
     if (!Entries.contains(Hash))
@@ -18,34 +18,34 @@
 
 void prefix_cache::pin(std::uint64_t Hash) {
   const auto Found = Entries.find(Hash);
-  requireInvariant(Found != Entries.end(), "a pinned block is held");
-  if (Found->second.Users++ > 0)
+  requireInvariant(Found != Entries.end(), "a block to pin is cached");
+  if (Found->second.PinCount++ > 0)
     return;
-  Idle.erase(Found->second.Place);
+  Idle.erase(Found->second.IdlePosition);
   ++Pinned;
 }
 
 void prefix_cache::unpin(std::uint64_t Hash) {
   const auto Found = Entries.find(Hash);
-  requireInvariant(Found != Entries.end() && Found->second.Users > 0,
-                   "an unpinned block is in use");
-  if (--Found->second.Users > 0)
+  requireInvariant(Found != Entries.end() && Found->second.PinCount > 0,
+                   "a block to unpin is pinned");
+  if (--Found->second.PinCount > 0)
     return;
-  Found->second.Place = Idle.insert(Idle.end(), Hash);
+  Found->second.IdlePosition = Idle.insert(Idle.end(), Hash);
   --Pinned;
 }
 
-bool prefix_cache::adopt(std::uint64_t Hash) {
-  const auto [Place, Added] = Entries.try_emplace(Hash);
+bool prefix_cache::insertPinned(std::uint64_t Hash) {
+  const auto [Block, Added] = Entries.try_emplace(Hash);
   if (!Added)
     return false;
-  Place->second.Users = 1;
+  Block->second.PinCount = 1;
   ++Pinned;
   Changes.Stored.push_back(Hash);
   return true;
 }
 
-bool prefix_cache::evictOne() {
+bool prefix_cache::evictLeastRecentlyUsed() {
   if (Idle.empty())
     return false;
   Changes.Removed.push_back(Idle.front());
--- a/src/fake_backend/prefix_cache_base.h
+++ b/src/fake_backend/prefix_cache_base.h
@@ -1,4 +1,4 @@
-/** @file prefix_cache_base.h Blocks of KV memory that hold prefixes of prompts. */
+/** @file prefix_cache_base.h LRU cache of KV memory blocks that hold prompt prefixes. */
 #ifndef POLLENSTALL_FAKE_BACKEND_PREFIX_CACHE_BASE_H
 #define POLLENSTALL_FAKE_BACKEND_PREFIX_CACHE_BASE_H
 
@@ -9,26 +9,27 @@
 
 namespace pollenstall {
 
-/// Blocks by hash of the prefix they end; those in use are counted, the others wait in LRU order.
+/// Blocks keyed by the hash of the prefix that ends with them. Blocks in use are reference-counted;
+/// idle blocks are kept in LRU order.
 class prefix_cache {
 public:
-  /// @return Leading hashes that are held, without taking them into use.
-  [[nodiscard]] std::int64_t matching(const std::vector<std::uint64_t> &Hashes) const;
+  /// Returns the number of leading hashes that are cached, without pinning them.
+  [[nodiscard]] std::int64_t countCachedPrefix(const std::vector<std::uint64_t> &Hashes) const;
 
-  /// Takes a held block into use; unpin() gives it back.
+  /// Increments the pin count of a cached block; unpin() decrements it.
   void pin(std::uint64_t Hash);
   void unpin(std::uint64_t Hash);
 
-  /// Adds a block that is in use already. @return False where one with this hash is held.
-  bool adopt(std::uint64_t Hash);
+  /// Inserts a block with a pin count of 1. @return False if a block with this hash is cached.
+  bool insertPinned(std::uint64_t Hash);
 
-  /// Drops the least recently used block that is not in use. @return Whether there was one.
-  bool evictOne();
+  /// Evicts the least recently used idle block. @return False if there was none.
+  bool evictLeastRecentlyUsed();
 
   [[nodiscard]] std::int64_t pinned() const { return Pinned; }
   [[nodiscard]] std::int64_t idle() const { return static_cast<std::int64_t>(Idle.size()); }
 
-  /// Hashes adopted and evicted since the last call, for the cache events.
+  /// Hashes inserted and evicted since the last call of takeChanges(), for the cache events.
   struct changes {
     std::vector<std::uint64_t> Stored;
     std::vector<std::uint64_t> Removed;
@@ -37,8 +38,8 @@
 
 private:
   struct entry {
-    std::int64_t Users{0};
-    std::list<std::uint64_t>::iterator Place; ///< In Idle while Users is 0.
+    std::int64_t PinCount{0};
+    std::list<std::uint64_t>::iterator IdlePosition; ///< Position in Idle while PinCount is 0.
   };
 
   std::unordered_map<std::uint64_t, entry> Entries;
--- a/src/fake_backend/prompt_scan.cpp
+++ b/src/fake_backend/prompt_scan.cpp
@@ -1,4 +1,4 @@
-/** @file prompt_scan.cpp Handler of Boost.JSON's streaming parser. */
+/** @file prompt_scan.cpp Implements the handler of Boost.JSON's streaming parser. */
 #include "fake_backend/prompt_scan_func.h"
 
 #include <boost/json/basic_parser_impl.hpp>
@@ -9,18 +9,18 @@
 
 namespace {
 
-/// Hashes contents byte by byte and notes the hash wherever a block is full.
+/// Computes a running hash of the contents and records it at the end of each full block.
 class prompt_hasher {
 public:
   explicit prompt_hasher(std::int64_t BlockTokens) : BlockBytes(BlockTokens * BytesPerToken) {}
 
   void add(std::string_view Text) {
     while (!Text.empty()) {
-      const auto Room = static_cast<std::size_t>(BlockBytes - Bytes % BlockBytes);
-      const std::string_view Part = Text.substr(0, Room);
+      const auto BytesToBlockEnd = static_cast<std::size_t>(BlockBytes - Bytes % BlockBytes);
+      const std::string_view Part = Text.substr(0, BytesToBlockEnd);
       Hash = stableHash(Part, Hash);
       Bytes += static_cast<std::int64_t>(Part.size());
-      if (Part.size() == Room)
+      if (Part.size() == BytesToBlockEnd)
         Blocks.push_back(Hash);
       Text.remove_prefix(Part.size());
     }
@@ -34,7 +34,7 @@
   std::int64_t BlockBytes;
 };
 
-/// Keeps the path of keys and takes the few values that matter; its names are set by Boost.JSON.
+/// Tracks the path of keys and stores the relevant values; Boost.JSON prescribes the member names.
 class call_handler {
 public:
   static constexpr std::size_t max_object_size = ~std::size_t{0};
@@ -62,18 +62,18 @@
     Key.clear();
     return true;
   }
-  bool on_string_part(string_view Part, std::size_t, error_code &) { return text(Part); }
-  bool on_string(string_view Part, std::size_t, error_code &) { return text(Part); }
+  bool on_string_part(string_view Part, std::size_t, error_code &) { return addText(Part); }
+  bool on_string(string_view Part, std::size_t, error_code &) { return addText(Part); }
   bool on_number_part(string_view, error_code &) { return true; }
   bool on_int64(std::int64_t Value, string_view, error_code &) {
-    if (at("max_tokens") || at("max_completion_tokens"))
+    if (atTopLevelKey("max_tokens") || atTopLevelKey("max_completion_tokens"))
       Call.AnswerTokens = Value;
     return true;
   }
   bool on_uint64(std::uint64_t, string_view, error_code &) { return true; }
   bool on_double(double, string_view, error_code &) { return true; }
   bool on_bool(bool Value, error_code &) {
-    if (at("stream"))
+    if (atTopLevelKey("stream"))
       Call.Stream = Value;
     return true;
   }
@@ -94,7 +94,7 @@
     Path.pop_back();
     return true;
   }
-  [[nodiscard]] bool at(std::string_view Name) const {
+  [[nodiscard]] bool atTopLevelKey(std::string_view Name) const {
     return Path.size() == 1 && Path.front() == Name;
   }
   [[nodiscard]] bool inPrompt() const {
@@ -105,18 +105,18 @@
     return Path.front() == "messages" && Path.size() > 2 &&
            (Path.back() == "content" || Path.back() == "text" || Path.back().empty());
   }
-  bool text(string_view Part) {
-    const std::string_view Plain(Part.data(), Part.size());
-    if (at("model"))
-      Call.Model += Plain;
+  bool addText(string_view Part) {
+    const std::string_view View(Part.data(), Part.size());
+    if (atTopLevelKey("model"))
+      Call.Model += View;
     if (inPrompt()) {
       PromptSeen = true;
-      Hasher.add(Plain);
+      Hasher.add(View);
     }
     return true;
   }
 
-  std::vector<std::string> Path; ///< The key in each open object; empty in an array.
+  std::vector<std::string> Path; ///< The current key of each open object; empty for arrays.
   std::string Key;
 };
 
@@ -125,12 +125,12 @@
 result<model_call, scan_error> scanModelCall(std::string_view Body, std::int64_t BlockTokens) {
   boost::json::basic_parser<call_handler> Parser(boost::json::parse_options{}, BlockTokens);
   boost::json::error_code Error;
-  const std::size_t Used = Parser.write_some(false, Body.data(), Body.size(), Error);
-  if (Error || Used != Body.size())
-    return scan_error{"the body is not JSON"};
+  const std::size_t ParsedBytes = Parser.write_some(false, Body.data(), Body.size(), Error);
+  if (Error || ParsedBytes != Body.size())
+    return scan_error{"the body is not valid JSON"};
   call_handler &Handler = Parser.handler();
   if (!Handler.PromptSeen)
-    return scan_error{"neither messages nor prompt are given"};
+    return scan_error{"the body contains neither messages nor a prompt"};
   model_call Call = std::move(Handler.Call);
   Call.PromptHash = Handler.Hasher.Hash;
   Call.PromptTokens =
--- a/src/fake_backend/prompt_scan_func.h
+++ b/src/fake_backend/prompt_scan_func.h
@@ -1,4 +1,5 @@
-/** @file prompt_scan_func.h Reads what matters of a model call's body without building a tree. */
+/** @file prompt_scan_func.h Extracts the relevant fields of a model call's body with a streaming
+ * JSON parser, without building a tree. */
 #ifndef POLLENSTALL_FAKE_BACKEND_PROMPT_SCAN_FUNC_H
 #define POLLENSTALL_FAKE_BACKEND_PROMPT_SCAN_FUNC_H
 
@@ -11,26 +12,27 @@
 
 namespace pollenstall {
 
-constexpr std::int64_t BytesPerToken = 4; ///< The stand-in's tokenizer.
+constexpr std::int64_t BytesPerToken = 4; ///< The fake backend counts one token per 4 bytes.
 
-/// A model call as the engine sees it.
+/// The fields of a model call that the engine uses.
 struct model_call {
   std::string Model;
   bool Stream{false};
-  std::int64_t AnswerTokens{0};           ///< 0 where the caller gave none.
+  std::int64_t AnswerTokens{0};           ///< 0 if the caller did not set a limit.
   std::int64_t PromptTokens{0};           ///< At least 1.
-  std::uint64_t PromptHash{0};            ///< As promptHash() of the joined contents.
-  std::vector<std::uint64_t> BlockHashes; ///< Of every prefix that fills whole blocks.
+  std::uint64_t PromptHash{0};            ///< promptHash() of the concatenated contents.
+  std::vector<std::uint64_t> BlockHashes; ///< Hashes of all prefixes that fill whole blocks.
 };
 
-/// Why a body was refused.
+/// The reason why a body was rejected.
 struct scan_error {
   std::string Message;
 };
 
 /**
- * Scans a body of several megabytes in one pass; the contents are hashed where they stand.
- * @param BlockTokens Tokens of one block of KV memory.
+ * Scans a body, which may have several megabytes, in one pass and hashes its contents without
+ * copying them.
+ * @param BlockTokens Number of tokens per block of KV memory.
  */
 result<model_call, scan_error> scanModelCall(std::string_view Body, std::int64_t BlockTokens);
 
--- a/src/fake_backend/session.cpp
+++ b/src/fake_backend/session.cpp
@@ -1,4 +1,4 @@
-/** @file session.cpp HTTP by Boost.Beast over one socket. */
+/** @file session.cpp HTTP connection based on Boost.Beast. */
 #include "fake_backend/session_base.h"
 
 #include <boost/asio/write.hpp>
@@ -13,52 +13,54 @@
 
 namespace {
 
-constexpr std::uint64_t BodyLimit = 64ULL << 20U;
+constexpr std::uint64_t MaxBodyBytes = 64ULL << 20U;
 
-std::string chunkOf(const std::string &Text) {
+std::string encodeChunk(const std::string &Data) {
   std::ostringstream Chunk;
-  Chunk << std::hex << Text.size() << "\r\n" << Text << "\r\n";
+  Chunk << std::hex << Data.size() << "\r\n" << Data << "\r\n";
   return Chunk.str();
 }
 
 } // namespace
 
-session::session(asio::ip::tcp::socket Peer, request_hook OnRequest)
-    : Socket(std::move(Peer)), Delayed(Socket.get_executor()), Request(std::move(OnRequest)) {
+session::session(asio::ip::tcp::socket PeerSocket, request_handler RequestHandler)
+    : Socket(std::move(PeerSocket)), DelayTimer(Socket.get_executor()),
+      OnRequest(std::move(RequestHandler)) {
   boost::system::error_code Ignored;
   Socket.set_option(asio::ip::tcp::no_delay(true), Ignored);
 }
 
 void session::readRequest() {
   Parser.emplace();
-  Parser->body_limit(BodyLimit);
+  Parser->body_limit(MaxBodyBytes);
   http::async_read(Socket, Buffer, *Parser,
-                   [Self = shared_from_this()](boost::system::error_code Error, std::size_t) {
+                   [Session = shared_from_this()](boost::system::error_code Error, std::size_t) {
                      if (Error) {
-                       Self->close();
+                       Session->close();
                        return;
                      }
-                     Self->KeepAlive = Self->Parser->keep_alive();
-                     ++Self->Turn;
-                     Self->watchPeer();
-                     Self->Request(Self, Self->Parser->release());
+                     Session->KeepAlive = Session->Parser->keep_alive();
+                     ++Session->RequestCount;
+                     Session->watchPeer();
+                     Session->OnRequest(Session, Session->Parser->release());
                    });
 }
 
 void session::watchPeer() {
   Socket.async_wait(asio::socket_base::wait_read,
-                    [Self = shared_from_this(), Mine = Turn](boost::system::error_code Error) {
-                      if (Self->Turn != Mine || Self->Closed)
+                    [Session = shared_from_this(),
+                     WatchedRequest = RequestCount](boost::system::error_code Error) {
+                      if (Session->RequestCount != WatchedRequest || Session->Closed)
                         return;
-                      if (Error || Self->peerLeft())
-                        Self->close();
-                      else if (!Self->Pipelined)
-                        Self->watchPeer();
+                      if (Error || Session->peerDisconnected())
+                        Session->close();
+                      else if (!Session->Pipelined)
+                        Session->watchPeer();
                     });
 }
 
-bool session::peerLeft() {
-  // A wait may end without anything to read: only a read tells a close from that.
+bool session::peerDisconnected() {
+  // A wait may end without readable data; only a read can distinguish this from a close.
   char Byte = 0;
   boost::system::error_code Error;
   Socket.non_blocking(true, Error);
@@ -72,86 +74,87 @@
     return;
   boost::system::error_code Ignored;
   Socket.close(Ignored);
-  Delayed.cancel();
-  if (const auto Hook = std::exchange(Broken, nullptr))
-    Hook();
+  DelayTimer.cancel();
+  if (const auto Handler = std::exchange(OnDisconnect, nullptr))
+    Handler();
 }
 
-void session::after(std::chrono::milliseconds Delay, const plain_hook &Then) {
+void session::runAfter(std::chrono::milliseconds Delay, const callback &OnComplete) {
   if (Delay.count() == 0) {
-    Then();
+    OnComplete();
     return;
   }
-  Delayed.expires_after(Delay);
-  Delayed.async_wait([Self = shared_from_this(), Then](boost::system::error_code Error) {
-    if (!Error && !Self->Closed)
-      Then();
-  });
+  DelayTimer.expires_after(Delay);
+  DelayTimer.async_wait(
+      [Session = shared_from_this(), OnComplete](boost::system::error_code Error) {
+        if (!Error && !Session->Closed)
+          OnComplete();
+      });
 }
 
-void session::send(std::string &&Bytes, plain_hook Then) {
+void session::send(std::string &&Bytes, callback OnComplete) {
   if (Closed)
     return;
-  Out = std::move(Bytes);
+  WriteBuffer = std::move(Bytes);
   Writing = true;
-  asio::async_write(Socket, asio::buffer(Out),
-                    [Self = shared_from_this(),
-                     Then = std::move(Then)](boost::system::error_code Error, std::size_t) {
-                      Self->Writing = false;
+  asio::async_write(Socket, asio::buffer(WriteBuffer),
+                    [Session = shared_from_this(), OnComplete = std::move(OnComplete)](
+                        boost::system::error_code Error, std::size_t) {
+                      Session->Writing = false;
                       if (Error)
-                        Self->close();
+                        Session->close();
                       else
-                        Then();
+                        OnComplete();
                     });
 }
 
-void session::answered(bool Reuse) {
-  Broken = nullptr;
-  if (!Reuse) {
+void session::finishRequest(bool KeepOpen) {
+  OnDisconnect = nullptr;
+  if (!KeepOpen) {
     close();
     return;
   }
-  ++Turn;
+  ++RequestCount;
   readRequest();
 }
 
-void session::reply(backend_response &&Response, const plain_hook &Then) {
+void session::reply(backend_response &&Response, const callback &OnComplete) {
   Response.keep_alive(KeepAlive);
   Response.prepare_payload();
-  std::ostringstream Text;
-  Text << Response;
-  send(Text.str(), [this, Then] {
-    if (Then)
-      Then();
-    answered(KeepAlive);
+  std::ostringstream Serialized;
+  Serialized << Response;
+  send(Serialized.str(), [this, OnComplete] {
+    if (OnComplete)
+      OnComplete();
+    finishRequest(KeepAlive);
   });
 }
 
-void session::replyHalf(backend_response &&Response) {
+void session::replyTruncated(backend_response &&Response) {
   Response.prepare_payload();
-  std::ostringstream Text;
-  Text << Response;
-  const std::string Whole = Text.str();
-  send(Whole.substr(0, Whole.size() - Response.body().size() / 2), [this] { close(); });
+  std::ostringstream Serialized;
+  Serialized << Response;
+  const std::string Message = Serialized.str();
+  send(Message.substr(0, Message.size() - Response.body().size() / 2), [this] { close(); });
 }
 
 void session::openStream(const std::string &Attempt) {
-  Head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n"
-         "Transfer-Encoding: chunked\r\n";
+  PendingHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n"
+                "Transfer-Encoding: chunked\r\n";
   if (!Attempt.empty())
-    Head += "X-Pollenstall-Attempt: " + Attempt + "\r\n";
-  Head += "\r\n";
+    PendingHead += "X-Pollenstall-Attempt: " + Attempt + "\r\n";
+  PendingHead += "\r\n";
 }
 
-void session::writeEvents(const std::string &Events, plain_hook Then) {
-  send(std::exchange(Head, {}) + chunkOf(Events), std::move(Then));
+void session::writeEvents(const std::string &Events, callback OnComplete) {
+  send(std::exchange(PendingHead, {}) + encodeChunk(Events), std::move(OnComplete));
 }
 
-void session::finishStream(const std::string &Events, const plain_hook &Then) {
-  const std::string Body = Events.empty() ? std::string() : chunkOf(Events);
-  send(std::exchange(Head, {}) + Body + "0\r\n\r\n", [this, Then] {
-    Then();
-    answered(KeepAlive);
+void session::finishStream(const std::string &Events, const callback &OnComplete) {
+  const std::string Body = Events.empty() ? std::string() : encodeChunk(Events);
+  send(std::exchange(PendingHead, {}) + Body + "0\r\n\r\n", [this, OnComplete] {
+    OnComplete();
+    finishRequest(KeepAlive);
   });
 }
 
--- a/tests/fake_backend/backend_process_test.cpp
+++ b/tests/fake_backend/backend_process_test.cpp
@@ -1,4 +1,4 @@
-/** @file backend_process_test.cpp The stand-in as a process, over real connections. */
+/** @file backend_process_test.cpp Tests the fake backend as a process over real connections. */
 #include "fake_backend/fake_backend.h"
 #include "support/test_support.h"
 
@@ -10,7 +10,7 @@
 namespace pollenstall {
 namespace {
 
-const char *const Quick = R"(models = ["tactic-7b"]
+const char *const FastModelSettings = R"(models = ["tactic-7b"]
 fleet = "accra"
 [step]
 base_us = 1000
@@ -18,12 +18,12 @@
 per_sequence_us = 10
 )";
 
-class a_backend_server : public testing::Test {
+class BackendServerTest : public testing::Test {
 protected:
-  backend_process Backend{Quick};
+  backend_process Backend{FastModelSettings};
   http_client Client{Backend.address()};
 
-  http_stream stream(const std::string &Attempt, int Tokens) {
+  http_stream openStream(const std::string &Attempt, int Tokens) {
     return {Backend.address(),
             "POST",
             "/v1/chat/completions",
@@ -32,26 +32,27 @@
   }
 };
 
-TEST_F(a_backend_server, StreamsEveryEventInOrder) {
-  http_stream Stream = stream("h/1/2/1", 3);
+TEST_F(BackendServerTest, StreamsEveryEventInOrder) {
+  http_stream Stream = openStream("h/1/2/1", 3);
   EXPECT_EQ(Stream.status(), 200);
   EXPECT_EQ(Stream.header("X-Pollenstall-Attempt"), "h/1/2/1");
   const auto Events = Stream.rest();
   EXPECT_TRUE(Stream.endedInOrder()) << Stream.error();
   ASSERT_EQ(Events.size(), 7U);
-  for (std::size_t Place = 0; Place < Events.size(); ++Place)
-    EXPECT_EQ(Events[Place].Id, std::to_string(Place + 1));
+  for (std::size_t Index = 0; Index < Events.size(); ++Index)
+    EXPECT_EQ(Events[Index].Id, std::to_string(Index + 1));
   EXPECT_NE(Events[1].Data.find(answerToken(promptHash("who tracked the runner?"), 0)),
             std::string::npos);
   EXPECT_EQ(Events.back().Data, "[DONE]");
 }
 
-// The entry's connection breaks after three events; it asks for the rest under the attempt's name.
-// The two parts together must be the stream of an unbroken call: no event missing, none twice.
-TEST_F(a_backend_server, ResumesAtTheNextEvent) {
-  const auto Unbroken = stream("h/1/1/1", 40).rest();
+// The entry's connection breaks after three events, and the entry resumes the stream by the
+// attempt's name. Both parts together must equal the stream of an unbroken call, without missing or
+// duplicate events.
+TEST_F(BackendServerTest, ResumesAtTheEventAfterTheLast) {
+  const auto Unbroken = openStream("h/1/1/1", 40).rest();
   ASSERT_TRUE(Backend.faults(R"({"cut_after_events":3})"));
-  http_stream Broken = stream("h/1/2/1", 40);
+  http_stream Broken = openStream("h/1/2/1", 40);
   auto Events = Broken.rest();
   EXPECT_FALSE(Broken.endedInOrder());
   ASSERT_EQ(Events.size(), 3U);
@@ -61,32 +62,33 @@
   for (const sse_event &Event : Resumed.rest())
     Events.push_back(Event);
   ASSERT_EQ(Events.size(), Unbroken.size());
-  for (std::size_t Place = 0; Place < Events.size(); ++Place) {
-    EXPECT_EQ(Events[Place].Id, Unbroken[Place].Id);
-    const bool IsUsage = Place + 2 == Events.size(); // cached tokens differ
+  for (std::size_t Index = 0; Index < Events.size(); ++Index) {
+    EXPECT_EQ(Events[Index].Id, Unbroken[Index].Id);
+    const bool IsUsage = Index + 2 == Events.size(); // the number of cached tokens differs
     if (!IsUsage) {
-      EXPECT_EQ(Events[Place].Data, Unbroken[Place].Data);
+      EXPECT_EQ(Events[Index].Data, Unbroken[Index].Data);
     }
   }
   EXPECT_EQ(Backend.stat("starts"), 2);
 }
 
-TEST_F(a_backend_server, CannotResumeWhatItDoesNotHold) {
-  const http_headers From{{"Last-Event-ID", "1"}};
-  EXPECT_EQ(Client.get("/v1/attempts/h/1/9/1/stream", From).Status, 404);
-  stream("h/1/1/1", 1).rest();
+TEST_F(BackendServerTest, RefusesToResumeUnknownAttemptsAndEvents) {
+  const http_headers LastEventHeader{{"Last-Event-ID", "1"}};
+  EXPECT_EQ(Client.get("/v1/attempts/h/1/9/1/stream", LastEventHeader).Status, 404);
+  openStream("h/1/1/1", 1).rest();
   EXPECT_EQ(Client.get("/v1/attempts/h/1/1/1/stream", {{"Last-Event-ID", "5"}}).Status, 404);
 }
 
-// The caller hangs up in the middle of a long answer. The engine goes on, as it must for a resume,
-// and holds memory until the entry's cancel is answered; then all blocks are free.
-TEST_F(a_backend_server, HoldsMemoryUntilTheCancel) {
-  http_stream Left = stream("h/1/2/1", 100'000);
-  ASSERT_TRUE(Left.next());
-  Left.close();
-  const auto Listed = Client.get("/v1/attempts").json();
-  ASSERT_EQ(Listed.at("attempts").as_array().size(), 1U);
-  EXPECT_EQ(Listed.at("attempts").as_array()[0].at("state").as_string(), "decode");
+// The caller disconnects in the middle of a long answer. The engine continues the job so that it
+// can be resumed, and holds its memory until it has answered a cancel; a cancel whose connection
+// broke has no effect. After the cancel, all blocks are free.
+TEST_F(BackendServerTest, HoldsMemoryUntilTheAttemptIsCancelled) {
+  http_stream Abandoned = openStream("h/1/2/1", 100'000);
+  ASSERT_TRUE(Abandoned.next());
+  Abandoned.close();
+  const auto Attempts = Client.get("/v1/attempts").json();
+  ASSERT_EQ(Attempts.at("attempts").as_array().size(), 1U);
+  EXPECT_EQ(Attempts.at("attempts").as_array()[0].at("state").as_string(), "decode");
   EXPECT_GT(Backend.stat("used_blocks"), 6000);
   ASSERT_TRUE(Backend.faults(R"({"drop_cancel_next":1})"));
   EXPECT_FALSE(Client.request("DELETE", "/v1/attempts/h/1/2/1", {}, {}).ok());
@@ -98,7 +100,7 @@
   EXPECT_EQ(Client.request("DELETE", "/v1/attempts/other", {}, {}).Body, R"({"state":"unknown"})");
 }
 
-TEST_F(a_backend_server, DeclinesWithoutStarting) {
+TEST_F(BackendServerTest, DeclinesWithoutStarting) {
   ASSERT_TRUE(Backend.faults(R"({"decline_next":1})"));
   const std::string Body = chatBody("tactic-7b", "hello", false, 2);
   const auto Declined = Client.post("/v1/chat/completions", Body, {{"Idempotency-Key", "k"}});
@@ -109,7 +111,7 @@
   EXPECT_EQ(Backend.startsByKey("k"), 1);
 }
 
-TEST_F(a_backend_server, SaysNothingOfTheStartWhereItFailedWhileRunning) {
+TEST_F(BackendServerTest, OmitsTheStartedHeaderWhenARunningRequestFails) {
   ASSERT_TRUE(Backend.faults(R"({"error_next":1})"));
   const auto Failed = Client.post("/v1/chat/completions", chatBody("tactic-7b", "hello", false, 2),
                                   {{"Idempotency-Key", "k"}});
@@ -118,46 +120,47 @@
   EXPECT_EQ(Backend.startsByKey("k"), 1);
 }
 
-TEST_F(a_backend_server, BreaksAnswersAsTheFaultsSay) {
+TEST_F(BackendServerTest, InjectsAnswerFaults) {
   ASSERT_TRUE(Backend.faults(R"({"half_answer_next":1,"no_done_next":1,"wrong_attempt_next":1})"));
-  http_stream NoDone = stream("h/1/1/1", 2);
+  http_stream NoDone = openStream("h/1/1/1", 2);
   EXPECT_EQ(NoDone.header("X-Pollenstall-Attempt"), "h/1/1/1-crossed");
   EXPECT_EQ(NoDone.rest().size(), 5U);
   EXPECT_TRUE(NoDone.endedInOrder());
-  const auto Half = Client.post("/v1/chat/completions", chatBody("tactic-7b", "hello", false, 9));
-  EXPECT_EQ(Half.Status, 200);
-  EXPECT_FALSE(Half.Error.empty());
+  const auto Truncated =
+      Client.post("/v1/chat/completions", chatBody("tactic-7b", "hello", false, 9));
+  EXPECT_EQ(Truncated.Status, 200);
+  EXPECT_FALSE(Truncated.Error.empty());
   EXPECT_EQ(Client.post("/faults", R"({"unheard_of":1})").Status, 400);
 }
 
-TEST_F(a_backend_server, RefusesConnectionsUntilToldOtherwise) {
-  http_stream Held = stream("h/1/1/1", 100'000);
+TEST_F(BackendServerTest, KeepsOpenConnectionsWhileRefusingNewOnes) {
+  http_stream OpenStream = openStream("h/1/1/1", 100'000);
   ASSERT_TRUE(Backend.faults(R"({"refuse_connections":true})"));
   EXPECT_TRUE(eventually([this] { return !raw_socket(Backend.address()).connected(); }));
-  EXPECT_TRUE(Held.next()) << "open connections go on";
+  EXPECT_TRUE(OpenStream.next()) << "open connections must stay usable";
 }
 
-TEST_F(a_backend_server, DiesInTheMiddleOfAStream) {
+TEST_F(BackendServerTest, KillsItselfInTheMiddleOfAStream) {
   ASSERT_TRUE(Backend.faults(R"({"die_after_events":5})"));
-  EXPECT_EQ(stream("h/1/1/1", 100).rest().size(), 5U);
+  EXPECT_EQ(openStream("h/1/1/1", 100).rest().size(), 5U);
   EXPECT_EQ(Backend.process().wait(), 128 + SIGKILL);
 }
 
-TEST_F(a_backend_server, RefusesOrdersWithAnOldFence) {
-  const auto Order = [this](int Fence) {
+TEST_F(BackendServerTest, RefusesOrdersWithAStaleFence) {
+  const auto SendOrder = [this](int Fence) {
     return Client
         .post("/v1/orders",
               R"({"order":"load","model":"m2","fence":)" + std::to_string(Fence) + "}")
         .Status;
   };
-  EXPECT_EQ(Order(5), 200);
-  EXPECT_EQ(Order(5), 200) << "a repeat of the same order";
-  EXPECT_EQ(Order(4), 409);
+  EXPECT_EQ(SendOrder(5), 200);
+  EXPECT_EQ(SendOrder(5), 200) << "repeated order with the same fence";
+  EXPECT_EQ(SendOrder(4), 409);
   EXPECT_EQ(Client.get("/v1/state").json().at("fence").as_int64(), 5);
   EXPECT_EQ(Backend.stats().at("orders").as_array().size(), 2U);
 }
 
-TEST_F(a_backend_server, PublishesWhatItCaches) {
+TEST_F(BackendServerTest, PublishesCacheEvents) {
   http_stream CacheEvents(Backend.address(), "GET", "/v1/cache-events", {});
   Client.post("/v1/chat/completions", chatBody("tactic-7b", std::string(200, 'a'), false, 1));
   const auto Event = CacheEvents.next();
@@ -166,7 +169,7 @@
   EXPECT_EQ(boost::json::parse(Event->Data).at("stored").as_array().size(), 3U);
 }
 
-TEST(an_engine_that_ignores_fences, TakesAnOldOrder) {
+TEST(UnfencedBackendTest, AcceptsAStaleOrder) {
   const backend_process Backend(R"(models = ["m"]
 [capabilities]
 orders = "unfenced"
@@ -178,7 +181,7 @@
   EXPECT_EQ(Client.get("/v1/state").json().at("role").as_string(), "decode");
 }
 
-TEST(a_plain_service, EchoesAnyCall) {
+TEST(PlainBackendTest, EchoesAnyCall) {
   const backend_process Backend("kind = \"plain\"\n");
   const http_client Client(Backend.address());
   const auto Answer = Client.request("PUT", "/clips/7?tag=goal", "abc", {{"Idempotency-Key", "k"}});
@@ -191,58 +194,60 @@
   EXPECT_EQ(Backend.startsByKey("k"), 1);
 }
 
-std::vector<std::string> standings(const http_stub &Entry) {
-  std::vector<std::string> Texts;
+std::vector<std::string> announcedStandings(const http_stub &Entry) {
+  std::vector<std::string> Standings;
   for (const stub_request &Request : Entry.requests())
-    Texts.emplace_back(boost::json::parse(Request.body()).at("standing").as_string());
-  return Texts;
+    Standings.emplace_back(boost::json::parse(Request.body()).at("standing").as_string());
+  return Standings;
 }
 
-class an_announcing_backend_server : public testing::Test {
+class AnnouncingBackendTest : public testing::Test {
 protected:
   temp_folder Folder;
-  std::atomic<bool> FirstFails{false};
-  http_stub Second{[](const stub_request &) { return stubJson(200, R"({"announce_to":[]})"); }};
-  http_stub First{[this](const stub_request &) {
-    return FirstFails ? stubJson(503, "{}")
-                      : stubJson(200, R"({"announce_to":[")" + Second.address() + R"("]})");
+  std::atomic<bool> FirstEntryFails{false};
+  http_stub SecondEntry{
+      [](const stub_request &) { return stubJson(200, R"({"announce_to":[]})"); }};
+  http_stub FirstEntry{[this](const stub_request &) {
+    return FirstEntryFails
+               ? stubJson(503, "{}")
+               : stubJson(200, R"({"announce_to":[")" + SecondEntry.address() + R"("]})");
   }};
 
   std::string settings() {
     return "fleet = \"accra\"\nmodels = [\"m\"]\nservice = \"tactic-llm\"\n"
            "[step]\nbase_us = 1000\n[announce]\ninterval_ms = 20\nto = [\"" +
-           First.address() + "\"]\nkey_file = \"" + Folder.write("key", "secret\n") + "\"\n";
+           FirstEntry.address() + "\"]\nkey_file = \"" + Folder.write("key", "secret\n") + "\"\n";
   }
 };
 
-TEST_F(an_announcing_backend_server, GoesToTheNextEntryWhenOneFails) {
+TEST_F(AnnouncingBackendTest, FailsOverToTheNextEntry) {
   const backend_process Backend(settings());
-  ASSERT_TRUE(eventually([this] { return First.requests().size() >= 2; }));
-  const stub_request Request = First.requests()[1];
+  ASSERT_TRUE(eventually([this] { return FirstEntry.requests().size() >= 2; }));
+  const stub_request Request = FirstEntry.requests()[1];
   EXPECT_EQ(Request["Authorization"], "Bearer secret");
   const auto Body = boost::json::parse(Request.body());
   EXPECT_EQ(Body.at("sequence").as_int64(), 2);
   EXPECT_EQ(Body.at("address").as_string(), Backend.address());
-  FirstFails = true;
-  EXPECT_TRUE(eventually([this] { return !Second.requests().empty(); }));
+  FirstEntryFails = true;
+  EXPECT_TRUE(eventually([this] { return !SecondEntry.requests().empty(); }));
 }
 
-// SIGTERM comes while an answer is being streamed. Entries must hear of it at once, new work is
-// declined as not started, and the running answer comes out whole before the process ends.
-TEST_F(an_announcing_backend_server, LeavesWithoutCuttingAnAnswer) {
+// SIGTERM arrives while an answer is streamed. The server must notify entries at once, decline new
+// work as not started, and complete the running answer before the process exits.
+TEST_F(AnnouncingBackendTest, CompletesRunningAnswersBeforeItLeaves) {
   backend_process Backend(settings());
   const http_client Client(Backend.address());
   http_stream Running(Backend.address(), "POST", "/v1/chat/completions",
                       chatBody("m", "hello", true, 300));
   ASSERT_TRUE(Running.next());
   Backend.process().terminate();
-  ASSERT_TRUE(eventually([this] { return standings(First).back() == "leaving"; }));
+  ASSERT_TRUE(eventually([this] { return announcedStandings(FirstEntry).back() == "leaving"; }));
   const auto Declined = Client.post("/v1/chat/completions", chatBody("m", "hello", false, 1));
   EXPECT_EQ(Declined.Status, 503);
   EXPECT_EQ(Declined.header("X-Pollenstall-Started"), "no");
-  const auto Rest = Running.rest();
-  EXPECT_EQ(Rest.size(), 303U);
-  EXPECT_EQ(Rest.back().Data, "[DONE]");
+  const auto RemainingEvents = Running.rest();
+  EXPECT_EQ(RemainingEvents.size(), 303U);
+  EXPECT_EQ(RemainingEvents.back().Data, "[DONE]");
   EXPECT_EQ(Backend.process().wait(), 0);
 }
 
--- a/tests/fake_backend/engine_test.cpp
+++ b/tests/fake_backend/engine_test.cpp
@@ -1,4 +1,4 @@
-/** @file engine_test.cpp The engine model: memory, batching and streams, step by step. */
+/** @file engine_test.cpp Tests memory, batching and streams of the engine model. */
 #include "fake_backend/fake_backend.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
   return Limits;
 }
 
-/// @param Prefix Jobs with the same one share the blocks of their prompts.
+/// Creates a job. @param Prefix Jobs with the same value share the blocks of their prompts.
 job_ptr makeJob(const std::string &Attempt, std::int64_t Tokens, std::int64_t Answer,
                 std::uint64_t Prefix = 1) {
   auto Job = std::make_shared<engine_job>();
@@ -29,7 +29,7 @@
   return Job;
 }
 
-class an_engine : public testing::Test {
+class EngineTest : public testing::Test {
 protected:
   engine Engine{smallLimits()};
   mono_time Now{};
@@ -44,7 +44,7 @@
   }
 };
 
-TEST_F(an_engine, FreesItsMemoryWhenAJobEnds) {
+TEST_F(EngineTest, FreesItsMemoryWhenAJobEnds) {
   const job_ptr Job = makeJob("a", 40, 8);
   Engine.submit(Job);
   step();
@@ -56,16 +56,16 @@
   EXPECT_EQ(Engine.load().CachedBlocks, 10);
 }
 
-TEST_F(an_engine, ComputesOnlyWhatIsNotCached) {
+TEST_F(EngineTest, ComputesOnlyUncachedTokens) {
   Engine.submit(makeJob("a", 40, 1));
   runToEnd();
-  const job_ptr Again = makeJob("b", 40, 1);
-  Engine.submit(Again);
+  const job_ptr SecondJob = makeJob("b", 40, 1);
+  Engine.submit(SecondJob);
   runToEnd();
-  EXPECT_EQ(Again->Answer.CachedTokens, 39);
+  EXPECT_EQ(SecondJob->Answer.CachedTokens, 39);
 }
 
-TEST_F(an_engine, RunsLowerPrioritiesFirst) {
+TEST_F(EngineTest, RunsLowerPrioritiesFirst) {
   const job_ptr First = makeJob("a", 200, 8, 1);
   const job_ptr Later = makeJob("b", 200, 8, 2);
   const job_ptr Urgent = makeJob("c", 200, 8, 3);
@@ -81,13 +81,13 @@
   EXPECT_EQ(Later->State, job_state::Waiting);
 }
 
-TEST_F(an_engine, RefusesWhatCanNeverFit) {
+TEST_F(EngineTest, RejectsJobsLargerThanTheMemory) {
   const auto Submitted = Engine.submit(makeJob("a", 300, 8));
   ASSERT_FALSE(succeeded(Submitted));
   EXPECT_EQ(errorOf(Submitted), submit_error::TooLarge);
 }
 
-TEST_F(an_engine, SkipsThePrefillThatWasImported) {
+TEST_F(EngineTest, SkipsImportedPrefill) {
   ASSERT_TRUE(Engine.importBlocks("a", 10, Now));
   EXPECT_EQ(Engine.load().UsedBlocks, 10);
   const job_ptr Job = makeJob("a", 40, 1);
@@ -97,35 +97,36 @@
   EXPECT_EQ(Engine.load().UsedBlocks, 0);
 }
 
-// The caller's entry dies; nobody resumes the stream or cancels it. The memory must still come
-// back after the window, or a test of the system could not tell its own leak from the stand-in's.
-TEST_F(an_engine, CancelsWhatNobodyResumed) {
+// The caller's entry crashes, so the stream is neither resumed nor cancelled. The memory must be
+// freed after the resume window; otherwise system tests could not distinguish a leak of the system
+// from one of the fake backend.
+TEST_F(EngineTest, CancelsJobsThatAreNotResumed) {
   const job_ptr Job = makeJob("a", 40, 8);
   Engine.submit(Job);
   step();
-  Engine.detach(Job, engine::attach(*Job, {}), Now);
-  Engine.sweep(Now + std::chrono::seconds(29));
+  Engine.detachReader(Job, engine::attachReader(*Job, {}), Now);
+  Engine.removeExpired(Now + std::chrono::seconds(29));
   EXPECT_GT(Engine.load().UsedBlocks, 0);
-  Engine.sweep(Now + std::chrono::seconds(31));
+  Engine.removeExpired(Now + std::chrono::seconds(31));
   EXPECT_EQ(Engine.load().UsedBlocks, 0);
   EXPECT_EQ(Job->State, job_state::Cancelled);
 }
 
-// A resume comes while the broken connection still looks open; its break is noticed later.
-// The late notice must not take the new reader's place away.
-TEST_F(an_engine, KeepsTheNewReaderWhenTheOldOneBreaks) {
+// A resume arrives before the server detects that the old connection is broken. The late detection
+// must not detach the new reader.
+TEST_F(EngineTest, KeepsTheNewReaderWhenTheOldOneBreaks) {
   const job_ptr Job = makeJob("a", 40, 8);
   Engine.submit(Job);
-  const auto Old = engine::attach(*Job, {});
+  const auto OldReaderId = engine::attachReader(*Job, {});
   int Calls = 0;
-  engine::attach(*Job, [&Calls] { ++Calls; });
-  Engine.detach(Job, Old, Now);
+  engine::attachReader(*Job, [&Calls] { ++Calls; });
+  Engine.detachReader(Job, OldReaderId, Now);
   runToEnd();
   EXPECT_EQ(Calls, 8);
   EXPECT_FALSE(Job->UnreadSince);
 }
 
-RC_GTEST_PROP(any_order_of_events, ReturnsEveryBlock, ()) {
+RC_GTEST_PROP(EnginePropertyTest, ReleasesAllBlocks, ()) {
   engine Engine{smallLimits()};
   mono_time Now{};
   const int Events = *rc::gen::inRange(1, 120);
@@ -144,7 +145,7 @@
       break;
     case 3:
       if (const job_ptr Job = Engine.find(Attempt))
-        Engine.detach(Job, Job->Reader, Now);
+        Engine.detachReader(Job, Job->ReaderId, Now);
       break;
     default:
       if (Engine.beginStep())
@@ -154,8 +155,8 @@
     RC_ASSERT(Load.UsedBlocks >= 0);
     RC_ASSERT(Load.UsedBlocks + Load.CachedBlocks <= 64);
   }
-  Now += std::chrono::seconds(31); // what was imported and never used goes with the sweep
-  Engine.sweep(Now);
+  Now += std::chrono::seconds(31); // expires imports that were never used
+  Engine.removeExpired(Now);
   while (Engine.beginStep())
     Engine.endStep(Now);
   RC_ASSERT(Engine.idle());
--- a/tests/fake_backend/prompt_scan_test.cpp
+++ b/tests/fake_backend/prompt_scan_test.cpp
@@ -1,4 +1,4 @@
-/** @file prompt_scan_test.cpp What the stand-in reads of a body. */
+/** @file prompt_scan_test.cpp Tests which fields the fake backend reads from a request body. */
 #include "fake_backend/fake_backend.h"
 
 #include <gtest/gtest.h>
@@ -6,17 +6,17 @@
 namespace pollenstall {
 namespace {
 
-model_call scanned(const std::string &Body) {
+model_call scanOrFail(const std::string &Body) {
   auto Call = scanModelCall(Body, 16);
   EXPECT_TRUE(succeeded(Call));
   return succeeded(Call) ? valueOf(std::move(Call)) : model_call{};
 }
 
-TEST(a_scan_of_a_body, JoinsTheContentsOfAllMessages) {
-  const model_call Call =
-      scanned(R"({"model":"m","stream":true,"max_tokens":7,"metadata":{"model":"x","content":"y"},)"
-              R"("messages":[{"role":"system","content":"ab\u0063"},)"
-              R"({"role":"user","content":[{"type":"text","text":"def"}]}]})");
+TEST(PromptScanTest, JoinsTheContentsOfAllMessages) {
+  const model_call Call = scanOrFail(
+      R"({"model":"m","stream":true,"max_tokens":7,"metadata":{"model":"x","content":"y"},)"
+      R"("messages":[{"role":"system","content":"ab\u0063"},)"
+      R"({"role":"user","content":[{"type":"text","text":"def"}]}]})");
   EXPECT_EQ(Call.Model, "m");
   EXPECT_TRUE(Call.Stream);
   EXPECT_EQ(Call.AnswerTokens, 7);
@@ -24,16 +24,16 @@
   EXPECT_EQ(Call.PromptHash, promptHash("abcdef"));
 }
 
-TEST(a_scan_of_a_body, HashesEveryPrefixOfWholeBlocks) {
+TEST(PromptScanTest, HashesEveryPrefixOfWholeBlocks) {
   const std::string Shared(128, 'a');
-  const model_call One = scanned(R"({"model":"m","prompt":")" + Shared + R"(tail"})");
-  const model_call Two = scanned(R"({"model":"m","prompt":")" + Shared + R"(other"})");
-  ASSERT_EQ(One.BlockHashes.size(), 2U);
-  EXPECT_EQ(One.BlockHashes, Two.BlockHashes);
-  EXPECT_NE(One.PromptHash, Two.PromptHash);
+  const model_call First = scanOrFail(R"({"model":"m","prompt":")" + Shared + R"(tail"})");
+  const model_call Second = scanOrFail(R"({"model":"m","prompt":")" + Shared + R"(other"})");
+  ASSERT_EQ(First.BlockHashes.size(), 2U);
+  EXPECT_EQ(First.BlockHashes, Second.BlockHashes);
+  EXPECT_NE(First.PromptHash, Second.PromptHash);
 }
 
-TEST(a_scan_of_a_body, RefusesWhatIsNoCall) {
+TEST(PromptScanTest, RejectsInvalidCalls) {
   EXPECT_FALSE(succeeded(scanModelCall("{", 16)));
   EXPECT_FALSE(succeeded(scanModelCall("[]", 16)));
   EXPECT_FALSE(succeeded(scanModelCall(R"({"model":"m"})", 16)));
--- a/tests/load/answer_check_test.cpp
+++ b/tests/load/answer_check_test.cpp
@@ -10,8 +10,8 @@
 
 constexpr std::int64_t Tokens = 5;
 
-answer_text answerTo(const std::string &Prompt) {
-  answer_text Answer;
+answer_parameters answerTo(const std::string &Prompt) {
+  answer_parameters Answer;
   Answer.PromptHash = promptHash(Prompt);
   Answer.AnswerTokens = Tokens;
   Answer.PromptTokens = 3;
@@ -19,7 +19,7 @@
   return Answer;
 }
 
-std::vector<std::string> eventsOf(const answer_text &Answer) {
+std::vector<std::string> eventsOf(const answer_parameters &Answer) {
   std::vector<std::string> Events;
   for (std::int64_t Number = 1; Number <= eventCount(Answer); ++Number)
     appendEvent(Events.emplace_back(), Answer, Number);
@@ -66,7 +66,7 @@
 }
 
 TEST_F(a_streamed_answer, IsWrongWhenItEndsEarlyAsIfItWereWhole) {
-  answer_text Short = answerTo("mine");
+  answer_parameters Short = answerTo("mine");
   --Short.AnswerTokens;
   EXPECT_EQ(judged(eventsOf(Short)), load_outcome::Wrong);
 }
@@ -113,8 +113,8 @@
 
 TEST(a_whole_answer, IsJudgedByItsContent) {
   const answer_check Check(promptHash("mine"), Tokens);
-  EXPECT_EQ(Check.wholeOutcome(wholeAnswer(answerTo("mine"))), load_outcome::Complete);
-  EXPECT_EQ(Check.wholeOutcome(wholeAnswer(answerTo("theirs"))), load_outcome::Wrong);
+  EXPECT_EQ(Check.wholeOutcome(answerBody(answerTo("mine"))), load_outcome::Complete);
+  EXPECT_EQ(Check.wholeOutcome(answerBody(answerTo("theirs"))), load_outcome::Wrong);
   EXPECT_EQ(Check.wholeOutcome("{}"), load_outcome::Wrong);
 }
 
