--- a/bench/decision/decision_bench.cpp
+++ b/bench/decision/decision_bench.cpp
@@ -1,6 +1,6 @@
-/** @file decision_bench.cpp Processor time and memory of the decision code against the numbers of
- * engines, accounts and live requests; JSON lines. The clock of the decisions is virtual, the costs
- * are real. */
+/** @file decision_bench.cpp Measures CPU time and memory of the decision code for several numbers
+ * of engines, accounts and live requests. Prints JSON lines. Decisions use a virtual clock; costs
+ * are measured in real CPU time. */
 #include "dispatch/dispatch.h"
 #include "measure_func.h"
 #include "sample_fleet_func.h"
@@ -18,63 +18,63 @@
 
 using namespace std::chrono_literals;
 
-constexpr mono_time Begin{1h};
-constexpr mono_duration Spacing = 125ms; ///< Between two requests: 2,500 a second over 320 entries.
-constexpr std::size_t LiveWork = 32;     ///< Attempts of one entry under way at once.
+constexpr mono_time StartTime{1h};
+/// Time between two requests of one entry: 2,500 per second over 320 entries.
+constexpr mono_duration RequestInterval = 125ms;
+constexpr std::size_t MaxLiveAttempts = 32; ///< Concurrent attempts of one entry.
 constexpr std::size_t RequestsPerRound = 400;
 constexpr std::size_t LoadReportsPerRound = 2'000;
-constexpr std::size_t WaitingWork = 512;
+constexpr std::size_t QueuedRequests = 512;
 
 process_key ownKey() { return {host_name("entry-1"), incarnation(1)}; }
 
-// ---- scheduler
-// ------------------------------------------------------------------------------------
+// Scheduler
 
-/// One entry's scheduler with a fleet, worked as the entry does.
-class worked_scheduler {
+/// Drives one entry's scheduler with a fleet in the way the entry does.
+class scheduler_driver {
 public:
-  worked_scheduler(std::size_t EngineCount, std::size_t AccountCount)
+  scheduler_driver(std::size_t EngineCount, std::size_t AccountCount)
       : Engines(EngineCount), Accounts(AccountCount) {
     const fleet_declaration Declaration = sampleDeclaration(Accounts);
     const double Before = heapBytes();
     Scheduler =
         std::make_unique<scheduler>(scheduler_builder().seed(1).host(ownKey().Host).build());
     Scheduler->applyDeclaration(Declaration);
-    for (std::size_t Place = 0; Place < Engines; ++Place)
-      Scheduler->updateBackend(sampleEngine(Place, Now), Now);
-    EmptyBytes = heapBytes() - Before;
+    for (std::size_t Index = 0; Index < Engines; ++Index)
+      Scheduler->updateBackend(makeEngineView(Index, Now), Now);
+    InitialBytes = heapBytes() - Before;
   }
 
-  /// A request from its arrival to its start; the oldest attempt ends.
-  void oneRequest() {
-    Now += Spacing;
-    const work_item Item = sampleWork(++LastRequest, Accounts, Now);
+  /// Runs a request from its arrival to its start and ends the oldest attempts above the limit.
+  void runRequest() {
+    Now += RequestInterval;
+    const work_item Item = makeWorkItem(++LastRequest, Accounts, Now);
     if (!succeeded(Scheduler->submit(Item, Now)))
       ++Refused;
     else
       Waiting[Item.Request] = Item;
     poll();
-    while (Live.size() > LiveWork)
-      endOldest();
+    while (LiveAttempts.size() > MaxLiveAttempts)
+      endOldestAttempt();
   }
 
-  void oneLoadReport() {
-    backend_view View = sampleEngine(LastReport++ % Engines, Now);
-    View.Load.Sequence = LastReport;
+  void receiveLoadReport() {
+    backend_view View = makeEngineView(LastLoadSequence++ % Engines, Now);
+    View.Load.Sequence = LastLoadSequence;
     Scheduler->updateBackend(View, Now);
   }
 
-  /// Lets work wait: every engine reports that its memory is full.
-  void fill() {
-    for (std::size_t Place = 0; Place < Engines; ++Place) {
-      backend_view View = sampleEngine(Place, Now);
-      View.Load.Sequence = ++LastReport;
+  /// Fills the queue: all engines report that their memory is full, so new work waits.
+  void fillQueue() {
+    for (std::size_t Index = 0; Index < Engines; ++Index) {
+      backend_view View = makeEngineView(Index, Now);
+      View.Load.Sequence = ++LastLoadSequence;
       View.Load.UsedBlocks = View.Announcement.Memory;
       View.Load.WaitingPrefill = tokens(200'000);
       Scheduler->updateBackend(View, Now);
     }
-    for (std::size_t Place = 0; Place < WaitingWork; ++Place) {
-      const work_item Item = sampleWork(++LastRequest, Accounts, Now);
+    for (std::size_t Index = 0; Index < QueuedRequests; ++Index) {
+      const work_item Item = makeWorkItem(++LastRequest, Accounts, Now);
       if (succeeded(Scheduler->submit(Item, Now)))
         Waiting[Item.Request] = Item;
     }
@@ -86,16 +86,16 @@
       const attempt_id Attempt{ownKey(), Placement.Request, 1};
       Scheduler->attemptStarted(Attempt, Item, Placement.Backend, Now);
       Scheduler->attemptAnswering(Attempt, Now);
-      Live.push_back(Attempt);
+      LiveAttempts.push_back(Attempt);
     }
   }
 
-  void report() {
-    const double Request = cpuOfCall(RequestsPerRound, [this] { oneRequest(); });
-    const double Report = cpuOfCall(LoadReportsPerRound, [this] { oneLoadReport(); });
-    const double Idle = cpuOfCall(RequestsPerRound, [this] { poll(); });
-    fill();
-    const double Busy = cpuOfCall(20, [this] {
+  void printReport() {
+    const double RequestCost = cpuPerCall(RequestsPerRound, [this] { runRequest(); });
+    const double LoadReportCost = cpuPerCall(LoadReportsPerRound, [this] { receiveLoadReport(); });
+    const double IdlePollCost = cpuPerCall(RequestsPerRound, [this] { poll(); });
+    fillQueue();
+    const double BusyPollCost = cpuPerCall(20, [this] {
       Now += 20ms;
       poll();
     });
@@ -103,75 +103,77 @@
         "{\"bench\":\"scheduler\",\"engines\":%zu,\"accounts\":%zu,\"cpu_us_per_request\":%.1f,"
         "\"cpu_us_per_load_report\":%.2f,\"cpu_us_per_idle_poll\":%.2f,"
         "\"cpu_us_per_busy_poll\":%.1f,\"waiting\":%zu,\"memory_kb\":%.0f,\"refused\":%zu}\n",
-        Engines, Accounts, Request, Report, Idle, Busy, Scheduler->queued(), EmptyBytes / 1024,
-        Refused);
+        Engines, Accounts, RequestCost, LoadReportCost, IdlePollCost, BusyPollCost,
+        Scheduler->queued(), InitialBytes / 1024, Refused);
     std::fflush(stdout);
   }
 
 private:
-  void endOldest() {
+  void endOldestAttempt() {
     attempt_report End;
     End.Completed = true;
     End.PromptTokens = tokens(4'000);
     End.AnswerTokens = tokens(200);
-    Scheduler->attemptEnded(Live.front(), End, Now);
-    Live.pop_front();
+    Scheduler->attemptEnded(LiveAttempts.front(), End, Now);
+    LiveAttempts.pop_front();
   }
 
   std::size_t Engines;
   std::size_t Accounts;
   std::unique_ptr<scheduler> Scheduler;
-  mono_time Now{Begin};
+  mono_time Now{StartTime};
   std::map<request_number, work_item> Waiting;
-  std::deque<attempt_id> Live;
+  std::deque<attempt_id> LiveAttempts;
   std::uint64_t LastRequest{0};
-  std::uint64_t LastReport{0};
+  std::uint64_t LastLoadSequence{0};
   std::size_t Refused{0};
-  double EmptyBytes{0};
+  double InitialBytes{0};
 };
 
 void measureScheduler() {
   for (const std::size_t Engines : {24UL, 130UL, 650UL})
     for (const std::size_t Accounts : {10UL, 110UL, 1'100UL})
-      worked_scheduler(Engines, Accounts).report();
+      scheduler_driver(Engines, Accounts).printReport();
 }
 
-// ---- dispatcher
-// -----------------------------------------------------------------------------------
+// Dispatcher
 
-/// A dispatcher whose queue takes everything.
-class worked_dispatcher {
+/// Drives a dispatcher whose queue accepts all work.
+class dispatcher_driver {
 public:
-  worked_dispatcher() {
-    dispatcher_callbacks Seam;
-    Seam.Submit = [](const work_item &, mono_time) -> result<done, work_refusal> { return done{}; };
-    Seam.GroupsFor = [](const request_facts &) {
+  dispatcher_driver() {
+    dispatcher_callbacks Callbacks;
+    Callbacks.Submit = [](const work_item &, mono_time) -> result<done, work_refusal> {
+      return done{};
+    };
+    Callbacks.GroupsFor = [](const request_facts &) {
       return std::vector<candidate_group>{{group_name("model-0-stable"), 1}};
     };
-    auto Built = dispatcher_builder().process(ownKey()).callbacks(std::move(Seam)).build();
-    requireInvariant(succeeded(Built), "the bench's dispatcher is built");
+    auto Built = dispatcher_builder().process(ownKey()).callbacks(std::move(Callbacks)).build();
+    requireInvariant(succeeded(Built), "the benchmark's dispatcher is built");
     Dispatcher = std::make_unique<dispatcher>(std::move(valueOf(Built)));
     Dispatcher->setReady(true);
   }
 
-  /// Brings a request to where its answer runs.
-  void begin() {
-    const request_facts Facts = sampleFacts(++Last, 1'100, Now);
+  /// Runs a request from its arrival to the start of its answer.
+  void startAnswer() {
+    const request_facts Facts = makeRequestFacts(++LastStarted, 1'100, Now);
     Dispatcher->handle(request_arrived{Facts}, Now);
-    Dispatcher->place({Facts.Id, sampleEngine(Last % 650, Now).Announcement.Key, 0, {}}, Now);
-    Dispatcher->handle(attempt_sending{attemptOf(Last)}, Now);
-    Dispatcher->handle(attempt_answering{attemptOf(Last)}, Now);
+    Dispatcher->place({Facts.Id, makeEngineView(LastStarted % 650, Now).Announcement.Key, 0, {}},
+                      Now);
+    Dispatcher->handle(attempt_sending{attemptOf(LastStarted)}, Now);
+    Dispatcher->handle(attempt_answering{attemptOf(LastStarted)}, Now);
     Dispatcher->takeActions();
   }
 
-  void end(std::uint64_t Request) {
+  void completeRequest(std::uint64_t Request) {
     Dispatcher->handle(
         attempt_completed{attemptOf(Request), std::nullopt, std::nullopt, std::nullopt}, Now);
     Dispatcher->takeActions();
   }
 
-  [[nodiscard]] std::uint64_t last() const { return Last; }
-  [[nodiscard]] std::size_t live() const { return Dispatcher->liveRequests(); }
+  [[nodiscard]] std::uint64_t lastStarted() const { return LastStarted; }
+  [[nodiscard]] std::size_t liveRequestCount() const { return Dispatcher->liveRequests(); }
 
 private:
   static attempt_id attemptOf(std::uint64_t Request) {
@@ -179,58 +181,60 @@
   }
 
   std::unique_ptr<dispatcher> Dispatcher;
-  mono_time Now{Begin};
-  std::uint64_t Last{0};
+  mono_time Now{StartTime};
+  std::uint64_t LastStarted{0};
 };
 
 void measureDispatcher() {
-  for (const std::size_t Live : {1'000UL, 4'000UL, 16'000UL}) {
-    worked_dispatcher Work;
+  for (const std::size_t LiveRequests : {1'000UL, 4'000UL, 16'000UL}) {
+    dispatcher_driver Driver;
     const double Before = heapBytes();
-    for (std::size_t Place = 0; Place < Live; ++Place)
-      Work.begin();
+    for (std::size_t Index = 0; Index < LiveRequests; ++Index)
+      Driver.startAnswer();
     const double Bytes = heapBytes() - Before;
-    requireInvariant(Work.live() == Live, "every request of the bench is under way");
+    requireInvariant(Driver.liveRequestCount() == LiveRequests,
+                     "all requests of the benchmark are in progress");
     std::uint64_t Oldest = 0;
-    const double Cost = cpuOfCall(RequestsPerRound, [&Work, &Oldest] {
-      Work.begin();
-      Work.end(++Oldest);
+    const double Cost = cpuPerCall(RequestsPerRound, [&Driver, &Oldest] {
+      Driver.startAnswer();
+      Driver.completeRequest(++Oldest);
     });
     std::printf("{\"bench\":\"dispatcher\",\"live_requests\":%zu,\"memory_bytes_per_request\":%.0f,"
                 "\"cpu_us_per_request\":%.2f}\n",
-                Live, Bytes / static_cast<double>(Live), Cost);
+                LiveRequests, Bytes / static_cast<double>(LiveRequests), Cost);
     std::fflush(stdout);
   }
 }
 
-// ---- declaration
-// ----------------------------------------------------------------------------------
+// Declaration
 
 void measureDeclaration(std::size_t Accounts) {
   const std::string Text = toCanonicalText(sampleDeclaration(Accounts));
-  std::size_t Wrong = 0;
-  const double Parse = cpuOfCall(
-      3, [&Text, &Wrong] { Wrong += succeeded(parseDeclaration(Text, "bench.toml")) ? 0 : 1; });
-  requireInvariant(Wrong == 0, "the bench's declaration is valid");
+  std::size_t ParseFailures = 0;
+  const double ParseCost = cpuPerCall(3, [&Text, &ParseFailures] {
+    ParseFailures += succeeded(parseDeclaration(Text, "bench.toml")) ? 0 : 1;
+  });
+  requireInvariant(ParseFailures == 0, "the benchmark's declaration is valid");
   const fleet_declaration Declaration = valueOf(parseDeclaration(Text, "bench.toml"));
   const double Before = heapBytes();
-  const auto Index = std::make_unique<declaration_index>(Declaration);
+  const auto LookupTable = std::make_unique<declaration_index>(Declaration);
   const double Bytes = heapBytes() - Before;
-  const double Build =
-      cpuOfCall(10, [&Declaration] { const declaration_index Other(Declaration); });
-  std::size_t Place = 0;
+  const double BuildCost =
+      cpuPerCall(10, [&Declaration] { const declaration_index NewTable(Declaration); });
+  std::size_t LookupCount = 0;
   std::size_t Found = 0;
-  const double Lookup = cpuOfCall(2'000, [&] {
-    const account_declaration *Account = Index->findAccount(keyHash(++Place % Accounts));
+  const double LookupCost = cpuPerCall(2'000, [&] {
+    const account_declaration *Account =
+        LookupTable->findAccount(makeKeyHash(++LookupCount % Accounts));
     const selector_input Input{
         service_name("llm"), model_name("model-0"), Account->Name, {}, tokens(4'000)};
-    Found += Index->select(Input) != nullptr ? 1 : 0;
+    Found += LookupTable->select(Input) != nullptr ? 1 : 0;
   });
-  requireInvariant(Found == Place, "every request of the bench finds a selector");
+  requireInvariant(Found == LookupCount, "every request of the benchmark matches a selector");
   std::printf("{\"bench\":\"declaration\",\"accounts\":%zu,\"selectors\":%zu,\"text_bytes\":%zu,"
               "\"cpu_us_parse\":%.0f,\"cpu_us_index\":%.0f,\"cpu_us_account_and_select\":%.2f,"
               "\"index_memory_kb\":%.0f}\n",
-              Accounts, Declaration.Selectors.size(), Text.size(), Parse, Build, Lookup,
+              Accounts, Declaration.Selectors.size(), Text.size(), ParseCost, BuildCost, LookupCost,
               Bytes / 1024);
   std::fflush(stdout);
 }
@@ -241,7 +245,7 @@
 int main() {
   using namespace pollenstall::bench;
   measureScheduler();
-  measureWork();
+  measureWorkExchange();
   measureSuspects();
   measureDispatcher();
   for (const std::size_t Accounts : {10UL, 110UL, 1'100UL})
--- a/bench/decision/sample_fleet_func.h
+++ b/bench/decision/sample_fleet_func.h
@@ -1,5 +1,5 @@
-/** @file sample_fleet_func.h A declaration, engines and requests of any size, alike at each size.
- */
+/** @file sample_fleet_func.h Generates declarations, engines and requests that have the same
+ * structure at each size. */
 #ifndef POLLENSTALL_BENCH_DECISION_SAMPLE_FLEET_FUNC_H
 #define POLLENSTALL_BENCH_DECISION_SAMPLE_FLEET_FUNC_H
 
@@ -12,26 +12,26 @@
 
 namespace pollenstall::bench {
 
-constexpr std::size_t Models = 5; ///< In steady use, as the design size has it.
+constexpr std::size_t ModelCount = 5; ///< Models in regular use at the design size.
 
-/// @return One service with five models, a stable and a canary group for each, accounts with a key
-/// each, and a selector of its own for each twentieth account.
+/// Returns a declaration with one service of five models, a stable and a canary group per model,
+/// one key per account, and a separate selector for every twentieth account.
 fleet_declaration sampleDeclaration(std::size_t Accounts);
 
-/// @return The name of an account of sampleDeclaration().
-client_account_name accountName(std::size_t Place);
+/// Returns the name of an account of sampleDeclaration().
+client_account_name makeAccountName(std::size_t Index);
 
-/// @return A key hash as a declaration holds it.
-std::string keyHash(std::size_t Place);
+/// Returns a key hash in the format of a declaration.
+std::string makeKeyHash(std::size_t Index);
 
-/// @return The view of an engine that runs one of the models.
-backend_view sampleEngine(std::size_t Place, mono_time Now);
+/// Returns the view of an engine that runs one of the models.
+backend_view makeEngineView(std::size_t Index, mono_time Now);
 
-/// @return Work of the next account; one in fifty prompts is long.
-work_item sampleWork(std::uint64_t Number, std::size_t Accounts, mono_time Now);
+/// Returns a work item of the account Number % Accounts; one in fifty prompts is long.
+work_item makeWorkItem(std::uint64_t Number, std::size_t Accounts, mono_time Now);
 
-/// @return The same as the relay reports it.
-request_facts sampleFacts(std::uint64_t Number, std::size_t Accounts, mono_time Now);
+/// Returns the request of makeWorkItem() as the relay reports it.
+request_facts makeRequestFacts(std::uint64_t Number, std::size_t Accounts, mono_time Now);
 
 } // namespace pollenstall::bench
 
--- a/bench/decision/suspect_bench.cpp
+++ b/bench/decision/suspect_bench.cpp
@@ -1,4 +1,5 @@
-/** @file suspect_bench.cpp What suspects cost each request, and what the control hosts keep. */
+/** @file suspect_bench.cpp Measures the cost of suspects per request and of the suspect table on
+ * control hosts. */
 #include "suspect_bench_func.h"
 
 #include "measure_func.h"
@@ -18,21 +19,21 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::size_t Requests = 20'000;
-constexpr std::size_t ShortBody = 20'000; ///< Bytes of 5,000 tokens.
+constexpr std::size_t LookupCalls = 20'000;
+constexpr std::size_t ShortBodyBytes = 20'000; ///< Size of a body of 5,000 tokens.
 
 class sample_call {
 public:
-  explicit sample_call(std::size_t Bytes) : Call(Io, planned(), nullptr) {
+  explicit sample_call(std::size_t Bytes) : Call(Io, makePlannedCall(), nullptr) {
     Call.Request.Method = "POST";
     Call.Request.Target = "/v1/chat/completions";
     Call.Request.Body = std::make_shared<const held_body>(
-        held_body{std::string(Bytes, 'x'), body_share(Held, Bytes)});
+        held_body{std::string(Bytes, 'x'), body_share(BodyBytes, Bytes)});
   }
   [[nodiscard]] const relayed_call &call() const { return Call; }
 
 private:
-  static planned_call planned() {
+  static planned_call makePlannedCall() {
     planned_call Planned;
     Planned.Facts.Account = client_account_name("account-17");
     Planned.Facts.Service = service_name("llm");
@@ -40,34 +41,34 @@
   }
 
   boost::asio::io_context Io;
-  std::size_t Held{0};
+  std::size_t BodyBytes{0};
   relayed_call Call;
 };
 
-suspect_list listOf(std::size_t Count) {
-  std::vector<published_suspect> Told;
+suspect_list makeSuspectList(std::size_t Count) {
+  std::vector<published_suspect> Published;
   for (std::size_t Number = 0; Number < Count; ++Number)
-    Told.push_back({{Number, combineHashes(Number, 1), Number, Number}, milliseconds(1'000)});
-  return {Told, mono_time{}};
+    Published.push_back({{Number, combineHashes(Number, 1), Number, Number}, milliseconds(1'000)});
+  return {Published, mono_time{}};
 }
 
-void measureLookUp(std::size_t Count) {
-  const sample_call Sample(ShortBody);
-  const suspect_list List = listOf(Count);
+void measureLookup(std::size_t Count) {
+  const sample_call Sample(ShortBodyBytes);
+  const suspect_list List = makeSuspectList(Count);
   std::size_t Found = 0;
-  const double Us = cpuOfCall(
-      Requests, [&] { Found += markIfSuspected(List, Sample.call()).has_value() ? 1 : 0; });
+  const double Microseconds = cpuPerCall(
+      LookupCalls, [&] { Found += markIfSuspected(List, Sample.call()).has_value() ? 1 : 0; });
   std::printf("{\"bench\":\"suspects\",\"suspects\":%zu,\"found\":%zu,\"ns_per_request\":%.1f}\n",
-              Count, Found, Us * 1e3);
+              Count, Found, Microseconds * 1e3);
 }
 
-void measureMark(std::size_t Bytes) {
+void measureFingerprint(std::size_t Bytes) {
   const sample_call Sample(Bytes);
-  std::uint64_t Sum = 0;
-  const double Us =
-      cpuOfCall(20, [&] { Sum += requestMark(Sample.call(), *Sample.call().Request.Body).High; });
+  std::uint64_t HashSum = 0;
+  const double Microseconds = cpuPerCall(
+      20, [&] { HashSum += requestMark(Sample.call(), *Sample.call().Request.Body).High; });
   std::printf("{\"bench\":\"request_mark\",\"body_bytes\":%zu,\"cpu_us\":%.1f,\"sum\":%llu}\n",
-              Bytes, Us, static_cast<unsigned long long>(Sum));
+              Bytes, Microseconds, static_cast<unsigned long long>(HashSum));
 }
 
 void measureTable() {
@@ -78,23 +79,24 @@
     Table->recordCrash({{Number, Number, Number, Number}}, incarnation(Number),
                        milliseconds(Number));
   const double Bytes = heapBytes() - Before;
-  std::uint64_t Next = Tuning.MaxRecords;
-  const double Us = cpuOfCall(50, [&] {
-    ++Next;
-    Table->recordCrash({{Next, Next, Next, Next}}, incarnation(Next), milliseconds(Next));
+  std::uint64_t NextNumber = Tuning.MaxRecords;
+  const double Microseconds = cpuPerCall(50, [&] {
+    ++NextNumber;
+    Table->recordCrash({{NextNumber, NextNumber, NextNumber, NextNumber}}, incarnation(NextNumber),
+                       milliseconds(NextNumber));
   });
   std::printf("{\"bench\":\"suspect_table\",\"records\":%zu,\"memory_kb\":%.0f,"
               "\"cpu_us_per_crash\":%.1f}\n",
-              Tuning.MaxRecords, Bytes / 1024, Us);
+              Tuning.MaxRecords, Bytes / 1024, Microseconds);
 }
 
 } // namespace
 
 void measureSuspects() {
   for (const std::size_t Count : {0UL, 1UL, 1'000UL})
-    measureLookUp(Count);
-  for (const std::size_t Bytes : {ShortBody, 4'000'000UL})
-    measureMark(Bytes);
+    measureLookup(Count);
+  for (const std::size_t Bytes : {ShortBodyBytes, 4'000'000UL})
+    measureFingerprint(Bytes);
   measureTable();
 }
 
--- a/bench/decision/work_bench.cpp
+++ b/bench/decision/work_bench.cpp
@@ -1,5 +1,5 @@
-/** @file work_bench.cpp Processor time of what entries tell each other, and of placing by it,
- * against the numbers of entries and engines; JSON lines. The clock of the decisions is virtual. */
+/** @file work_bench.cpp Measures the CPU time of receiving work reports and of placing requests
+ * for several numbers of entries and engines. Prints JSON lines; decisions use a virtual clock. */
 #include "measure_func.h"
 #include "work_bench_func.h"
 
@@ -16,15 +16,15 @@
 
 using namespace std::chrono_literals;
 
-constexpr mono_time Begin{1h};
-constexpr std::size_t Reports = 2'000;
-constexpr std::size_t Decisions = 400;
-constexpr std::size_t LoadsOfReport = 4;
-constexpr std::size_t OtherDomains = 5;
+constexpr mono_time StartTime{1h};
+constexpr std::size_t ReportCount = 2'000;
+constexpr std::size_t DecisionCount = 400;
+constexpr std::size_t LoadsPerReport = 4;
+constexpr std::size_t OtherDomainCount = 5;
 
-std::string addressOf(std::size_t Entry) { return "10.0.0." + std::to_string(Entry) + ":1"; }
+std::string entryAddress(std::size_t Entry) { return "10.0.0." + std::to_string(Entry) + ":1"; }
 
-backend_listing listingOf(std::size_t Engine) {
+backend_listing makeListing(std::size_t Engine) {
   backend_listing Listing;
   Listing.Instance = instance_name("engine-" + std::to_string(Engine));
   Listing.Key =
@@ -34,8 +34,8 @@
   return Listing;
 }
 
-fleet_declaration declarationOf() {
-  fleet_declaration Declared;
+fleet_declaration makeDeclaration() {
+  fleet_declaration Declaration;
   service_declaration Service;
   Service.Name = service_name("model");
   engine_figures Figures;
@@ -48,55 +48,56 @@
   Figures.ReadPerSecond = 177'000;
   Figures.PairsMs = 0.184;
   Service.Engine = Figures;
-  Declared.Services.push_back(Service);
-  return Declared;
+  Declaration.Services.push_back(Service);
+  return Declaration;
 }
 
-/// One entry that hears of the others' work.
-class worked_entry {
+/// An entry that receives work reports from the other entries.
+class entry_driver {
 public:
-  worked_entry(std::size_t EntryCount, std::size_t EngineCount)
+  entry_driver(std::size_t EntryCount, std::size_t EngineCount)
       : Entries(EntryCount), Engines(EngineCount),
-        Board({host_name("entry-0"), incarnation(1)}, addressOf(0)),
+        View({host_name("entry-0"), incarnation(1)}, entryAddress(0)),
         Placer(host_name("entry-0"), 1) {
-    std::vector<work_entry> All;
+    std::vector<work_entry> EntryList;
     for (std::size_t Entry = 0; Entry < Entries; ++Entry)
-      All.push_back({addressOf(Entry),
-                     failure_domain_name("d" + std::to_string(Entry % (OtherDomains + 1)))});
-    Board.setEntries(All, Now);
-    Placer.applyDeclaration(declarationOf());
-    Placer.updateExchange(Board.facts());
+      EntryList.push_back(
+          {entryAddress(Entry),
+           failure_domain_name("d" + std::to_string(Entry % (OtherDomainCount + 1)))});
+    View.setEntries(EntryList, Now);
+    Placer.applyDeclaration(makeDeclaration());
+    Placer.updateExchange(View.facts());
     for (std::size_t Engine = 0; Engine < Engines; ++Engine)
-      Placer.updateBackend(listingOf(Engine));
+      Placer.updateBackend(makeListing(Engine));
     for (std::size_t Report = 0; Report < 4 * Engines; ++Report)
-      oneReport();
+      receiveReport();
   }
 
-  /// A relay's report reaches the board, and what follows from it reaches placement.
-  void oneReport() {
+  /// Receives one report from another entry and measures the time.
+  void receiveReport() {
     Now += 100us;
     work_report Report;
     Report.Sender = {host_name("entry-1"), incarnation(1)};
     Report.Sequence = ++Sequence;
     Report.Scope =
         Entries > work_share_tuning().MaxDirectEntries ? report_scope::Others : report_scope::Group;
-    for (std::size_t Load = 0; Load < LoadsOfReport; ++Load) {
-      work_load Told;
-      Told.Incarnation = listingOf(Random.below(Engines)).Key.Incarnation;
-      Told.Requests = static_cast<std::uint32_t>(Random.below(6));
-      Told.DecodingRequests = Told.Requests;
-      Told.Tokens = Told.Requests * 5'000;
-      Told.GapMs = 250;
-      Report.Loads.push_back(Told);
+    for (std::size_t Load = 0; Load < LoadsPerReport; ++Load) {
+      work_load EngineLoad;
+      EngineLoad.Incarnation = makeListing(Random.below(Engines)).Key.Incarnation;
+      EngineLoad.Requests = static_cast<std::uint32_t>(Random.below(6));
+      EngineLoad.DecodingRequests = EngineLoad.Requests;
+      EngineLoad.Tokens = EngineLoad.Requests * 5'000;
+      EngineLoad.GapMs = 250;
+      Report.Loads.push_back(EngineLoad);
     }
     const double Before = cpuMicroseconds();
-    Board.receive(Report, addressOf(1), Now);
-    TakeUs += cpuMicroseconds() - Before;
+    View.receive(Report, entryAddress(1), Now);
+    ReceiveUs += cpuMicroseconds() - Before;
   }
 
-  void tellPlacement() { Placer.updateOthersLoads(Board.changedPeerLoads(Now), Now); }
+  void updatePlacer() { Placer.updateOthersLoads(View.changedPeerLoads(Now), Now); }
 
-  void oneDecision() {
+  void placeRequest() {
     Now += 10ms;
     work_item Item;
     Item.Request = request_number(++Request);
@@ -118,40 +119,40 @@
     }
   }
 
-  void report() {
-    TakeUs = 0;
-    for (std::size_t Place = 0; Place < Reports; ++Place)
-      oneReport();
-    const double Take = TakeUs / static_cast<double>(Reports);
-    const double Tell = cpuOfCall(Decisions, [this] {
-      oneReport();
-      tellPlacement();
+  void printReport() {
+    ReceiveUs = 0;
+    for (std::size_t Index = 0; Index < ReportCount; ++Index)
+      receiveReport();
+    const double ReceiveCost = ReceiveUs / static_cast<double>(ReportCount);
+    const double UpdateCost = cpuPerCall(DecisionCount, [this] {
+      receiveReport();
+      updatePlacer();
     });
-    const double Decide = cpuOfCall(Decisions, [this] { oneDecision(); });
+    const double PlacementCost = cpuPerCall(DecisionCount, [this] { placeRequest(); });
     std::printf("{\"bench\":\"work\",\"entries\":%zu,\"engines\":%zu,\"ns_per_report\":%.0f,"
                 "\"cpu_us_to_placement\":%.2f,\"cpu_us_per_decision\":%.1f}\n",
-                Entries, Engines, Take * 1e3, Tell, Decide);
+                Entries, Engines, ReceiveCost * 1e3, UpdateCost, PlacementCost);
     std::fflush(stdout);
   }
 
 private:
   std::size_t Entries;
   std::size_t Engines;
-  work_view Board;
+  work_view View;
   placer Placer;
   random_source Random{1};
-  mono_time Now{Begin};
+  mono_time Now{StartTime};
   std::uint64_t Sequence{0};
   std::uint64_t Request{0};
-  double TakeUs{0};
+  double ReceiveUs{0};
 };
 
 } // namespace
 
-void measureWork() {
+void measureWorkExchange() {
   for (const std::size_t Entries : {8UL, 59UL, 195UL, 320UL})
     for (const std::size_t Engines : {24UL, 155UL, 650UL})
-      worked_entry(Entries, Engines).report();
+      entry_driver(Entries, Engines).printReport();
 }
 
 } // namespace pollenstall::bench
--- a/bench/decision/work_bench_func.h
+++ b/bench/decision/work_bench_func.h
@@ -1,11 +1,11 @@
-/** @file work_bench_func.h The part of the bench about entries' work. */
+/** @file work_bench_func.h Benchmark of the exchange of work reports between entries. */
 #ifndef POLLENSTALL_BENCH_DECISION_WORK_BENCH_FUNC_H
 #define POLLENSTALL_BENCH_DECISION_WORK_BENCH_FUNC_H
 
 namespace pollenstall::bench {
 
 /// Prints a JSON line for each number of entries and engines.
-void measureWork();
+void measureWorkExchange();
 
 } // namespace pollenstall::bench
 
