--- a/bench/membership/membership_bench.cpp
+++ b/bench/membership/membership_bench.cpp
@@ -1,5 +1,6 @@
-/** @file membership_bench.cpp Bytes, CPU and memory a host, and time until everyone knows, against
- * the size of the fleet; JSON lines, exit 1 where the byte budget is passed. */
+/** @file membership_bench.cpp Measures traffic, CPU time and memory per host, and the time until a
+ * change has reached all hosts, for several fleet sizes. Prints JSON lines; exits with 1 if the
+ * traffic budget is exceeded. */
 #include "gossip/gossip.h"
 #include "membership/fake_network.h"
 
@@ -15,9 +16,9 @@
 namespace pollenstall {
 namespace {
 
-constexpr double BudgetBytesPerSecond = 8192; // a host, at the design size
-constexpr mono_duration Window = 30s;
-constexpr int Trials = 5;
+constexpr double BudgetBytesPerSecond = 8192; // per host, at the design size
+constexpr mono_duration MeasurementTime = 30s;
+constexpr int TrialCount = 5;
 const gossip_secret Secret{"accra", "a shared key"};
 
 struct fleet_size {
@@ -25,7 +26,8 @@
   std::size_t Engines;
 };
 
-/// @return The host that a trial stops or starts: no seed, and there in the smallest fleet.
+/// Returns the host that a trial stops or starts. It is not a seed and exists in the smallest
+/// fleet.
 std::size_t trialHost(int Trial) { return 3 + static_cast<std::size_t>(Trial) % 4; }
 
 double cpuMicroseconds() {
@@ -34,15 +36,15 @@
   return static_cast<double>(Time.tv_sec) * 1e6 + static_cast<double>(Time.tv_nsec) / 1e3;
 }
 
-double seconds(mono_duration Span) { return std::chrono::duration<double>(Span).count(); }
+double seconds(mono_duration Duration) { return std::chrono::duration<double>(Duration).count(); }
 
-/// A fleet on the virtual network with what is measured of it.
+/// A fleet on a virtual network together with its measurements.
 class measured_fleet {
 public:
-  explicit measured_fleet(fleet_size Chosen)
-      : Net(Chosen.Hosts * 1000 + Chosen.Engines), Size(Chosen) {
+  explicit measured_fleet(fleet_size InitialSize)
+      : Net(InitialSize.Hosts * 1000 + InitialSize.Engines), Size(InitialSize) {
     Net.OnAction = [this](std::size_t Host, const membership_action &Action) {
-      note(Host, Action);
+      recordAction(Host, Action);
     };
     Net.CallWrapper = [this](const std::function<void()> &Call) {
       const double Before = cpuMicroseconds();
@@ -57,77 +59,82 @@
     Memory = static_cast<double>(mallinfo2().uordblks - Before) / static_cast<double>(Size.Hosts);
   }
 
-  /// Prints the figures at rest. @return Bytes a second of the average host.
-  double rest() {
+  /// Measures a fleet without changes and prints the results. @return Mean bytes per second and
+  /// host.
+  double measureAtRest() {
     Bytes.assign(Net.Hosts.size(), 0);
     Datagrams = 0;
     Cpu = 0;
-    Net.runFor(Window);
-    double Sum = 0;
-    for (const double Host : Bytes)
-      Sum += Host;
-    const double Hosts = static_cast<double>(Size.Hosts) * seconds(Window);
-    const double Most = *std::max_element(Bytes.begin(), Bytes.end()) / seconds(Window);
+    Net.runFor(MeasurementTime);
+    double TotalBytes = 0;
+    for (const double HostBytes : Bytes)
+      TotalBytes += HostBytes;
+    const double HostSeconds = static_cast<double>(Size.Hosts) * seconds(MeasurementTime);
+    const double MaxBytesPerSecond =
+        *std::max_element(Bytes.begin(), Bytes.end()) / seconds(MeasurementTime);
     const auto Ages = loadAges();
     std::printf(
         "{\"bench\":\"membership_rest\",\"hosts\":%zu,\"engines\":%zu,"
         "\"bytes_per_s\":%.0f,\"bytes_per_s_max_host\":%.0f,\"datagrams_per_s\":%.1f,"
         "\"cpu_us_per_s\":%.0f,\"memory_kb\":%.0f,\"load_age_p50_s\":%.2f,"
         "\"load_age_p99_s\":%.2f,\"lost\":%zu,\"unknown\":%zu,\"bound_bytes_per_s\":%.0f}\n",
-        Size.Hosts, Size.Engines, Sum / Hosts, Most, Datagrams / Hosts, Cpu / Hosts, Memory / 1024,
+        Size.Hosts, Size.Engines, TotalBytes / HostSeconds, MaxBytesPerSecond,
+        Datagrams / HostSeconds, Cpu / HostSeconds, Memory / 1024,
         Ages.empty() ? 0 : Ages[Ages.size() / 2], Ages.empty() ? 0 : Ages[Ages.size() * 99 / 100],
-        Lost, Size.Hosts * Size.Engines - Ages.size() - Lost, BudgetBytesPerSecond);
+        LostEngineViews, Size.Hosts * Size.Engines - Ages.size() - LostEngineViews,
+        BudgetBytesPerSecond);
     std::fflush(stdout);
-    return Sum / Hosts;
+    return TotalBytes / HostSeconds;
   }
 
-  void changes() {
-    report("engine_joins", [this](int) {
+  void measureChanges() {
+    measureChange("engine_joins", [this](int) {
       const std::size_t Engine = Net.addBackend();
       Net.announceNow(Engine);
-      return engineKnown(Engine, backend_status::Active);
+      return engineStatusKnown(Engine, backend_status::Active);
     });
-    report("engine_leaves", [this](int Trial) {
+    measureChange("engine_leaves", [this](int Trial) {
       const std::size_t Engine = static_cast<std::size_t>(Trial);
       Net.Backends[Engine].Announcement.Leaving = true;
       Net.announceNow(Engine);
-      return engineKnown(Engine, backend_status::Leaving);
+      return engineStatusKnown(Engine, backend_status::Leaving);
     });
-    report("engine_dies", [this](int Trial) {
-      const std::size_t Engine = static_cast<std::size_t>(Trials) + static_cast<std::size_t>(Trial);
+    measureChange("engine_dies", [this](int Trial) {
+      const std::size_t Engine =
+          static_cast<std::size_t>(TrialCount) + static_cast<std::size_t>(Trial);
       Net.Backends[Engine].Alive = false;
-      return engineKnown(Engine, backend_status::Lost);
+      return engineStatusKnown(Engine, backend_status::Lost);
     });
-    report("host_dies", [this](int Trial) {
+    measureChange("host_dies", [this](int Trial) {
       const std::size_t Host = trialHost(Trial);
       Net.stop(Host);
-      return hostKnown(Host, host_status::Dead);
+      return hostStatusKnown(Host, host_status::Dead);
     });
-    report("host_joins", [this](int Trial) {
+    measureChange("host_joins", [this](int Trial) {
       const std::size_t Host = trialHost(Trial);
       Net.start(Host);
-      return hostKnown(Host, host_status::Alive);
+      return hostStatusKnown(Host, host_status::Alive);
     });
   }
 
 private:
   using condition = std::function<bool()>;
 
-  void note(std::size_t Host, const membership_action &Action) {
-    if (const auto *Sent = std::get_if<send_message>(&Action))
-      noteSent(Host, *Sent);
-    if (const auto *Engine = std::get_if<backend_changed>(&Action))
-      Engines[Engine->View.Announcement.Key][Host] = Engine->View.Status;
-    if (const auto *Seen = std::get_if<host_changed>(&Action))
-      Standings[Seen->View.Key][Host] = Seen->View.Status;
+  void recordAction(std::size_t Host, const membership_action &Action) {
+    if (const auto *SentMessage = std::get_if<send_message>(&Action))
+      recordSent(Host, *SentMessage);
+    if (const auto *EngineChange = std::get_if<backend_changed>(&Action))
+      Engines[EngineChange->View.Announcement.Key][Host] = EngineChange->View.Status;
+    if (const auto *HostChange = std::get_if<host_changed>(&Action))
+      HostStatuses[HostChange->View.Key][Host] = HostChange->View.Status;
   }
 
-  /// Counts the datagram with its headers, and the CPU of writing and reading it.
-  void noteSent(std::size_t Host, const send_message &Sent) {
+  /// Counts the size of a datagram with its headers and the CPU time to encode and decode it.
+  void recordSent(std::size_t Host, const send_message &SentMessage) {
     const double Before = cpuMicroseconds();
-    const std::string Datagram = encodeDatagram(Secret, Sent.Message);
-    const auto Read = decodeDatagram(Secret, {Datagram.data(), Datagram.size()});
-    requireInvariant(succeeded(Read), "a datagram is read back");
+    const std::string Datagram = encodeDatagram(Secret, SentMessage.Message);
+    const auto Decoded = decodeDatagram(Secret, {Datagram.data(), Datagram.size()});
+    requireInvariant(succeeded(Decoded), "an encoded datagram can be decoded");
     Cpu += cpuMicroseconds() - Before;
     if (Bytes.size() > Host)
       Bytes[Host] += static_cast<double>(Datagram.size() + PacketBytes);
@@ -136,48 +143,50 @@
 
   std::vector<double> loadAges() {
     std::vector<double> Ages;
-    Lost = 0;
+    LostEngineViews = 0;
     for (std::size_t Host = 0; Host < Net.Hosts.size(); ++Host)
       for (const backend_view &View : Net.Hosts[Host].Process->views())
         if (View.Status == backend_status::Lost)
-          ++Lost;
+          ++LostEngineViews;
         else
           Ages.push_back(seconds(Net.now() - View.LoadReceivedAt));
     std::sort(Ages.begin(), Ages.end());
     return Ages;
   }
 
-  condition engineKnown(std::size_t Engine, backend_status Wanted) {
+  condition engineStatusKnown(std::size_t Engine, backend_status Expected) {
     const backend_key Key = Net.Backends[Engine].Announcement.Key;
-    return [this, Key, Wanted] { return everyone(Engines[Key], Wanted, Net.Hosts.size()); };
+    return [this, Key, Expected] { return allHostsSee(Engines[Key], Expected, Net.Hosts.size()); };
   }
-  condition hostKnown(std::size_t Host, host_status Wanted) {
+  condition hostStatusKnown(std::size_t Host, host_status Expected) {
     const process_key Key = Net.Hosts[Host].Key;
-    return [this, Key, Host, Wanted] { return everyone(Standings[Key], Wanted, Host); };
+    return [this, Key, Host, Expected] { return allHostsSee(HostStatuses[Key], Expected, Host); };
   }
-  template <typename Standing>
-  bool everyone(std::map<std::size_t, Standing> &Seen, Standing Wanted, std::size_t Except) {
+  template <typename StatusType>
+  bool allHostsSee(std::map<std::size_t, StatusType> &Statuses, StatusType Expected,
+                   std::size_t ExcludedHost) {
     for (std::size_t Host = 0; Host < Net.Hosts.size(); ++Host)
-      if (Host != Except && Net.running(Host)) {
-        const auto Found = Seen.find(Host);
-        if (Found == Seen.end() || Found->second != Wanted)
+      if (Host != ExcludedHost && Net.running(Host)) {
+        const auto Found = Statuses.find(Host);
+        if (Found == Statuses.end() || Found->second != Expected)
           return false;
       }
     return true;
   }
 
-  template <typename Begin> void report(const char *Change, Begin BeginTrial) {
+  template <typename BeginFunction>
+  void measureChange(const char *Change, BeginFunction BeginTrial) {
     std::vector<double> Times;
-    int Missed = 0;
-    for (int Trial = 0; Trial < Trials; ++Trial) {
-      const condition Known = BeginTrial(Trial);
+    int MissedTrials = 0;
+    for (int Trial = 0; Trial < TrialCount; ++Trial) {
+      const condition IsKnown = BeginTrial(Trial);
       const mono_time Start = Net.now();
-      if (!Net.runUntil(Known, 60s, 10ms))
-        ++Missed;
+      if (!Net.runUntil(IsKnown, 60s, 10ms))
+        ++MissedTrials;
       Times.push_back(seconds(Net.now() - Start));
-      if (std::strcmp(Change, "host_dies") == 0 && Trial < Trials - 1)
+      if (std::strcmp(Change, "host_dies") == 0 && Trial < TrialCount - 1)
         Net.start(trialHost(Trial));
-      if (std::strcmp(Change, "host_joins") == 0 && Trial < Trials - 1) {
+      if (std::strcmp(Change, "host_joins") == 0 && Trial < TrialCount - 1) {
         Net.stop(trialHost(Trial + 1));
         Net.runFor(1s);
       }
@@ -186,8 +195,8 @@
     std::sort(Times.begin(), Times.end());
     std::printf("{\"bench\":\"membership_known\",\"change\":\"%s\",\"hosts\":%zu,\"engines\":%zu,"
                 "\"trials\":%d,\"median_s\":%.2f,\"max_s\":%.2f,\"not_within_60s\":%d}\n",
-                Change, Size.Hosts, Size.Engines, Trials, Times[Times.size() / 2], Times.back(),
-                Missed);
+                Change, Size.Hosts, Size.Engines, TrialCount, Times[Times.size() / 2], Times.back(),
+                MissedTrials);
     std::fflush(stdout);
   }
 
@@ -197,12 +206,12 @@
   double Datagrams{0};
   double Cpu{0};
   double Memory{0};
-  std::size_t Lost{0};
+  std::size_t LostEngineViews{0};
   std::map<backend_key, std::map<std::size_t, backend_status>> Engines;
-  std::map<process_key, std::map<std::size_t, host_status>> Standings;
+  std::map<process_key, std::map<std::size_t, host_status>> HostStatuses;
 };
 
-/// Least squares over the number of hosts.
+/// Returns the slope of a least-squares fit.
 double slope(const std::vector<std::pair<double, double>> &Points) {
   double MeanX = 0;
   double MeanY = 0;
@@ -210,13 +219,13 @@
     MeanX += X / static_cast<double>(Points.size());
     MeanY += Y / static_cast<double>(Points.size());
   }
-  double Above = 0;
-  double Below = 0;
+  double Numerator = 0;
+  double Denominator = 0;
   for (const auto &[X, Y] : Points) {
-    Above += (X - MeanX) * (Y - MeanY);
-    Below += (X - MeanX) * (X - MeanX);
+    Numerator += (X - MeanX) * (Y - MeanY);
+    Denominator += (X - MeanX) * (X - MeanX);
   }
-  return Above / Below;
+  return Numerator / Denominator;
 }
 
 int run(const std::vector<std::size_t> &HostCounts, const std::vector<std::size_t> &EngineCounts) {
@@ -225,8 +234,8 @@
     std::vector<std::pair<double, double>> Points;
     for (const std::size_t HostCount : HostCounts) {
       measured_fleet Fleet({HostCount, EngineCount});
-      const double BytesPerSecond = Fleet.rest();
-      Fleet.changes();
+      const double BytesPerSecond = Fleet.measureAtRest();
+      Fleet.measureChanges();
       Points.emplace_back(static_cast<double>(HostCount), BytesPerSecond);
       WithinBudget = WithinBudget && BytesPerSecond <= BudgetBytesPerSecond;
     }
@@ -239,7 +248,7 @@
 } // namespace
 } // namespace pollenstall
 
-/// `--quick` leaves out the large fleets, `--design` measures the design size only.
+/// `--quick` skips the large fleets; `--design` measures only the design size.
 int main(int Count, char **Arguments) {
   const bool Quick = Count > 1 && std::strcmp(Arguments[1], "--quick") == 0;
   if (Count > 1 && std::strcmp(Arguments[1], "--design") == 0)
