--- a/tests/fake_backend/backend_process_test.cpp
+++ b/tests/fake_backend/backend_process_test.cpp
@@ -50,10 +50,10 @@
 // attempt's name. Both parts together must equal the stream of an unbroken call, without missing or
 // duplicate events.
 TEST_F(BackendServerTest, ResumesAtTheEventAfterTheLast) {
-  const auto Unbroken = openStream("h/1/1/1", 40).rest();
+  const auto Unbroken = openStream("h/1/1/1", 40).remainingEvents();
   ASSERT_TRUE(Backend.faults(R"({"cut_after_events":3})"));
   http_stream Broken = openStream("h/1/2/1", 40);
-  auto Events = Broken.rest();
+  auto Events = Broken.remainingEvents();
   EXPECT_FALSE(Broken.endedCleanly());
   ASSERT_EQ(Events.size(), 3U);
   http_stream Resumed(Backend.address(), "GET", "/v1/attempts/h/1/2/1/stream", {},
@@ -75,7 +75,7 @@
 TEST_F(BackendServerTest, RefusesToResumeUnknownAttemptsAndEvents) {
   const http_headers LastEventHeader{{"Last-Event-ID", "1"}};
   EXPECT_EQ(Client.get("/v1/attempts/h/1/9/1/stream", LastEventHeader).Status, 404);
-  openStream("h/1/1/1", 1).rest();
+  openStream("h/1/1/1", 1).remainingEvents();
   EXPECT_EQ(Client.get("/v1/attempts/h/1/1/1/stream", {{"Last-Event-ID", "5"}}).Status, 404);
 }
 
@@ -124,7 +124,7 @@
   ASSERT_TRUE(Backend.faults(R"({"half_answer_next":1,"no_done_next":1,"wrong_attempt_next":1})"));
   http_stream NoDone = openStream("h/1/1/1", 2);
   EXPECT_EQ(NoDone.header("X-Pollenstall-Attempt"), "h/1/1/1-crossed");
-  EXPECT_EQ(NoDone.rest().size(), 5U);
+  EXPECT_EQ(NoDone.remainingEvents().size(), 5U);
   EXPECT_TRUE(NoDone.endedCleanly());
   const auto Truncated =
       Client.post("/v1/chat/completions", chatBody("tactic-7b", "hello", false, 9));
@@ -142,7 +142,7 @@
 
 TEST_F(BackendServerTest, KillsItselfInTheMiddleOfAStream) {
   ASSERT_TRUE(Backend.faults(R"({"die_after_events":5})"));
-  EXPECT_EQ(openStream("h/1/1/1", 100).rest().size(), 5U);
+  EXPECT_EQ(openStream("h/1/1/1", 100).remainingEvents().size(), 5U);
   EXPECT_EQ(Backend.process().wait(), 128 + SIGKILL);
 }
 
@@ -245,7 +245,7 @@
   const auto Declined = Client.post("/v1/chat/completions", chatBody("m", "hello", false, 1));
   EXPECT_EQ(Declined.Status, 503);
   EXPECT_EQ(Declined.header("X-Pollenstall-Started"), "no");
-  const auto RemainingEvents = Running.rest();
+  const auto RemainingEvents = Running.remainingEvents();
   EXPECT_EQ(RemainingEvents.size(), 303U);
   EXPECT_EQ(RemainingEvents.back().Data, "[DONE]");
   EXPECT_EQ(Backend.process().wait(), 0);
