--- a/programs/pollenstall-control/control_core_request.cpp
+++ b/programs/pollenstall-control/control_core_request.cpp
@@ -209,8 +209,8 @@
                                    const control_request &Request) {
   if (!requireLeadership(Request))
     return;
-  publishBackends(Directory.handleNotice(Operation.Notice, boot_clock::now()), Operation.Notice.Instance,
-                  Request.Answer);
+  publishBackends(Directory.handleNotice(Operation.Notice, boot_clock::now()),
+                  Operation.Notice.Instance, Request.Answer);
 }
 
 void control_core::handleOperation(const withdraw_backend &Operation,
