--- a/bench/decision/sample_fleet.cpp
+++ b/bench/decision/sample_fleet.cpp
@@ -95,7 +95,7 @@
   Engine.Capabilities.Priorities = true;
   Engine.Capabilities.Cancels = true;
   Engine.Memory = memory_blocks(EngineBlocks);
-  View.LoadReceivedAt = Now;
+  View.LoadReportedAt = Now;
   View.Load.Running = 4;
   return View;
 }
--- a/bench/membership/membership_bench.cpp
+++ b/bench/membership/membership_bench.cpp
@@ -149,7 +149,7 @@
         if (View.Status == backend_status::Lost)
           ++LostEngineViews;
         else
-          Ages.push_back(seconds(Net.now() - View.LoadReceivedAt));
+          Ages.push_back(seconds(Net.now() - View.LoadReportedAt));
     std::sort(Ages.begin(), Ages.end());
     return Ages;
   }
--- a/bench/policy/entry_policy.cpp
+++ b/bench/policy/entry_policy.cpp
@@ -71,7 +71,7 @@
   static double outstanding(const server &Server, mono_time) {
     double UnreportedStarts = 0;
     for (const auto &[Attempt, Started] : Server.Starts)
-      if (Started + LoadReportLag > Server.View.LoadReceivedAt)
+      if (Started + LoadReportLag > Server.View.LoadReportedAt)
         ++UnreportedStarts;
     return UnreportedStarts + Server.View.Load.Running + Server.View.Load.Waiting;
   }
--- a/bench/policy/simulation.cpp
+++ b/bench/policy/simulation.cpp
@@ -40,7 +40,7 @@
     View.Announcement.BlockTokens = tokens(Settings.Engine.BlockTokens);
     View.Announcement.Memory =
         memory_blocks(Settings.Engine.MemoryTokens / Settings.Engine.BlockTokens);
-    View.LoadReceivedAt = now();
+    View.LoadReportedAt = now();
     EngineNumbers[View.Announcement.Key] = Number;
     Engines.push_back({sim_engine(Settings.Engine), View, false, 0});
   }
@@ -240,7 +240,7 @@
     return;
   State.View.Load = State.Engine.load();
   State.View.Load.Sequence = State.Engine.nextReportSequence();
-  State.View.LoadReceivedAt = now() + durationFromSeconds(Settings.ReportLag);
+  State.View.LoadReportedAt = now() + durationFromSeconds(Settings.ReportLag);
   Reports.push_back(State.View);
   push(Time + Settings.ReportLag, event_kind::DeliverReport, Reports.size() - 1);
   push(Time + Settings.ReportInterval, event_kind::Report, Number);
--- a/programs/pollenstall-control/entry_server.cpp
+++ b/programs/pollenstall-control/entry_server.cpp
@@ -127,7 +127,7 @@
   Session.InitialStateSent = true;
   if (Callbacks.Backends)
     Callbacks.Send({To, link_backends{true, Callbacks.Backends()}});
-  Callbacks.Send({To, link_declared{Callbacks.State().declared().Revision}});
+  Callbacks.Send({To, link_declaration_announced{Callbacks.State().declared().Revision}});
   sendSuspects(To, Session, suspects());
 }
 
@@ -341,7 +341,7 @@
 /// route does not exist, since the route may have just been added.
 void entry_server::announceDeclaration() {
   for (const auto &[Connection, Session] : Sessions)
-    Callbacks.Send({Connection, link_declared{Callbacks.State().declared().Revision}});
+    Callbacks.Send({Connection, link_declaration_announced{Callbacks.State().declared().Revision}});
 }
 
 void entry_server::drainsChanged(mono_time Now) {
--- a/programs/pollenstall-entry/decision_thread.cpp
+++ b/programs/pollenstall-entry/decision_thread.cpp
@@ -198,10 +198,10 @@
 }
 
 void decision_thread::handleDeclaration(const declaration_received &Received) {
-  const offer_verdict Verdict = Freshness.offer(Received.Revision);
-  if (Verdict == offer_verdict::Stale)
+  const declaration_action Verdict = Freshness.actionFor(Received.Revision);
+  if (Verdict == declaration_action::Stale)
     return;
-  if (Verdict == offer_verdict::Take) {
+  if (Verdict == declaration_action::Take) {
     const mono_time ParseStart = boot_clock::now();
     auto Parsed = DecisionOptions.ReadDeclaration(Received.Text);
     if (!succeeded(Parsed)) {
@@ -224,7 +224,7 @@
               {"bytes", static_cast<std::int64_t>(Received.Text.size())},
               {"reading_ms", toMillis(boot_clock::now() - ParseStart)}});
   }
-  Control->request(revision_confirmed{Received.Revision});
+  Control->request(confirm_revision{Received.Revision});
 }
 
 void decision_thread::handleEntries(const entries_listed &Listed) {
@@ -330,33 +330,33 @@
 
 void decision_thread::execute(dispatch_action &&Action) {
   std::visit(
-      overloaded{[this](acquire_claim &&Claim) {
-                   const std::chrono::milliseconds Lifetime = Claim.Lifetime;
-                   const request_number Request = Claim.Request;
-                   if (!Control || !Control->request(claim_requested{std::move(Claim), Lifetime}))
-                     Core.handleEvent(
-                         dispatch_event(claim_answered{Request, claim_status::Unavailable}),
-                         boot_clock::now());
-                   WakeEvent.wake(); // The answer may have caused further actions.
-                 },
-                 [this](settle_claim &&Claim) {
-                   const std::chrono::milliseconds Lifetime = Claim.Lifetime;
-                   if (Control && !Control->request(claim_settled{std::move(Claim), Lifetime}))
-                     logEvent(log_level::Error, "claim_end_not_recorded");
-                 },
-                 [this](cancel_attempt &&Cancel) {
-                   const bool TakesCancels = Core.supportsCancel(Cancel.Backend);
-                   logEvent(log_level::Info, "attempt_cancelled",
-                            {{"attempt", toText(Cancel.Attempt)},
-                             {"backend", Cancel.Backend.Address.str()}});
-                   Outbox.push(cancel_order{std::move(Cancel), TakesCancels});
-                 },
-                 [this](start_attempt &&Start) {
-                   Start.Instance = Core.instanceOf(Start.Backend);
-                   logStart(Start);
-                   Outbox.push(std::move(Start));
-                 },
-                 [this](auto &&Order) { Outbox.push(std::forward<decltype(Order)>(Order)); }},
+      overloaded{
+          [this](acquire_claim &&Claim) {
+            const std::chrono::milliseconds Lifetime = Claim.Lifetime;
+            const request_number Request = Claim.Request;
+            if (!Control || !Control->request(request_claim{std::move(Claim), Lifetime}))
+              Core.handleEvent(dispatch_event(claim_answered{Request, claim_status::Unavailable}),
+                               boot_clock::now());
+            WakeEvent.wake(); // The answer may have caused further actions.
+          },
+          [this](settle_claim &&Claim) {
+            const std::chrono::milliseconds Lifetime = Claim.Lifetime;
+            if (Control && !Control->request(report_claim_outcome{std::move(Claim), Lifetime}))
+              logEvent(log_level::Error, "claim_end_not_recorded");
+          },
+          [this](cancel_attempt &&Cancel) {
+            const bool TakesCancels = Core.supportsCancel(Cancel.Backend);
+            logEvent(
+                log_level::Info, "attempt_cancelled",
+                {{"attempt", toText(Cancel.Attempt)}, {"backend", Cancel.Backend.Address.str()}});
+            Outbox.push(cancel_order{std::move(Cancel), TakesCancels});
+          },
+          [this](start_attempt &&Start) {
+            Start.Instance = Core.instanceOf(Start.Backend);
+            logStart(Start);
+            Outbox.push(std::move(Start));
+          },
+          [this](auto &&Order) { Outbox.push(std::forward<decltype(Order)>(Order)); }},
       std::move(Action));
 }
 
--- a/src/control_link/claim_call_tracker.cpp
+++ b/src/control_link/claim_call_tracker.cpp
@@ -5,7 +5,7 @@
 
 namespace pollenstall {
 
-link_claim_acquire claim_call_tracker::acquire(const claim_requested &Requested, unix_millis Now) {
+link_claim_acquire claim_call_tracker::acquire(const request_claim &Requested, unix_millis Now) {
   const claim_acquire Claim{claimKeyHash(Requested.Claim.Key),
                             {Owner, Requested.Claim.Request},
                             Now + Requested.Lifetime};
@@ -15,7 +15,7 @@
   return Message;
 }
 
-link_claim_settle claim_call_tracker::settle(const claim_settled &Ended, unix_millis Now) {
+link_claim_settle claim_call_tracker::settle(const report_claim_outcome &Ended, unix_millis Now) {
   const claim_settle Claim{claimKeyHash(Ended.Claim.Key),
                            {Owner, Ended.Claim.Request},
                            Ended.Claim.FinalState,
@@ -25,7 +25,8 @@
   return Message;
 }
 
-std::optional<claim_answered> claim_call_tracker::answered(const link_claim_answer &Answer) {
+std::optional<claim_answered>
+claim_call_tracker::handleClaimAnswer(const link_claim_answer &Answer) {
   const auto Found = Claims.find(Answer.Call);
   if (Found == Claims.end())
     return std::nullopt;
@@ -34,17 +35,17 @@
   return Event;
 }
 
-std::vector<claim_answered> claim_call_tracker::expire(mono_time Now) {
+std::vector<claim_answered> claim_call_tracker::timeOut(mono_time Now) {
   std::vector<claim_answered> Events;
   for (auto Claim = Claims.begin(); Claim != Claims.end();) {
     if (Now < Claim->second.AnswerBy) {
       ++Claim;
       continue;
     }
-    const claim_acquire &Expired = Claim->second.Message.Claim;
+    const claim_acquire &TimedOut = Claim->second.Message.Claim;
     Events.push_back({Claim->second.Request, claim_status::Unavailable});
     Releases.push_back(
-        {NextCall++, {Expired.Key, Expired.Holder, claim_state::Released, Expired.ExpiresAt}});
+        {NextCall++, {TimedOut.Key, TimedOut.Holder, claim_state::Released, TimedOut.ExpiresAt}});
     PendingSettles.emplace(Releases.back().Call, Releases.back());
     Claim = Claims.erase(Claim);
   }
--- a/src/control_link/claim_call_tracker_base.h
+++ b/src/control_link/claim_call_tracker_base.h
@@ -14,26 +14,27 @@
 
 /**
  * Keeps the calls that must be resent on the next connection.
- * A claim that times out is released afterwards: it may have been granted although the answer was
- * lost, and no other request could use the key until the claim expires.
+ * A claim call without an answer by AnswerBy is followed by a release: the claim may have been
+ * granted although the answer was lost, and no other request could use the key until ExpiresAt.
  */
 class claim_call_tracker {
 public:
   explicit claim_call_tracker(process_key Self) : Owner(std::move(Self)) {}
 
   /// @param Now Wall-clock time, for the claim's expiry.
-  link_claim_acquire acquire(const claim_requested &Requested, unix_millis Now);
-  link_claim_settle settle(const claim_settled &Ended, unix_millis Now);
+  link_claim_acquire acquire(const request_claim &Requested, unix_millis Now);
+  link_claim_settle settle(const report_claim_outcome &Ended, unix_millis Now);
 
-  /// @return The event for the entry, or nothing if the call is not pending.
-  std::optional<claim_answered> answered(const link_claim_answer &Answer);
-  void settled(const link_settle_answer &Answer) { PendingSettles.erase(Answer.Call); }
+  /// Removes the answered call. @return The event for the entry, or nothing if the call is not
+  /// pending.
+  std::optional<claim_answered> handleClaimAnswer(const link_claim_answer &Answer);
+  void handleSettleAnswer(const link_settle_answer &Answer) { PendingSettles.erase(Answer.Call); }
 
-  /// Removes claims that have timed out, and creates a release for each.
+  /// Removes claims without an answer by their AnswerBy, and creates a release for each.
   /// @return An Unavailable answer for each removed claim.
-  std::vector<claim_answered> expire(mono_time Now);
+  std::vector<claim_answered> timeOut(mono_time Now);
 
-  /// Removes and returns the releases that expire() created and that have not been sent yet.
+  /// Removes and returns the releases that timeOut() created and that have not been sent yet.
   std::vector<link_claim_settle> takeReleases();
 
   /// @return All calls without an answer, to be sent on a new connection.
--- a/src/control_link/control_link.cpp
+++ b/src/control_link/control_link.cpp
@@ -28,9 +28,11 @@
 
 /// Interval at which deadlines are checked; a claim may be answered this late after its AnswerBy.
 constexpr milliseconds TickInterval{10};
-/// Unanswered renewals that are remembered; more mean that the host does not answer.
+/// Maximum of unanswered renewals. At this limit, no further renewal is sent until the control host
+/// answers or the connection is closed.
 constexpr std::size_t MaxUnansweredRenewals = 64;
-/// How long a crash is resent on new connections: the leader that received it may have failed.
+/// How long after a crash report it is resent on new connections: the leader that received it may
+/// have failed.
 constexpr std::chrono::seconds CrashResendPeriod{10};
 constexpr std::size_t MaxCrashes = 64;
 
@@ -48,7 +50,7 @@
   explicit state(control_link_options Settings)
       : Options(std::move(Settings)), Requests(Options.RingCapacity), Events(Options.RingCapacity),
         Timer(Io), Calls(Options.Process),
-        Rotation(Options.Controls, Options.BackOffMin, Options.BackOffMax) {
+        Rotation(Options.ControlAddresses, Options.BackOffMin, Options.BackOffMax) {
     Events.onWake(Options.NotifyEntry);
     Requests.onWake([this] { boost::asio::post(Io, [this] { drainRequests(); }); });
   }
@@ -79,7 +81,7 @@
 
   void tick() {
     const mono_time Now = boot_clock::now();
-    expireClaims(Now);
+    timeOutClaims(Now);
     if (Connection)
       checkConnection(Now);
     else
@@ -100,8 +102,8 @@
       renew(Now);
   }
 
-  void expireClaims(mono_time Now) {
-    for (const claim_answered &Event : Calls.expire(Now)) {
+  void timeOutClaims(mono_time Now) {
+    for (const claim_answered &Event : Calls.timeOut(Now)) {
       ClaimTimeouts.fetch_add(1, std::memory_order_relaxed);
       emit(Event);
     }
@@ -136,7 +138,7 @@
     renew(boot_clock::now());
     for (const link_request &Message : Calls.unanswered())
       send(Message);
-    for (const auto &[Seen, Crash] : Crashes)
+    for (const auto &[ReportedAt, Crash] : Crashes)
       send(Crash);
   }
 
@@ -217,7 +219,8 @@
       return emit(declaration_received{Revision, std::move(Text)});
     StoredText = {Revision, Text};
     emit(declaration_received{Revision, std::move(Text)});
-    // The control host sends the text to the next entry once it knows that this one has arrived.
+    // The control host limits the bytes of declaration texts in flight. This renewal reports that
+    // the text has arrived, so that the control host can send it to further entries.
     renew(boot_clock::now());
   }
 
@@ -232,7 +235,7 @@
       emit(lease_extended{Message.Revision, Sent + milliseconds(Message.LeaseMillis)});
   }
 
-  void handle(const link_declared &Message) {
+  void handle(const link_declaration_announced &Message) {
     recordLeader();
     emit(declaration_announced{Message.Revision});
   }
@@ -247,11 +250,11 @@
   void handle(const link_claim_answer &Message) {
     if (!isValidClaimStatus(Message.Verdict))
       return;
-    if (const auto Event = Calls.answered(Message))
+    if (const auto Event = Calls.handleClaimAnswer(Message))
       emit(*Event);
   }
 
-  void handle(const link_settle_answer &Message) { Calls.settled(Message); }
+  void handle(const link_settle_answer &Message) { Calls.handleSettleAnswer(Message); }
 
   void handle(const link_backends &Message) {
     recordLeader();
@@ -287,7 +290,7 @@
     flushEvents();
   }
 
-  void handleRequest(const revision_confirmed &Request) {
+  void handleRequest(const confirm_revision &Request) {
     Confirmed = Request.Revision;
     if (Open)
       renew(boot_clock::now());
@@ -310,8 +313,10 @@
   void handleRequest(const suspect_cleared &Request) {
     send(link_clear_suspect{Request.Fingerprint});
   }
-  void handleRequest(const claim_requested &Request) { send(Calls.acquire(Request, wallClock())); }
-  void handleRequest(const claim_settled &Request) { send(Calls.settle(Request, wallClock())); }
+  void handleRequest(const request_claim &Request) { send(Calls.acquire(Request, wallClock())); }
+  void handleRequest(const report_claim_outcome &Request) {
+    send(Calls.settle(Request, wallClock()));
+  }
 
   void emit(control_link_event Event) {
     Backlog.push_back(std::move(Event));
@@ -339,7 +344,7 @@
   std::optional<revision> Confirmed;
   std::uint64_t DrainsSeen{0};
   std::deque<std::pair<mono_time, link_crash>>
-      Crashes; ///< Recent crashes, to be resent on the next connection.
+      Crashes; ///< Recent crash reports with their times, to be resent on the next connection.
   control_rotation Rotation;
   mono_time NextRenew{};
   receive_idle_monitor IdleMonitor;
@@ -364,10 +369,11 @@
           State->UnrecordedOutcomes.load()};
 }
 
-control_link_builder::control_link_builder(std::vector<std::string> Controls, std::string Fleet) {
-  requireInvariant(!Controls.empty(),
+control_link_builder::control_link_builder(std::vector<std::string> ControlAddresses,
+                                           std::string Fleet) {
+  requireInvariant(!ControlAddresses.empty(),
                    "a control link needs the address of at least one control host");
-  Options.Controls = std::move(Controls);
+  Options.ControlAddresses = std::move(ControlAddresses);
   Options.Fleet = std::move(Fleet);
 }
 
--- a/src/control_link/control_link_base.h
+++ b/src/control_link/control_link_base.h
@@ -15,11 +15,12 @@
 
 /// Addresses, identity, timeouts and callbacks of a control link.
 struct control_link_options {
-  std::vector<std::string> Controls; ///< "IP:port" of every control host's entry listener.
+  std::vector<std::string> ControlAddresses; ///< "IP:port" of every control host's entry listener.
   std::string Fleet;
   process_key Process;
   failure_domain_name Domain;
-  std::string WorkAddress; ///< Where other entries publish their work; may be empty.
+  std::string WorkAddress; ///< "IP:port" at which this entry receives the work reports of other
+                           ///< entries; may be empty.
   std::chrono::milliseconds LeaseRenewInterval{500}; ///< Between two renewals of the lease.
   std::chrono::milliseconds AnswerTimeout{
       2000}; ///< A connection that is idle for longer is closed.
@@ -64,11 +65,11 @@
 /// Builds and starts a control link.
 class control_link_builder {
 public:
-  /// @param Controls "IP:port" of every control host's listener for entries.
-  control_link_builder(std::vector<std::string> Controls, std::string Fleet);
+  /// @param ControlAddresses "IP:port" of every control host's listener for entries.
+  control_link_builder(std::vector<std::string> ControlAddresses, std::string Fleet);
 
   control_link_builder &process(process_key Process, failure_domain_name Domain);
-  /// Sets the address that the leader reports to the other entries.
+  /// Sets WorkAddress, which the leader passes on to the other entries.
   control_link_builder &workAddress(std::string Address);
   /// Sets a callback that runs on the link's thread when events are ready for drainEvents().
   control_link_builder &onEvents(std::function<void()> Wake);
--- a/src/control_link/control_link_codec_func.h
+++ b/src/control_link/control_link_codec_func.h
@@ -50,7 +50,7 @@
 template <typename Archive> void serialize(Archive &Into, link_declaration_change &Message) {
   Into(Message.Base, Message.Revision, Message.Change);
 }
-template <typename Archive> void serialize(Archive &Into, link_declared &Message) {
+template <typename Archive> void serialize(Archive &Into, link_declaration_announced &Message) {
   Into(Message.Revision);
 }
 template <typename Archive> void serialize(Archive &Into, link_lease &Message) {
--- a/src/control_link/control_link_message_type.h
+++ b/src/control_link/control_link_message_type.h
@@ -25,7 +25,8 @@
 struct link_subscribe {
   process_key Process;
   failure_domain_name Domain;
-  std::string WorkAddress{}; ///< Where other entries publish their work, "IP:port"; may be empty.
+  std::string WorkAddress{}; ///< "IP:port" at which the entry receives the work reports of other
+                             ///< entries; may be empty.
   std::optional<revision> HeldRevision{}; ///< As in link_renew.
 };
 
@@ -34,11 +35,14 @@
  * immediately after the entry started to use a new revision.
  */
 struct link_renew {
-  std::uint64_t RenewId{0};          ///< Increases within one connection; the reply repeats it.
-  process_key Process;               ///< Confirmed is valid for this incarnation only.
-  std::optional<revision> Confirmed; ///< In use in this incarnation; empty if none is.
-  std::uint64_t DrainsSeen{0};       ///< link_drains::Version last received; 0 if none.
-  std::optional<revision> HeldRevision{}; ///< The entry has its text; a difference may refer to it.
+  std::uint64_t RenewId{0}; ///< Increases within one connection; the reply repeats it.
+  process_key Process;      ///< The sender; a restarted process must confirm its revision again.
+  std::optional<revision>
+      Confirmed;               ///< The revision that this incarnation uses; empty if it uses none.
+  std::uint64_t DrainsSeen{0}; ///< link_drains::Version last received; 0 if none.
+  std::optional<revision>
+      HeldRevision{}; ///< The revision whose text the entry has stored, to which a difference may
+                      ///< refer; empty if it has stored none.
 };
 
 /// Answered by link_claim_answer. Resent on each new connection until it is answered.
@@ -53,8 +57,8 @@
   claim_settle Claim;
 };
 
-/// Reports the requests that this entry had in flight on a backend server when it crashed. Resent
-/// on a new connection: the log counts each incarnation once.
+/// Reports the requests that this entry had in flight on a backend server when that server crashed.
+/// Resending it on a new connection is safe, because the log counts each crashed incarnation once.
 struct link_crash {
   incarnation Incarnation; ///< Of the backend server.
   std::vector<request_fingerprint> Fingerprints;
@@ -70,7 +74,7 @@
 
 // ---- From the control host. ----
 
-/// The declaration in force; sent if the entry confirmed an older one.
+/// The declaration in force; sent unless the entry has confirmed it or stored its text.
 struct link_declaration {
   revision Revision;
   packed_text Text;
@@ -100,7 +104,7 @@
   claim_status Verdict{claim_status::Unavailable};
 };
 
-/// The claim's outcome is recorded, or is refused and would be refused again.
+/// The claim's outcome is recorded or finally refused; the entry stops resending it.
 struct link_settle_answer {
   std::uint64_t Call{0};
 };
@@ -124,8 +128,8 @@
   std::vector<served_entry> Entries; ///< Every entry connected to the leader.
 };
 
-/// The log contains this declaration. Its text follows as soon as the link has capacity.
-struct link_declared {
+/// The log contains this declaration. Its text follows as soon as the network has capacity.
+struct link_declaration_announced {
   revision Revision;
 };
 
@@ -136,7 +140,7 @@
 
 using link_reply = std::variant<link_declaration, link_lease, link_not_leader, link_claim_answer,
                                 link_settle_answer, link_drains, link_backends, link_fleet,
-                                link_declaration_change, link_declared, link_suspects>;
+                                link_declaration_change, link_declaration_announced, link_suspects>;
 
 /// Fingerprints in one link_crash; further ones go into another message.
 constexpr std::size_t MaxCrashFingerprints = 64;
--- a/src/control_link/control_link_type.h
+++ b/src/control_link/control_link_type.h
@@ -21,29 +21,30 @@
 // ---- Requests: from the entry's decision thread to the link. ----
 
 /// The declaration of this revision is in use in this incarnation of the process.
-struct revision_confirmed {
+struct confirm_revision {
   revision Revision;
 };
 
 /// Requests a durable claim. Answered by claim_answered, at the latest at Claim.AnswerBy.
-struct claim_requested {
+struct request_claim {
   acquire_claim Claim;
   std::chrono::milliseconds Lifetime{0}; ///< limits_declaration::ClaimLifetime.
 };
 
-/// Reports the outcome of claimed work. Resent until a leader has recorded it; has no answer.
-struct claim_settled {
+/// Reports the outcome of claimed work. Resent until a leader has recorded or finally refused it;
+/// the entry gets no event then.
+struct report_claim_outcome {
   settle_claim Claim;
   std::chrono::milliseconds Lifetime{0}; ///< limits_declaration::ClaimLifetime.
 };
 
-using control_link_request =
-    std::variant<revision_confirmed, claim_requested, claim_settled, crash_report, suspect_cleared>;
+using control_link_request = std::variant<confirm_revision, request_claim, report_claim_outcome,
+                                          crash_report, suspect_cleared>;
 
 // ---- Events: from the link to the entry's decision thread. ----
 
-/// A declaration from a leader that held its lease. Revisions may repeat; declaration_lease filters
-/// them.
+/// A declaration that a leader sent while it held its leader lease. Revisions may repeat;
+/// declaration_lease filters them.
 struct declaration_received {
   revision Revision;
   std::string Text;
@@ -77,7 +78,7 @@
 
 /// An entry connected to the leader.
 struct served_entry {
-  std::string WorkAddress; ///< Where other entries publish their work, "IP:port".
+  std::string WorkAddress; ///< "IP:port" at which it receives the work reports of other entries.
   failure_domain_name Domain;
 };
 
@@ -119,8 +120,8 @@
 
 /// Counters of a control link, for metrics and dumps.
 struct control_link_counters {
-  std::uint64_t Connects{0};      ///< Connections on which a leader answered.
-  std::uint64_t Undecodable{0};   ///< Messages that failed to decode.
+  std::uint64_t Connects{0};    ///< Connections on which a leader answered.
+  std::uint64_t Undecodable{0}; ///< Messages that did not decode or whose difference did not apply.
   std::uint64_t ClaimTimeouts{0}; ///< Claims without an answer in time, reported as Unavailable.
   std::uint64_t UnrecordedOutcomes{0}; ///< Claim outcomes that no leader has recorded yet.
 };
--- a/src/control_link/control_rotation_base.h
+++ b/src/control_link/control_rotation_base.h
@@ -18,8 +18,8 @@
  */
 class control_rotation {
 public:
-  /// @param Configured Addresses from the settings. They are never removed: if all hosts that a
-  /// leader listed have been replaced, no other address would remain.
+  /// @param Configured Addresses from the settings. They are never removed, because all hosts
+  /// that a leader listed may have been replaced since.
   control_rotation(std::vector<std::string> Configured, std::chrono::milliseconds InitialBackoff,
                    std::chrono::milliseconds LargestBackoff);
 
@@ -42,7 +42,7 @@
   std::vector<std::string> Hosts; ///< Tried in turn.
   std::size_t NextIndex{0};
   std::string LeaderHint;
-  bool FollowedLeaderHint{false}; ///< The last host tried was a leader hint.
+  bool FollowedLeaderHint{false}; ///< The address of the last attempt came from a leader hint.
   std::chrono::milliseconds MinBackoff;
   std::chrono::milliseconds MaxBackoff;
   std::chrono::milliseconds Backoff;
--- a/src/control_link/declaration_lease.cpp
+++ b/src/control_link/declaration_lease.cpp
@@ -3,10 +3,10 @@
 
 namespace pollenstall {
 
-offer_verdict declaration_lease::offer(revision Revision) const {
+declaration_action declaration_lease::actionFor(revision Revision) const {
   if (!InUse || Revision > *InUse)
-    return offer_verdict::Take;
-  return Revision == *InUse ? offer_verdict::Repeat : offer_verdict::Stale;
+    return declaration_action::Take;
+  return Revision == *InUse ? declaration_action::Repeat : declaration_action::Stale;
 }
 
 void declaration_lease::markInUse(revision Revision) {
--- a/src/control_link/declaration_lease_base.h
+++ b/src/control_link/declaration_lease_base.h
@@ -11,7 +11,7 @@
 namespace pollenstall {
 
 /// How an entry handles a received declaration.
-enum class offer_verdict : std::uint8_t {
+enum class declaration_action : std::uint8_t {
   Take,   ///< Newer than the one in use: parse it, use it, then call markInUse().
   Repeat, ///< Already in use: confirm it again.
   Stale,  ///< Older than the one in use, delayed or from a former leader: drop it.
@@ -24,7 +24,7 @@
 class declaration_lease {
 public:
   /// @return How to handle a declaration of this revision.
-  [[nodiscard]] offer_verdict offer(revision Revision) const;
+  [[nodiscard]] declaration_action actionFor(revision Revision) const;
 
   /// Records that the declaration is in use. Aborts if a newer one is already in use.
   void markInUse(revision Revision);
--- a/src/control_link/receive_idle_monitor_base.h
+++ b/src/control_link/receive_idle_monitor_base.h
@@ -11,11 +11,11 @@
 
 /**
  * Tracks when bytes and complete messages arrived on one connection.
- * The idle time counts from the last bytes, not from the last complete message: over a link that
- * many entries share, a declaration may take longer than the answer timeout. Entries that closed
- * the connection in the middle of one all started over, which kept the link full, and none of them
- * ever received it. A host that is down or partitioned sends no bytes, so it is detected equally
- * fast.
+ * The idle time counts from the last bytes, not from the last complete message: over a
+ * network link that many entries share, a declaration may take longer than the answer timeout. If
+ * entries closed the connection while a declaration arrives, all of them would start over, the
+ * network link would stay full, and none of them would ever receive it. A host that is down or
+ * partitioned sends no bytes, so it is detected equally fast.
  */
 class receive_idle_monitor {
 public:
--- a/src/core/bounded_ring.h
+++ b/src/core/bounded_ring.h
@@ -39,9 +39,10 @@
 
   /// Removes and handles all queued items; called by the consumer only. @return Number of items.
   template <typename Handler> std::size_t drain(Handler &&HandleElement) {
-    // Cleared before the pops: an item pushed after the last pop sets it again and calls the hook.
-    // This must be an exchange. It acquires from the producer's exchange, so the pops below see the
-    // item whose wake-up is cleared here; a plain store would not order the pops after that push.
+    // Pending is cleared before the pops, so that an item pushed after the last pop sets it again
+    // and calls the hook. This must be an exchange. It acquires from the producer's exchange, so
+    // the pops below see the item whose push set Pending; a plain store would not order the pops
+    // after that push.
     Pending.exchange(false, std::memory_order_acq_rel);
     std::size_t Handled = 0;
     Element Value;
@@ -53,7 +54,7 @@
   }
 
   /// @return Number of items that can be pushed now; called by the producer only.
-  [[nodiscard]] std::size_t room() const { return Queue.write_available(); }
+  [[nodiscard]] std::size_t freeCapacity() const { return Queue.write_available(); }
 
 private:
   boost::lockfree::spsc_queue<Element> Queue;
--- a/src/core/hash_func.h
+++ b/src/core/hash_func.h
@@ -1,5 +1,4 @@
-/** @file hash_func.h Hashes that are the same in every process and build, for placement and
- * prompt prefixes. */
+/** @file hash_func.h Hashes that are the same in every process and build. */
 #ifndef POLLENSTALL_CORE_HASH_FUNC_H
 #define POLLENSTALL_CORE_HASH_FUNC_H
 
@@ -10,7 +9,9 @@
 
 constexpr std::uint64_t StableHashSeed = 0xCBF29CE484222325ULL; ///< FNV-1a offset basis.
 
-/// @return FNV-1a hash of the bytes, continued from Seed. Not safe for input chosen by an attacker.
+/// @return FNV-1a hash of the bytes. Hosts compare such hashes, for example of records, placements
+/// and prompt prefixes. Not safe for input chosen by an attacker.
+/// @param Seed The hash of preceding bytes, to continue it, or a seed.
 constexpr std::uint64_t stableHash(std::string_view Bytes, std::uint64_t Seed = StableHashSeed) {
   constexpr std::uint64_t Prime = 0x100000001B3ULL;
   std::uint64_t Hash = Seed;
--- a/src/core/identity_type.h
+++ b/src/core/identity_type.h
@@ -24,25 +24,30 @@
 struct change_tag {};
 struct fence_tag {};
 
-using host_name = strong_text<host_tag>;                     ///< A host of this system.
-using failure_domain_name = strong_text<failure_domain_tag>; ///< Hosts that can fail together.
+using host_name = strong_text<host_tag>; ///< A host of this system.
+using failure_domain_name =
+    strong_text<failure_domain_tag>; ///< A set of hosts and backend servers that can fail together.
 using client_account_name = strong_text<client_account_tag>; ///< Account of a request's caller.
-using service_name = strong_text<service_tag>;               ///< A declared model or plain service.
-using model_name = strong_text<model_tag>;                   ///< The "model" of a call.
-using group_name = strong_text<group_tag>;                   ///< A labelled set of backend servers.
-using selector_name = strong_text<selector_tag>; ///< A rule that routes requests to groups.
+using service_name =
+    strong_text<service_tag>; ///< A model or other service in the operators' declaration.
+using model_name = strong_text<model_tag>;       ///< The "model" of a call.
+using group_name = strong_text<group_tag>;       ///< A labelled set of backend servers.
+using selector_name = strong_text<selector_tag>; ///< Name of a rule that routes requests to groups.
 using backend_address = strong_text<backend_address_tag>; ///< "IP:port" of a backend server.
-using change_id = strong_text<change_tag>;                ///< Set by the operator's tool.
+using change_id = strong_text<change_tag>; ///< Id of one change of the declaration, chosen by the
+                                           ///< operator's tool.
 
-/// Number of one run of a process or backend server. It increases with each start, so that a
-/// restarted one is distinct from its predecessor at the same address.
+/// Number of one run of a process or backend server, by which a restarted one is distinct from its
+/// predecessor at the same address. It increases with each start, except in keys made by keyOf() of
+/// directory, where it is a hash.
 using incarnation = strong_id<incarnation_tag>;
-/// Position of a declaration in the sequence of accepted changes; 0 means the empty declaration.
+/// Number of accepted changes that led to a declaration (the operators' configuration); 0 means the
+/// empty declaration.
 using revision = strong_id<revision_tag>;
 /// Number of a request, unique within one incarnation of an entry.
 using request_number = strong_id<request_tag>;
-/// Increases with each leader term and each order. An engine refuses an order with a lower token
-/// than it has seen.
+/// Fences orders (commands to backend servers). It increases with each leader term and each order,
+/// and a backend server refuses an order whose token is lower than one that it has seen.
 using fencing_token = strong_id<fence_tag>;
 
 /// Identifies one incarnation of a backend server. A new incarnation at the same address counts as
@@ -63,9 +68,9 @@
 };
 
 /**
- * Identifies one attempt of a request; unique in the fleet as long as incarnations are.
- * Engines list their running attempts in its text form. Other entries read the owner from it when
- * the owner has failed.
+ * Identifies one attempt of a request; unique in the fleet if the incarnations of a host are
+ * unique. Engines list their running attempts in its text form. Other entries read the owner from
+ * that form, so that they find the attempts of an owner that has failed.
  */
 struct attempt_id {
   process_key Owner;        ///< The entry that started it.
--- a/src/core/invariant_func.h
+++ b/src/core/invariant_func.h
@@ -8,7 +8,7 @@
 
 namespace pollenstall {
 
-/// Returns a dump of the state that the check covers.
+/// A function that returns a dump of the state that the check covers.
 using state_dump = std::function<std::string()>;
 
 /// Writes the name of the invariant and the dump to standard error, then aborts the process.
@@ -16,7 +16,8 @@
 
 /**
  * Aborts the process if a condition that the code relies on does not hold.
- * Continuing in an invalid state could run a request twice or revert a change; a restart cannot.
+ * Continuing in an invalid state could run a request twice or revert a change; a restart does
+ * neither.
  * @param Holds The condition.
  * @param Name A short description of the condition; printed on failure.
  * @param Dump Called only on failure.
--- a/src/core/result_type.h
+++ b/src/core/result_type.h
@@ -1,4 +1,4 @@
-/** @file result_type.h A value or an error of the called layer, as std::variant. */
+/** @file result_type.h A value or an error of a type that the called library defines. */
 #ifndef POLLENSTALL_CORE_RESULT_TYPE_H
 #define POLLENSTALL_CORE_RESULT_TYPE_H
 
@@ -12,7 +12,7 @@
   auto operator<=>(const done &) const = default;
 };
 
-/// Either a value or an error of the called layer.
+/// Either a value or an error, as std::variant; the called library defines the type of the error.
 template <typename Value, typename Error> using result = std::variant<Value, Error>;
 
 /// @return Whether the result holds a value.
--- a/src/directory/backend_directory.cpp
+++ b/src/directory/backend_directory.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// A single notice does not replace a holder that sent one within this many intervals.
+/// A holder that sent a notice within this many notice intervals is not replaced after a single
+/// notice of another incarnation.
 constexpr int HolderGraceIntervals = 2;
 
 } // namespace
@@ -104,7 +105,7 @@
   if (AreStartsKnown && Notice.Started < HolderStarted)
     return false;
   if (!Holder.HasNotice)
-    return true; // It may have ended while there was no leader.
+    return true; // The holder may have ended while there was no leader.
   if (Now - Holder.LastNoticeAt >= HolderGraceIntervals * Options.NoticeInterval)
     return true;
   // A notice that a partition delayed can arrive after its sender has died and another incarnation
@@ -113,7 +114,7 @@
   const auto Found = Challengers.find(Notice.Address);
   const bool IsConfirmed =
       Found != Challengers.end() && Found->second.Instance == Notice.Instance &&
-      Found->second.Sequence < Notice.Sequence && Holder.LastNoticeAt < Found->second.Since;
+      Found->second.Sequence < Notice.Sequence && Holder.LastNoticeAt < Found->second.ChallengedAt;
   if (!IsConfirmed)
     Challengers[Notice.Address] = {Notice.Instance, Now, Notice.Sequence};
   return IsConfirmed;
@@ -152,20 +153,21 @@
   std::vector<backend_listing> Changes;
   for (auto Position = Records.begin(); Position != Records.end();) {
     record &Record = Position->second;
-    const mono_duration IdleTime = Now - Record.LastNoticeAt;
-    if (IdleTime > Options.RemoveAfter) {
+    const mono_duration TimeSinceNotice = Now - Record.LastNoticeAt;
+    if (TimeSinceNotice > Options.RemoveAfter) {
       const bool IsLeaving = Record.Listing.State == listing_state::Leaving;
       Record.Listing.State = listing_state::Gone;
       Changes.push_back(Record.Listing);
-      // Missing notices may be due to a partition that ends. Only an incarnation that was leaving
-      // must never get work again.
+      // The notices may be missing because of a partition; the backend server may then be listed
+      // again after it. Only an incarnation that was leaving must never get work again.
       if (IsLeaving)
         retire({Position->first, Record.Listing.Started});
       Position = Records.erase(Position);
       continue;
     }
-    const bool BecomesUnresponsive = Record.Listing.State == listing_state::Active &&
-                                     IdleTime > Options.MaxMissedNotices * Options.NoticeInterval;
+    const bool BecomesUnresponsive =
+        Record.Listing.State == listing_state::Active &&
+        TimeSinceNotice > Options.MaxMissedNotices * Options.NoticeInterval;
     if (BecomesUnresponsive) {
       Record.Listing.State = listing_state::Unresponsive;
       Changes.push_back(Record.Listing);
--- a/src/directory/backend_directory_base.h
+++ b/src/directory/backend_directory_base.h
@@ -13,22 +13,24 @@
 
 /**
  * A new leader starts with the list that its predecessor wrote to the log, which may be stale.
- * After one notice interval it has received a notice from every live backend server. An incarnation
- * that has ended never returns, even if a late notice of it arrives.
+ * After one notice interval it should have received a notice from every live backend server. An
+ * incarnation that has ended never returns, even if a late notice of it arrives.
  */
 class backend_directory {
 public:
   explicit backend_directory(const directory_options &Times) : Options(Times) {}
 
-  /// Restores the listings of a former leader that this leader has no notice of. A restored backend
-  /// server becomes unresponsive like any other if it sends no notice.
+  /// Restores a former leader's listings of those backend servers from which this leader has no
+  /// notice. A restored backend server becomes unresponsive like any other if it sends no notice.
   void restore(const std::vector<backend_listing> &Listings, mono_time Now);
   /// Handles a notice. @return The listings that it changed.
   std::vector<backend_listing> handleNotice(const backend_notice &Notice, mono_time Now);
-  /// Marks an incarnation as leaving: it gets no new work, but its running requests continue.
-  /// Earlier incarnations of the same name end too.
+  /// Marks an incarnation, or an earlier one that is listed under the same name, as leaving: it
+  /// gets no new work, but its running requests continue. No later notice of this or an earlier
+  /// incarnation makes it active again.
   std::vector<backend_listing> withdraw(const backend_incarnation &Incarnation, mono_time Now);
-  /// Advances the time. @return Listings that became unresponsive or were removed.
+  /// Marks or removes listings whose notices are overdue at Now. @return Listings that became
+  /// unresponsive or were removed.
   std::vector<backend_listing> advance(mono_time Now);
 
   /// @return All listings.
@@ -48,7 +50,7 @@
   /// An incarnation that claims an address whose holder sent a notice recently.
   struct challenger {
     instance_name Instance;
-    mono_time Since;
+    mono_time ChallengedAt; ///< When its latest notice arrived.
     std::uint64_t Sequence{0};
   };
 
@@ -65,7 +67,8 @@
   std::map<instance_name, record> Records; ///< The newest incarnation of each name.
   std::map<backend_address, challenger> Challengers;
   std::map<instance_name, incarnation_start>
-      Retired;                            ///< Start of the newest ended incarnation of each name.
+      Retired; ///< Start of the newest ended or withdrawn incarnation of each name; no notice up to
+               ///< it is applied.
   std::deque<instance_name> RetiredOrder; ///< Oldest first.
 };
 
--- a/src/directory/directory_follower.cpp
+++ b/src/directory/directory_follower.cpp
@@ -39,9 +39,9 @@
 }
 
 /**
- * Adds a listing of an unknown incarnation. A leader lists one incarnation of a name, so an earlier
- * leader's list may have left the previous one here. It is removed, because its requests and
- * failures must not count for the new incarnation, which has none of them.
+ * Adds a listing of an unknown incarnation. A leader lists only one incarnation of a name, but the
+ * previous incarnation may still be listed here from an earlier leader. The previous one is
+ * removed, so that its requests and failures do not count for the new one.
  */
 void directory_follower::addListing(const backend_listing &Listing,
                                     std::vector<backend_listing> &Changes) {
--- a/src/directory/directory_follower_base.h
+++ b/src/directory/directory_follower_base.h
@@ -13,8 +13,8 @@
 /**
  * Keeps the list over changes of the leader. A new leader knows only the backend servers that it
  * has a notice of, so those that it does not list yet keep their state for a grace period. After
- * that they count as unresponsive, because they may have notified the former leader that they
- * leave.
+ * that, active ones count as unresponsive, because they may have notified the former leader that
+ * they leave.
  */
 class directory_follower {
 public:
@@ -28,8 +28,8 @@
                                              mono_time Now);
   /// Applies listings that the leader changed. @return The listings that changed here.
   std::vector<backend_listing> applyUpdates(const std::vector<backend_listing> &Listings);
-  /// Advances the time. @return Listings that the new leader did not confirm within the grace
-  /// period.
+  /// Marks active listings as unresponsive once the grace period has ended at Now. @return Listings
+  /// that the new leader did not confirm within the grace period.
   std::vector<backend_listing> advance(mono_time Now);
   /// @return Whether any leader has sent its full list to this process.
   [[nodiscard]] bool hasFullList() const { return HasFullList; }
@@ -38,7 +38,7 @@
 private:
   struct record {
     backend_listing Listing;
-    bool Confirmed{true}; ///< The leader of the current connection has listed it.
+    bool Confirmed{true}; ///< The leader of the current connection has listed or withdrawn it.
   };
 
   void applyListing(const backend_listing &Listing, std::vector<backend_listing> &Changes);
--- a/src/directory/directory_type.h
+++ b/src/directory/directory_type.h
@@ -20,8 +20,8 @@
 /// not report that.
 using incarnation_start = strong_id<incarnation_start_tag>;
 
-/// One incarnation of a backend server. Of two with the same name the one that began later is the
-/// newer: it has none of its predecessor's requests or state.
+/// One incarnation of a backend server. Of two with the same name, the one that began later is
+/// the newer. It starts without its predecessor's requests and state.
 struct backend_incarnation {
   instance_name Instance;
   incarnation_start Started;
@@ -64,8 +64,9 @@
   bool operator==(const backend_listing &) const = default;
 };
 
-/// Returns the key of an incarnation. Its number has no order: only the directory knows which of
-/// two incarnations at one address is the newer.
+/// Returns the key of an incarnation. Unlike in membership, the incarnation in the key is a hash
+/// and has no order: only the directory knows which of two incarnations at one address is the
+/// newer.
 inline backend_key keyOf(const backend_address &Address, const backend_incarnation &Incarnation) {
   return {Address, incarnation(combineHashes(stableHash(Incarnation.Instance.str()),
                                              Incarnation.Started.value()) |
@@ -78,7 +79,8 @@
   std::uint32_t MaxMissedNotices{4}; ///< Notice intervals until it is unresponsive.
   mono_duration RemoveAfter{std::chrono::seconds(60)}; ///< Time without a notice until removal.
   std::size_t MaxBackends{4096};                       ///< Maximum of listings.
-  std::size_t MaxRetired{16'384}; ///< Maximum of names with a remembered ended incarnation.
+  std::size_t MaxRetired{
+      16'384}; ///< Maximum of names with a remembered ended or withdrawn incarnation.
 };
 
 } // namespace pollenstall
--- a/src/gossip/change_outbox_base.h
+++ b/src/gossip/change_outbox_base.h
@@ -10,10 +10,10 @@
 namespace pollenstall {
 
 /**
- * Holds the latest event of each subject until the ring has space for it. If the consumer stalls, a
- * plain queue would grow without bound, and dropping events could leave a leaving backend server as
- * Active at the consumer permanently. The latest event of each key suffices and is bounded by the
- * fleet's size.
+ * Holds the latest event of each host and backend server until the ring has space for it. If the
+ * consumer stalls, a plain queue would grow without bound, and dropping events could leave a
+ * leaving backend server as Active at the consumer permanently. The latest events suffice, and
+ * their number is bounded by the fleet's size.
  */
 class change_outbox {
 public:
@@ -31,8 +31,8 @@
         Event);
   }
 
-  /// Moves as many events as fit into the ring. views_fresh comes last, because it asserts that all
-  /// changes before it are included.
+  /// Moves as many events as fit into the ring. views_fresh is sent only when no backend
+  /// server change waits, because it asserts that the consumer has all of them.
   void flush(bounded_ring<membership_event> &Ring) {
     flushMap(Hosts, Ring);
     flushMap(Backends, Ring);
--- a/src/gossip/gossip_codec_func.h
+++ b/src/gossip/gossip_codec_func.h
@@ -9,7 +9,7 @@
 
 namespace pollenstall {
 
-/// The credentials that a datagram is checked against.
+/// The fleet's name and key, with which datagrams are tagged and checked.
 struct gossip_secret {
   std::string Fleet; ///< The fleet's name, at most MaxFleetBytes.
   std::string Key;   ///< Shared by all hosts; if empty, datagrams carry no tag.
@@ -17,8 +17,8 @@
 
 /**
  * Returns the datagram: envelope, message and, if there is a key, the first 16 bytes of HMAC-SHA256
- * over both. A replayed datagram passes the check, but it only repeats state that was true when it
- * was sent, which merging ignores; and answers are accepted only by their nonce.
+ * over both. A replayed datagram passes the check, but merging ignores the old state that it
+ * contains, and an answer is accepted only if its nonce is pending.
  */
 std::string encodeDatagram(const gossip_secret &Secret, const membership_message &Message);
 
--- a/src/gossip/gossip_service.cpp
+++ b/src/gossip/gossip_service.cpp
@@ -140,7 +140,7 @@
       const std::size_t Size = Socket.receive_from(boost::asio::buffer(Buffer), Sender, 0, Error);
       if (Error == boost::asio::error::would_block)
         break;
-      if (!Error) // an ICMP error for an earlier datagram is no datagram
+      if (!Error) // the socket may report an ICMP error of an earlier send
         handleDatagram(std::span<const char>(Buffer).first(Size), Sender);
     }
     performActions();
@@ -199,7 +199,7 @@
     boost::system::error_code Error;
     Socket.send_to(boost::asio::buffer(Bytes), *Endpoint, 0, Error);
     if (Error) {
-      ++Counters.SendErrors; // equivalent to a lost datagram
+      ++Counters.SendErrors; // not retried; the protocol tolerates lost datagrams
       return;
     }
     ++Counters.DatagramsOut;
--- a/src/gossip/gossip_service_base.h
+++ b/src/gossip/gossip_service_base.h
@@ -20,8 +20,8 @@
 };
 
 /**
- * Owns the socket, the fleet_membership and the thread that runs both. Exactly one thread may write
- * to announcements() and exactly one may read from changes().
+ * Owns the socket, the fleet_membership and the thread that serves them. Exactly one thread may
+ * write to announcements() and exactly one may read from changes().
  */
 class gossip_service {
 public:
@@ -35,8 +35,8 @@
   /// Returns the bound address, at which peers reach this host.
   [[nodiscard]] const peer_address &address() const;
 
-  /// Ring to the gossip thread. If it rejects an announcement, the caller must reject it to the
-  /// backend server, which repeats it.
+  /// Ring to the gossip thread. If it is full, the caller must answer the backend server with an
+  /// error; the backend server sends the announcement again.
   bounded_ring<received_announcement> &announcements();
   /// Ring from the gossip thread. Set its onWake() before start(); the callback runs on the gossip
   /// thread.
--- a/src/gossip/gossip_type.h
+++ b/src/gossip/gossip_type.h
@@ -28,8 +28,8 @@
 
 constexpr std::size_t MaxFleetBytes = 32;
 
-/// An announcement that a backend server sent to this host; written by the operators' or the
-/// announcements' thread.
+/// An announcement that a backend server sent to this host; written by the one thread that receives
+/// announcements.
 struct received_announcement {
   backend_announcement Announcement;
   backend_load Load;
--- a/src/gossip/membership_codec_func.h
+++ b/src/gossip/membership_codec_func.h
@@ -14,9 +14,9 @@
 
 static_assert(MaxMessageItems <= UINT8_MAX, "the count of a list takes one byte");
 
-/// Packs a text with a two-byte length. cereal's own eight-byte lengths would make up a third of a
-/// small datagram.
-template <typename Archive> void packText(Archive &Stream, std::string &Text) {
+/// Writes or reads a text with a two-byte length; Archive determines the direction. cereal's own
+/// eight-byte lengths would make up a third of a small datagram.
+template <typename Archive> void serializeText(Archive &Stream, std::string &Text) {
   auto Size = static_cast<std::uint16_t>(Text.size());
   Stream(Size);
   if constexpr (Archive::is_loading::value) {
@@ -26,16 +26,18 @@
   Stream(cereal::binary_data(Text.data(), Size));
 }
 
-template <typename Archive, typename Tag> void packName(Archive &Stream, strong_text<Tag> &Name) {
+template <typename Archive, typename Tag>
+void serializeName(Archive &Stream, strong_text<Tag> &Name) {
   std::string Text = Name.str();
-  packText(Stream, Text);
+  serializeText(Stream, Text);
   if constexpr (Archive::is_loading::value)
     Name = strong_text<Tag>(std::move(Text));
 }
 
-/// Packs a list of at most MaxMessageItems; checks the bound before any allocation.
-template <typename Archive, typename Element, typename Pack>
-void packList(Archive &Stream, std::vector<Element> &Elements, Pack PackElement) {
+/// Writes or reads a list of at most MaxMessageItems. Reading checks the bound before any
+/// allocation, and treats a longer list like a truncated message.
+template <typename Archive, typename Element, typename Serialize>
+void serializeList(Archive &Stream, std::vector<Element> &Elements, Serialize SerializeElement) {
   auto Count = static_cast<std::uint8_t>(Elements.size());
   Stream(Count);
   if constexpr (Archive::is_loading::value) {
@@ -45,26 +47,26 @@
     Elements.resize(Count);
   }
   for (Element &Entry : Elements)
-    PackElement(Entry);
+    SerializeElement(Entry);
 }
 
 template <typename Archive, typename Element>
-void packList(Archive &Stream, std::vector<Element> &Elements) {
-  packList(Stream, Elements, [&Stream](Element &Entry) { Stream(Entry); });
+void serializeList(Archive &Stream, std::vector<Element> &Elements) {
+  serializeList(Stream, Elements, [&Stream](Element &Entry) { Stream(Entry); });
 }
 
-template <typename Archive> void packProcess(Archive &Stream, process_key &Key) {
-  packName(Stream, Key.Host);
+template <typename Archive> void serializeProcess(Archive &Stream, process_key &Key) {
+  serializeName(Stream, Key.Host);
   Stream(Key.Incarnation);
 }
 
 template <typename Archive>
-void packLabels(Archive &Stream, std::map<std::string, std::string> &Labels) {
+void serializeLabels(Archive &Stream, std::map<std::string, std::string> &Labels) {
   using label = std::pair<std::string, std::string>;
   std::vector<label> Pairs(Labels.begin(), Labels.end());
-  packList(Stream, Pairs, [&Stream](label &Entry) {
-    packText(Stream, Entry.first);
-    packText(Stream, Entry.second);
+  serializeList(Stream, Pairs, [&Stream](label &Entry) {
+    serializeText(Stream, Entry.first);
+    serializeText(Stream, Entry.second);
   });
   if constexpr (Archive::is_loading::value)
     Labels = {Pairs.begin(), Pairs.end()};
@@ -76,12 +78,13 @@
 }
 
 template <typename Archive> void serialize(Archive &Stream, backend_announcement &Value) {
-  packName(Stream, Value.Key.Address);
+  serializeName(Stream, Value.Key.Address);
   Stream(Value.Key.Incarnation);
-  packName(Stream, Value.Service);
-  packName(Stream, Value.Domain);
-  packLabels(Stream, Value.Labels);
-  packList(Stream, Value.Models, [&Stream](model_name &Model) { packName(Stream, Model); });
+  serializeName(Stream, Value.Service);
+  serializeName(Stream, Value.Domain);
+  serializeLabels(Stream, Value.Labels);
+  serializeList(Stream, Value.Models,
+                [&Stream](model_name &Model) { serializeName(Stream, Model); });
   Stream(Value.Capabilities, Value.Memory, Value.BlockTokens, Value.Leaving);
 }
 
@@ -95,30 +98,30 @@
 }
 
 template <typename Archive> void serialize(Archive &Stream, host_record &Value) {
-  packProcess(Stream, Value.Key);
-  packName(Stream, Value.Domain);
-  packList(Stream, Value.Addresses,
-           [&Stream](peer_address &Address) { packName(Stream, Address); });
+  serializeProcess(Stream, Value.Key);
+  serializeName(Stream, Value.Domain);
+  serializeList(Stream, Value.Addresses,
+                [&Stream](peer_address &Address) { serializeName(Stream, Address); });
   Stream(Value.Refutation, Value.Status);
-  packName(Stream, Value.Accuser);
+  serializeName(Stream, Value.Accuser);
 }
 
 template <typename Archive> void serialize(Archive & /*Into*/, record_updates & /*Value*/) {}
 
 template <typename Archive> void serialize(Archive &Stream, ping &Value) {
   Stream(Value.Nonce);
-  packProcess(Stream, Value.Target);
+  serializeProcess(Stream, Value.Target);
 }
 
 template <typename Archive> void serialize(Archive &Stream, ping_ack &Value) {
   Stream(Value.Nonce);
-  packProcess(Stream, Value.Target);
+  serializeProcess(Stream, Value.Target);
 }
 
 template <typename Archive> void serialize(Archive &Stream, ping_request &Value) {
   Stream(Value.Nonce);
-  packProcess(Stream, Value.Target);
-  packName(Stream, Value.Address);
+  serializeProcess(Stream, Value.Target);
+  serializeName(Stream, Value.Address);
 }
 
 template <typename Archive> void serialize(Archive &Stream, sync_request &Value) {
@@ -133,23 +136,23 @@
 
 template <typename Archive> void serialize(Archive &Stream, sync_versions &Value) {
   Stream(Value.Nonce, Value.Differing, Value.Covered);
-  packList(Stream, Value.Versions);
+  serializeList(Stream, Value.Versions);
 }
 
 template <typename Archive> void serialize(Archive &Stream, sync_fetch &Value) {
-  packList(Stream, Value.Subjects);
+  serializeList(Stream, Value.Subjects);
 }
 
 template <typename Archive> void serialize(Archive &Stream, load_query &Value) {
-  packList(Stream, Value.Backends);
+  serializeList(Stream, Value.Backends);
 }
 
 template <typename Archive> void serialize(Archive &Stream, membership_message &Value) {
-  packProcess(Stream, Value.Sender);
+  serializeProcess(Stream, Value.Sender);
   Stream(Value.Body);
-  packList(Stream, Value.Hosts);
-  packList(Stream, Value.Backends);
-  packList(Stream, Value.Loads);
+  serializeList(Stream, Value.Hosts);
+  serializeList(Stream, Value.Backends);
+  serializeList(Stream, Value.Loads);
 }
 
 } // namespace pollenstall
--- a/src/membership/backend_expiry.cpp
+++ b/src/membership/backend_expiry.cpp
@@ -10,9 +10,11 @@
 
 namespace {
 
-constexpr std::uint32_t MinDirectReports = 6; // a run by chance: under 1 in 30,000 among 8 hosts
-constexpr double EnvelopeAllowance = 120;     // bytes of a datagram besides its digests
-constexpr double BudgetHeadroom = 1.1;        // avoids the queueing delay of a fully used budget
+// With 8 hosts and random routing, six consecutive reports reach the same host with a probability
+// below 1 in 30,000.
+constexpr std::uint32_t MinDirectReports = 6;
+constexpr double EnvelopeAllowance = 120; // bytes of a datagram besides its digests
+constexpr double BudgetHeadroom = 1.1;    // avoids the queueing delay of a fully used budget
 
 } // namespace
 
@@ -30,8 +32,10 @@
 }
 
 mono_duration backend_table::expiryTimeout(const backend_entry &Entry) const {
-  // The host that receives all reports directly detects a loss first. If reports reach alternating
-  // hosts, their absence at this host proves nothing, and neither does the delay of the gossip.
+  // A host that receives every report directly may use the short timeout, so it detects a loss
+  // first. If reports reach alternating hosts, a report that is missing here may have reached
+  // another host. This host must then also allow for the delay of the gossip and for the answers to
+  // its queries.
   return Entry.DirectReports >= MinDirectReports ? Settings.BackendExpiry
                                                  : indirectExpiry() + Settings.QueryGrace;
 }
@@ -88,9 +92,9 @@
   const auto ReportsPerTurn =
       static_cast<std::uint64_t>((Interval + Settings.AnnouncementInterval - mono_duration(1)) /
                                  Settings.AnnouncementInterval);
-  // Reports reach alternating hosts. If only the time decided, each host that the last gossiped
-  // report has not reached yet would gossip its own; by the report's sequence all hosts select the
-  // same one.
+  // Reports may reach alternating hosts. The sequence of a report determines whether it is
+  // gossiped, so all hosts select the same reports. With a timer alone, each host that the last
+  // gossiped report has not reached yet would gossip another one.
   const bool HasTurn = Entry.Load.Sequence % ReportsPerTurn == Subject % ReportsPerTurn;
   // A backend server may increase its sequence by more than one, or the selected report was lost.
   const bool IsOverdue = ConnectedTime - Entry.GossipedConnectedTime >= 2 * Interval;
--- a/src/membership/backend_table.cpp
+++ b/src/membership/backend_table.cpp
@@ -103,7 +103,7 @@
                               const load_digest &Digest, event_time Time, backend_change &Change) {
   const digest_state State = unpackState(Digest);
   const bool IsFirstReport = Change.Replaced.has_value() || Entry.ReportedAt == mono_time{};
-  const mono_duration IdleTime = Time.ConnectedTime - Entry.ReportedConnectedTime;
+  const mono_duration TimeSinceReport = Time.ConnectedTime - Entry.ReportedConnectedTime;
   if (Load.Sequence > Entry.Load.Sequence || IsFirstReport) {
     Change.StatusChanged = Change.StatusChanged || Entry.Lost != State.Lost;
     LiveBackends += Entry.Lost ? 1 : 0;
@@ -117,12 +117,12 @@
     Change.LoadChanged = true;
     return;
   }
-  Change.ContradictsLoss = State.Lost && Load.Sequence < Entry.Load.Sequence && !Entry.Lost;
-  // Another host declared a loss at the same report. If that report is recent here, the other
-  // host's clock is not trusted; if the backend server is in fact lost, this host's own timeout
-  // expires too.
-  const bool ConfirmsLoss = Load.Sequence == Entry.Load.Sequence && State.Lost && !Entry.Lost;
-  if (ConfirmsLoss && IdleTime >= Settings.BackendExpiry / 2) {
+  Change.ReportedLossIsStale = State.Lost && Load.Sequence < Entry.Load.Sequence && !Entry.Lost;
+  // Another host claims a loss at the same report. The claim is ignored until half of the expiry
+  // timeout has passed here since that report, because the other host's clock may be wrong. If the
+  // backend server is in fact lost, this host's own timeout expires too.
+  const bool RemoteClaimsLoss = Load.Sequence == Entry.Load.Sequence && State.Lost && !Entry.Lost;
+  if (RemoteClaimsLoss && TimeSinceReport >= Settings.BackendExpiry / 2) {
     Entry.Lost = true;
     --LiveBackends;
     Change.StatusChanged = true;
--- a/src/membership/backend_table_base.h
+++ b/src/membership/backend_table_base.h
@@ -20,8 +20,8 @@
   mono_duration ConnectedTime; ///< See connected_clock.
 };
 
-/// What this host knows of one backend server address. A lost backend server's entry remains as a
-/// tombstone, so that no older incarnation returns.
+/// What this host knows of one backend server address. The entry of a backend server that has
+/// been lost for TombstoneAfter remains as a tombstone, so that no older incarnation returns.
 struct backend_entry {
   backend_announcement Announcement; ///< Of the highest known incarnation.
   std::uint64_t Sequence{0}; ///< Sequence of the report at which the announcement last changed.
@@ -43,8 +43,10 @@
   bool RecordChanged{false}; ///< The record changed and has to be gossiped.
   bool LoadChanged{false};   ///< A newer load report was stored.
   bool StatusChanged{false}; ///< Leaving or Lost changed.
-  bool ContradictsLoss{false}; ///< The event reports a loss that a newer report has disproved.
-  bool NeedsRecord{false};     ///< A new report arrived for a tombstone.
+  bool ReportedLossIsStale{false}; ///< Another host reported a loss, but this host has a newer
+                                   ///< report, which has to be gossiped.
+  bool NeedsRecord{false}; ///< The caller must fetch the full record, because a newer digest
+                           ///< arrived for a tombstone.
   std::optional<backend_key> Replaced; ///< The incarnation that a newer one replaced.
 
   /// @return Whether the backend_view changed.
@@ -97,7 +99,7 @@
   [[nodiscard]] backend_record record(std::uint64_t Subject, mono_time Now) const;
   [[nodiscard]] load_digest digest(std::uint64_t Subject, mono_time Now) const;
   [[nodiscard]] backend_view view(std::uint64_t Subject) const;
-  /// @return The hash of each bucket; those of backend servers come first among SyncBuckets.
+  /// @return The hash of each sync bucket; only the first BackendBuckets are used here.
   [[nodiscard]] const std::array<std::uint64_t, SyncBuckets> &buckets() const { return Buckets; }
 
 private:
--- a/src/membership/connected_clock_type.h
+++ b/src/membership/connected_clock_type.h
@@ -1,4 +1,4 @@
-/** @file connected_clock_type.h A clock that counts only while this process runs and receives. */
+/** @file connected_clock_type.h A clock that stops while this process is paused or cut off. */
 #ifndef POLLENSTALL_MEMBERSHIP_CONNECTED_CLOCK_TYPE_H
 #define POLLENSTALL_MEMBERSHIP_CONNECTED_CLOCK_TYPE_H
 
@@ -9,9 +9,10 @@
 namespace pollenstall {
 
 /**
- * Counts only the time in which a missing message says something about its sender. A process that
- * was paused for a minute or cut off from the network has received nothing; on the monotonic clock
- * it would expire the whole fleet when it resumes.
+ * Counts only the time in which this host was able to receive messages, so that a missing message
+ * is a sign of its sender's failure. A process that was paused for a minute or cut off from the
+ * network has received nothing; on the monotonic clock it would expire the whole fleet when it
+ * resumes.
  */
 class connected_clock {
 public:
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -76,7 +76,7 @@
 }
 
 void failure_detector::raiseMultiplier() {
-  HealthMultiplier = std::min(HealthMultiplier + 1, Settings.MaxLocalHealth);
+  HealthMultiplier = std::min(HealthMultiplier + 1, Settings.MaxHealthMultiplier);
 }
 
 void failure_detector::addRelayedPing(std::uint64_t Nonce, const relayed_ping &Ping) {
--- a/src/membership/failure_detector_base.h
+++ b/src/membership/failure_detector_base.h
@@ -77,7 +77,8 @@
   std::optional<active_probe> Probe;
   std::vector<host_name> Round;
   std::map<std::uint64_t, relayed_ping> Relayed;
-  std::uint32_t HealthMultiplier{0}; ///< 0 is best; the probe timeouts are scaled by one more.
+  std::uint32_t HealthMultiplier{
+      0}; ///< 0 means healthy; probe timeouts are multiplied by HealthMultiplier + 1.
 };
 
 } // namespace pollenstall
--- a/src/membership/host_table_base.h
+++ b/src/membership/host_table_base.h
@@ -65,7 +65,7 @@
   [[nodiscard]] std::size_t liveHostCount() const { return LiveHosts; }
   /// @return All entries by subject.
   [[nodiscard]] const std::map<std::uint64_t, host_entry> &entries() const { return Entries; }
-  /// @return The hash of each bucket; those of hosts come last among SyncBuckets.
+  /// @return The hash of each sync bucket; only the last HostBuckets are used here.
   [[nodiscard]] const std::array<std::uint64_t, SyncBuckets> &buckets() const { return Buckets; }
 
 private:
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -215,7 +215,7 @@
     if (Entry.Announcement.Leaving)
       Priority = update_priority::Leaving;
     queueUpdate(Change.Subject, Priority, Change.RecordChanged);
-  } else if (Change.ContradictsLoss) {
+  } else if (Change.ReportedLossIsStale) {
     queueUpdate(Change.Subject, update_priority::Lost, false);
   }
 }
--- a/src/membership/membership_base.h
+++ b/src/membership/membership_base.h
@@ -145,7 +145,9 @@
   mono_time FreshUntil;
   mono_time LastGossip;
   bool LastSyncDiffered{false}; ///< Whether the last exchange found different records.
-  bool Resyncing{true};         ///< The views were not compared since the start or a pause.
+  /// Set at the start and after a pause, until an exchange finds the backend records equal or there
+  /// is no host to sync with.
+  bool Resyncing{true};
   std::map<std::uint64_t, mono_time>
       ContactNonces;         ///< Send times of pings and syncs since the last pause, by nonce.
   mono_time NextContactPing; ///< Earliest time of the next extra ping.
--- a/src/membership/membership_dump.cpp
+++ b/src/membership/membership_dump.cpp
@@ -68,7 +68,7 @@
       << ",\"domain\":" << quoted(View.Announcement.Domain.str()) << ",\"standing\":\""
       << name(View.Status) << "\",\"report\":" << View.Load.Sequence
       << ",\"running\":" << View.Load.Running << ",\"waiting\":" << View.Load.Waiting
-      << ",\"age_ms\":" << milliseconds(Now - View.LoadReceivedAt) << "}";
+      << ",\"age_ms\":" << milliseconds(Now - View.LoadReportedAt) << "}";
 }
 
 } // namespace
--- a/src/membership/membership_gossip.cpp
+++ b/src/membership/membership_gossip.cpp
@@ -9,7 +9,9 @@
 namespace {
 
 constexpr mono_duration MinUrgentInterval = std::chrono::milliseconds(40);
-constexpr std::size_t MaxQueuedUpdates = 64; // above this, anti-entropy is cheaper than gossip
+// While this many updates are queued, further announcements are not added; anti-entropy is then
+// cheaper than gossip.
+constexpr std::size_t AnnouncementQueueLimit = 64;
 
 } // namespace
 
@@ -47,7 +49,7 @@
                                    bool FullRecord) {
   if (hasNoPeers() && Priority == update_priority::Announcement)
     return; // a joining host gets it by anti-entropy
-  if (Priority == update_priority::Announcement && Updates.size() >= MaxQueuedUpdates)
+  if (Priority == update_priority::Announcement && Updates.size() >= AnnouncementQueueLimit)
     return;
   Updates.add({Subject, Priority, gossipRounds(), FullRecord});
   if (Priority != update_priority::Announcement)
--- a/src/membership/membership_message_type.h
+++ b/src/membership/membership_message_type.h
@@ -25,7 +25,8 @@
 constexpr std::size_t MaxRecordBytes = 900;    ///< Bytes of one record, so that it fits a datagram.
 constexpr std::size_t MaxMessageItems = 64;    ///< Elements of any list in a message.
 
-/// A claim about one host. Claims are ordered by incarnation, refutation and status.
+/// A claim about one host. Claims are ordered by incarnation, then Left, then refutation number,
+/// then status; see versionOf().
 struct host_record {
   process_key Key;
   failure_domain_name Domain;
--- a/src/membership/membership_type.h
+++ b/src/membership/membership_type.h
@@ -90,7 +90,7 @@
   backend_announcement Announcement;
   backend_load Load;
   backend_status Status{backend_status::Active};
-  mono_time LoadReceivedAt; ///< When the load report arrived at this host.
+  mono_time LoadReportedAt; ///< When the backend server made the load report, on this host's clock.
 };
 
 } // namespace pollenstall
--- a/src/membership/record.cpp
+++ b/src/membership/record.cpp
@@ -12,24 +12,26 @@
 namespace {
 
 constexpr std::uint64_t HostSubjectBit = 1ULL << 63U; // the top bit of a subject
-constexpr std::uint64_t LeavingVersionBit = 1ULL << 63U;
-constexpr unsigned StandingBits = 2;
+/// Set in the version of a record that is Leaving or Left, which outranks any sequence or
+/// refutation.
+constexpr std::uint64_t FinalStatusBit = 1ULL << 63U;
+constexpr unsigned StatusBits = 2; // lowest bits of a host's version, for its host_status
 
 constexpr std::uint32_t MaxRefutation = 1U << 30U; // far below the overflow of the version
 
-constexpr std::size_t SizeTagBytes = 2;       // length before each text; a list count takes less
+constexpr std::size_t LengthPrefixBytes = 2;  // before each text; the count of a list takes less
 constexpr std::size_t EnvelopeBytes = 72;     // header with the fleet's name, list sizes, HMAC tag
 constexpr std::size_t HostFixedBytes = 16;    // incarnation, refutation, status
 constexpr std::size_t BackendFixedBytes = 64; // numbers and flags
 
-std::size_t textBytes(std::string_view Text) { return SizeTagBytes + Text.size(); }
+std::size_t textBytes(std::string_view Text) { return LengthPrefixBytes + Text.size(); }
 
 bool isNameWithinLimit(std::string_view Text) { return Text.size() <= MaxNameBytes; }
 
 std::size_t announcementBytes(const backend_announcement &Announcement) {
   std::size_t Bytes = BackendFixedBytes + textBytes(Announcement.Key.Address.str()) +
                       textBytes(Announcement.Service.str()) + textBytes(Announcement.Domain.str()) +
-                      2 * SizeTagBytes;
+                      2 * LengthPrefixBytes;
   for (const auto &[Name, Value] : Announcement.Labels)
     Bytes += textBytes(Name) + textBytes(Value);
   for (const model_name &Model : Announcement.Models)
@@ -53,13 +55,13 @@
           },
           [](const sync_request &) { return NumberBytes * (1 + SyncBuckets); },
           [](const sync_versions &Answer) {
-            return 3 * NumberBytes + SizeTagBytes + Answer.Versions.size() * VersionWireBytes;
+            return 3 * NumberBytes + LengthPrefixBytes + Answer.Versions.size() * VersionWireBytes;
           },
           [](const sync_fetch &Fetch) {
-            return SizeTagBytes + Fetch.Subjects.size() * NumberBytes;
+            return LengthPrefixBytes + Fetch.Subjects.size() * NumberBytes;
           },
           [](const load_query &Query) {
-            return SizeTagBytes + Query.Backends.size() * sizeof(std::uint32_t);
+            return LengthPrefixBytes + Query.Backends.size() * sizeof(std::uint32_t);
           }},
       Body);
 }
@@ -81,16 +83,16 @@
 std::size_t backendBucket(std::uint64_t Subject) { return Subject % BackendBuckets; }
 
 subject_version versionOf(const host_record &Record) {
-  const std::uint64_t Refuted = static_cast<std::uint64_t>(Record.Refutation) << StandingBits;
+  const std::uint64_t Refuted = static_cast<std::uint64_t>(Record.Refutation) << StatusBits;
   const bool Left = Record.Status == host_status::Left;
   const std::uint64_t Version = Refuted + static_cast<std::uint64_t>(Record.Status);
   return {subjectOf(Record.Key.Host), Record.Key.Incarnation.value(),
-          Left ? LeavingVersionBit | Version : Version};
+          Left ? FinalStatusBit | Version : Version};
 }
 
 subject_version versionOf(const backend_announcement &Announcement, std::uint64_t Sequence) {
   return {subjectOf(Announcement.Key.Address), Announcement.Key.Incarnation.value(),
-          Announcement.Leaving ? LeavingVersionBit | Sequence : Sequence};
+          Announcement.Leaving ? FinalStatusBit | Sequence : Sequence};
 }
 
 bool newerThan(const subject_version &A, const subject_version &B) {
@@ -104,7 +106,7 @@
 std::size_t wireBytes(const host_record &Record) {
   std::size_t Bytes = HostFixedBytes + textBytes(Record.Key.Host.str()) +
                       textBytes(Record.Domain.str()) + textBytes(Record.Accuser.str()) +
-                      SizeTagBytes;
+                      LengthPrefixBytes;
   for (const peer_address &Address : Record.Addresses)
     Bytes += textBytes(Address.str());
   return Bytes;
@@ -143,7 +145,7 @@
 
 bool wellFormed(const backend_record &Record) {
   return wellFormed(Record.Announcement) && wireBytes(Record) <= MaxRecordBytes &&
-         Record.Sequence < LeavingVersionBit &&
+         Record.Sequence < FinalStatusBit &&
          Record.Load.Backend == digestId(Record.Announcement.Key);
 }
 
--- a/src/membership/record_func.h
+++ b/src/membership/record_func.h
@@ -9,10 +9,10 @@
 
 namespace pollenstall {
 
-/// @return The key by which hosts compare a host's record.
+/// @return The subject of a host: a hash of its name, by which hosts identify its record when they
+/// compare records.
 std::uint64_t subjectOf(const host_name &Host);
-/// @return The key by which hosts compare a backend server's record; the same for every
-/// incarnation.
+/// @return The subject of a backend server: a hash of its address, the same for every incarnation.
 std::uint64_t subjectOf(const backend_address &Address);
 
 /// @return Whether a subject is a host; otherwise it is a backend server.
--- a/src/orphan/orphan_reaper.cpp
+++ b/src/orphan/orphan_reaper.cpp
@@ -9,7 +9,7 @@
   const auto Found = Hosts.find(View.Key.Host);
   const bool Unchanged = Found != Hosts.end() &&
                          Found->second.Incarnation == View.Key.Incarnation &&
-                         Found->second.Standing == View.Status;
+                         Found->second.Status == View.Status;
   if (!Unchanged)
     Hosts.insert_or_assign(View.Key.Host, host_state{View.Key.Incarnation, View.Status, Now});
 }
@@ -26,7 +26,7 @@
   const std::uint64_t OwnScore = stableHash(Self.Host.str(), Seed);
   return std::all_of(Hosts.begin(), Hosts.end(), [&](const auto &Entry) {
     const auto &[Name, Host] = Entry;
-    return Name == Self.Host || Host.Standing != host_status::Alive ||
+    return Name == Self.Host || Host.Status != host_status::Alive ||
            stableHash(Name.str(), Seed) <= OwnScore;
   });
 }
@@ -56,9 +56,9 @@
   if (Incarnation != Host.Incarnation)
     // A newer incarnation under the same name means that the older one has ended.
     return Incarnation < Host.Incarnation;
-  if (Host.Standing == host_status::Left)
+  if (Host.Status == host_status::Left)
     return true;
-  return Host.Standing == host_status::Dead && Now - Host.StandingSince >= Options.DeadHostGrace;
+  return Host.Status == host_status::Dead && Now - Host.StatusSince >= Options.DeadHostGrace;
 }
 
 bool orphan_reaper::isUnknownForTooLong(const process_key &Owner, mono_time Now) {
--- a/src/relay/event_outbox_base.h
+++ b/src/relay/event_outbox_base.h
@@ -21,7 +21,7 @@
 
   void push(Event NewEvent) {
     // Only this side pushes, so the room found here cannot disappear.
-    if (Queue.empty() && Ring.room() > 0)
+    if (Queue.empty() && Ring.freeCapacity() > 0)
       Ring.push(std::move(NewEvent));
     else
       Queue.push_back(std::move(NewEvent));
@@ -36,7 +36,7 @@
 
   /// Returns whether new work may be pushed. @param Reserve Ring slots reserved for admitted work.
   [[nodiscard]] bool hasRoom(std::size_t Reserve) const {
-    return Queue.empty() && Ring.room() > Reserve;
+    return Queue.empty() && Ring.freeCapacity() > Reserve;
   }
   [[nodiscard]] std::size_t queued() const { return Queue.size(); }
 
--- a/src/scheduling/scheduler_attempt.cpp
+++ b/src/scheduling/scheduler_attempt.cpp
@@ -82,7 +82,7 @@
 
 void scheduler::updateTrackers(scheduled_backend &Record) {
   const backend_load &Load = Record.View.Load;
-  const mono_time ReportReceivedAt = Record.View.LoadReceivedAt;
+  const mono_time ReportReceivedAt = Record.View.LoadReportedAt;
   Record.OwnInReport = 0;
   for (const auto &[PlacementId, Placement] : OpenPlacements) {
     if (Placement.Backend != Record.key() || Placement.Placed + ReportLag > ReportReceivedAt)
--- a/tests/control/control_cluster.cpp
+++ b/tests/control/control_cluster.cpp
@@ -211,15 +211,15 @@
 
 void test_entry::take(const declaration_received &Event) {
   ++ReceivedDeclarations;
-  const offer_verdict Verdict = Freshness.offer(Event.Revision);
-  if (Verdict == offer_verdict::Stale) {
+  const declaration_action Verdict = Freshness.actionFor(Event.Revision);
+  if (Verdict == declaration_action::Stale) {
     ++ReceivedStale;
     return;
   }
   Freshness.markInUse(Event.Revision);
   Text = Event.Text;
   if (ConfirmsRevisions)
-    Link->request(revision_confirmed{Event.Revision});
+    Link->request(confirm_revision{Event.Revision});
 }
 
 void test_entry::take(const lease_extended &Event) {
@@ -238,13 +238,14 @@
   const request_number ClaimRequest(Request);
   Verdicts.erase(ClaimRequest);
   Link->request(
-      claim_requested{{ClaimRequest, Key, boot_clock::now() + Limit}, std::chrono::hours(1)});
+      request_claim{{ClaimRequest, Key, boot_clock::now() + Limit}, std::chrono::hours(1)});
   EXPECT_TRUE(pumpUntil([&] { return Verdicts.count(ClaimRequest) != 0; }, 2 * Limit));
   return Verdicts[ClaimRequest];
 }
 
 void test_entry::settle(std::uint64_t Request, const std::string &Key, claim_state FinalState) {
-  Link->request(claim_settled{{request_number(Request), Key, FinalState}, std::chrono::hours(1)});
+  Link->request(
+      report_claim_outcome{{request_number(Request), Key, FinalState}, std::chrono::hours(1)});
 }
 
 } // namespace pollenstall
--- a/tests/control/entry_server_test.cpp
+++ b/tests/control/entry_server_test.cpp
@@ -191,7 +191,7 @@
   std::size_t Announced = 0;
   for (const outgoing_reply &Outgoing : Sent) {
     Texts += std::holds_alternative<link_declaration>(Outgoing.Reply) ? 1 : 0;
-    Announced += std::holds_alternative<link_declared>(Outgoing.Reply) ? 1 : 0;
+    Announced += std::holds_alternative<link_declaration_announced>(Outgoing.Reply) ? 1 : 0;
   }
   EXPECT_EQ(Announced, Entries);
   EXPECT_LT(Texts, Entries) << "texts are sent one after another";
--- a/tests/control/simulated_fleet.cpp
+++ b/tests/control/simulated_fleet.cpp
@@ -216,7 +216,7 @@
   Entry.ReadingUntil = std::max(Clock.now(), Entry.ReadingUntil) + Reading;
   Clock.at(Entry.ReadingUntil, [this, Index, Revision] {
     entry &Reader = Entries[Index];
-    if (Reader.Lease.offer(Revision) != offer_verdict::Take)
+    if (Reader.Lease.actionFor(Revision) != declaration_action::Take)
       return;
     Reader.Lease.markInUse(Revision);
     for (auto &[Change, Progress] : Progresses)
--- a/tests/control_state/control_link_test.cpp
+++ b/tests/control_state/control_link_test.cpp
@@ -19,7 +19,7 @@
 std::vector<link_reply> sampleReplies() {
   return {link_declaration{revision(3), pack("text")},
           link_lease{1, revision(3), 5000},
-          link_declared{revision(4)},
+          link_declaration_announced{revision(4)},
           link_not_leader{"127.0.0.1:1"},
           link_claim_answer{4, claim_status::Running},
           link_settle_answer{4},
@@ -63,7 +63,7 @@
 
 class PendingCallsTest : public testing::Test {
 protected:
-  claim_requested claimWanted(std::uint64_t Request, mono_time AnswerBy) {
+  request_claim claimWanted(std::uint64_t Request, mono_time AnswerBy) {
     return {{request_number(Request), "account/key", AnswerBy}, std::chrono::seconds(60)};
   }
 
@@ -75,18 +75,18 @@
   const auto Message =
       Ledger.acquire(claimWanted(1, Now + std::chrono::seconds(1)), unix_millis(0));
   EXPECT_EQ(Ledger.unanswered().size(), 1U);
-  const auto Event = Ledger.answered({Message.Call, claim_status::Granted});
+  const auto Event = Ledger.handleClaimAnswer({Message.Call, claim_status::Granted});
   ASSERT_TRUE(Event);
   EXPECT_EQ(Event->Request, request_number(1));
   EXPECT_TRUE(Ledger.unanswered().empty());
-  EXPECT_FALSE(Ledger.answered({Message.Call, claim_status::Granted}));
+  EXPECT_FALSE(Ledger.handleClaimAnswer({Message.Call, claim_status::Granted}));
 }
 
 TEST_F(PendingCallsTest, ReleaseTheirClaimOnTimeout) {
   // The answer with the grant is lost. The entry gets the verdict Unavailable and runs nothing, so
   // the key must be released, or no other request can use it until the claim expires.
   const auto Message = Ledger.acquire(claimWanted(1, Now), unix_millis(0));
-  const auto Events = Ledger.expire(Now);
+  const auto Events = Ledger.timeOut(Now);
   ASSERT_EQ(Events.size(), 1U);
   EXPECT_EQ(Events[0].Status, claim_status::Unavailable);
   const auto Releases = Ledger.takeReleases();
@@ -94,9 +94,9 @@
   EXPECT_EQ(Releases[0].Claim.Standing, claim_state::Released);
   EXPECT_EQ(Releases[0].Claim.Holder, Message.Claim.Holder);
   EXPECT_EQ(Ledger.unanswered().size(), 1U);
-  EXPECT_FALSE(Ledger.answered({Message.Call, claim_status::Granted}))
+  EXPECT_FALSE(Ledger.handleClaimAnswer({Message.Call, claim_status::Granted}))
       << "the answer is too late to run the request";
-  Ledger.settled({Releases[0].Call});
+  Ledger.handleSettleAnswer({Releases[0].Call});
   EXPECT_TRUE(Ledger.unanswered().empty());
 }
 
--- a/tests/control_state/in_force_test.cpp
+++ b/tests/control_state/in_force_test.cpp
@@ -88,7 +88,7 @@
   declaration_lease Freshness;
   const mono_time Now(std::chrono::seconds(10));
   EXPECT_FALSE(Freshness.ready(Now));
-  EXPECT_EQ(Freshness.offer(revision(3)), offer_verdict::Take);
+  EXPECT_EQ(Freshness.actionFor(revision(3)), declaration_action::Take);
   Freshness.markInUse(revision(3));
   EXPECT_FALSE(Freshness.ready(Now));
   Freshness.extend(revision(3), Now + milliseconds(5));
@@ -99,9 +99,9 @@
 TEST(EntryFreshness, AppliesOnlyNewerRevisions) {
   declaration_lease Freshness;
   Freshness.markInUse(revision(3));
-  EXPECT_EQ(Freshness.offer(revision(2)), offer_verdict::Stale);
-  EXPECT_EQ(Freshness.offer(revision(3)), offer_verdict::Repeat);
-  EXPECT_EQ(Freshness.offer(revision(4)), offer_verdict::Take);
+  EXPECT_EQ(Freshness.actionFor(revision(2)), declaration_action::Stale);
+  EXPECT_EQ(Freshness.actionFor(revision(3)), declaration_action::Repeat);
+  EXPECT_EQ(Freshness.actionFor(revision(4)), declaration_action::Take);
 }
 
 TEST(EntryFreshness, LagsUntilTheAnnouncedRevisionIsInUse) {
--- a/tests/directory/directory_test.cpp
+++ b/tests/directory/directory_test.cpp
@@ -53,8 +53,8 @@
   EXPECT_EQ(LeavingListings[0].State, listing_state::Leaving);
 }
 
-// The notice "ready" was sent before "leaving" and arrives after it. If the backend server became
-// active again, work placed on it would be cut off when it ends.
+// A notice without Leaving was sent before the one with Leaving and arrives after it. If the
+// backend server became active again, work placed on it would be cut off when it ends.
 TEST_F(BackendDirectoryTest, LeavingSticksAgainstALateNotice) {
   handleNotice(makeNotice("a", 1));
   handleNotice(makeNotice("a", 3, true));
@@ -64,8 +64,8 @@
 }
 
 // An incarnation crashed behind a partition; a new one holds its address and sends notices. Then
-// the partition ends and the last notice of the old incarnation arrives. If it counted as new, it
-// would remove the live one.
+// the partition ends and the last notice of the old incarnation arrives. If that notice counted
+// as one of a new incarnation, the live incarnation would be removed.
 TEST_F(BackendDirectoryTest, AFormerIncarnationDoesNotReplaceAnActiveOne) {
   handleNotice(makeNotice("new", 1));
   advanceTime(500ms);
@@ -79,7 +79,7 @@
 
 // A backend server crashed and restarted immediately: the old incarnation sends no more notices,
 // the new one does.
-TEST_F(BackendDirectoryTest, AnIncarnationWithFurtherNoticesReplacesAnIdleOne) {
+TEST_F(BackendDirectoryTest, AnIncarnationThatSendsNoticesReplacesASilentOne) {
   handleNotice(makeNotice("a", 9));
   advanceTime(300ms);
   EXPECT_TRUE(handleNotice(makeNotice("b", 1)).empty());
@@ -91,7 +91,7 @@
   EXPECT_TRUE(handleNotice(makeNotice("a", 10)).empty()) << "an ended incarnation never returns";
 }
 
-TEST_F(BackendDirectoryTest, AWithdrawalEndsAnIncarnationPermanently) {
+TEST_F(BackendDirectoryTest, AWithdrawnIncarnationNeverBecomesActiveAgain) {
   handleNotice(makeNotice("a", 1));
   EXPECT_EQ(Directory.withdraw({instance_name("a"), {}}, Now).size(), 1U);
   EXPECT_TRUE(handleNotice(makeNotice("a", 2)).empty());
@@ -139,14 +139,15 @@
   }
 };
 
-// After a loss of all control hosts, requests wait, and backend servers send their next notice only
-// within their interval.
+// After the failure of all control hosts, requests already wait, but notices arrive only within the
+// next notice interval. Until then the leader uses the restored list.
 TEST_F(RestoredDirectoryTest, ListsTheFormerLeadersBackendServers) {
   EXPECT_EQ(active(), std::vector<std::string>{"a"});
 }
 
-// The backend server may have ended while there was no leader, or its control hosts lost power. The
-// restored list contains no sequences.
+// While there was no leader, for example because the control hosts lost power, the backend server
+// may have ended and started again. The restored list contains no sequences, so the first notice is
+// accepted with any sequence.
 TEST_F(RestoredDirectoryTest, AcceptsTheFirstNoticeWithAnySequence) {
   const auto LeavingListings = handleNotice(makeNotice("a", 1, true));
   ASSERT_EQ(LeavingListings.size(), 1U);
@@ -229,7 +230,8 @@
 }
 
 // An address is used by one engine at a time. Its holder has sent no notice for a while when a
-// notice arrives that a partition delayed. Its sender began before the holder did, so it has ended.
+// notice arrives that a partition delayed. The sender of that notice started before the holder
+// did, so that sender has ended.
 TEST_F(ReusedInstanceNameTest, KeepsItsAddressAgainstAnEarlierIncarnationOfAnotherName) {
   handleNotice(makeNoticeOf(2'000, 1));
   advanceTime(10s);
@@ -293,8 +295,9 @@
   }
 };
 
-// The leader that a backend server notified that it leaves is gone. The next leader has no notices
-// yet. What it does not list must neither be dropped immediately nor used permanently.
+// A backend server may have notified a leader that it leaves, and then that leader failed. The next
+// leader has no notices yet. What it does not list must neither be dropped immediately nor used
+// permanently.
 TEST_F(DirectoryFollowerTest, KeepsUnconfirmedListingsForAGracePeriod) {
   Follower.applyFullList({makeListing("a", listing_state::Active)}, Now);
   EXPECT_TRUE(Follower.applyFullList({}, Now).empty());
--- a/tests/membership/backend_table_test.cpp
+++ b/tests/membership/backend_table_test.cpp
@@ -44,19 +44,19 @@
   backend_table Table{membership_settings{}};
 };
 
-TEST_F(KnownBackendTest, IgnoresRemoteLossWhileItsReportIsRecent) {
+TEST_F(KnownBackendTest, IgnoresARemoteLossClaimWhileTheLocalReportIsRecent) {
   Table.merge(digest(10, {0s, false, true}), after(1s));
   EXPECT_EQ(status(), backend_status::Active);
 }
 
-TEST_F(KnownBackendTest, AcceptsRemoteLossWhenItsReportIsOld) {
+TEST_F(KnownBackendTest, AcceptsARemoteLossClaimWhenTheLocalReportIsOld) {
   Table.merge(digest(10, {5s, false, true}), after(4s));
   EXPECT_EQ(status(), backend_status::Lost);
 }
 
-TEST_F(KnownBackendTest, ContradictsLossAfterANewerReport) {
+TEST_F(KnownBackendTest, DetectsAStaleLossClaimAfterANewerReport) {
   Table.merge(digest(11, {}), after(1s));
-  EXPECT_TRUE(Table.merge(digest(10, {5s, false, true}), after(5s)).ContradictsLoss);
+  EXPECT_TRUE(Table.merge(digest(10, {5s, false, true}), after(5s)).ReportedLossIsStale);
   EXPECT_EQ(status(), backend_status::Active);
 }
 
--- a/tests/membership/fake_network.h
+++ b/tests/membership/fake_network.h
@@ -30,7 +30,7 @@
 struct fake_host {
   std::unique_ptr<fleet_membership> Process; ///< Null while it is down.
   process_key Key;
-  mono_time WakeAt; ///< Wake events for other times are stale.
+  mono_time WakeAt; ///< Time of the pending wake event; events at other times are ignored.
   bool Frozen{false};
   std::vector<std::pair<membership_message, peer_address>> Unread; ///< Arrived while frozen.
 };
@@ -40,7 +40,8 @@
   backend_announcement Announcement;
   backend_load Load;
   std::size_t Host{0}; ///< The host that receives its announcements.
-  bool Sticky{true};   ///< Keeps a running host; otherwise the host changes each time.
+  bool Sticky{true}; ///< Announces to the same host while it runs; otherwise to another random host
+                     ///< each time.
   bool Alive{true};
 };
 
@@ -52,7 +53,7 @@
 
   /// Called with every action of every process, including sent messages.
   std::function<void(std::size_t Host, const membership_action &)> OnAction;
-  /// Wraps each call into a process, so that a benchmark can measure it.
+  /// Called around each call of a fleet_membership, so that a benchmark can measure the call.
   std::function<void(const std::function<void()> &Call)> CallWrapper = [](const auto &Call) {
     Call();
   };
--- a/tests/membership/fleet_test.cpp
+++ b/tests/membership/fleet_test.cpp
@@ -46,9 +46,9 @@
   EXPECT_TRUE(Net.runUntil([this] { return Net.allSeeHost(5, host_status::Alive); }, 5s));
 }
 
-// Two processes have the same host name. The host's clock was set back before its process
-// restarted, so the restarted process has the lower incarnation and the fleet would ignore it
-// permanently. It must learn that, or it would serve from views that are never updated.
+// A host's clock was set back before its process restarted, so the new process has a lower
+// incarnation than the previous one, and the fleet would ignore it permanently. The new process
+// must learn that it is superseded, or it would serve from views that are never updated.
 TEST_F(EightHostsTest, NotifyASupersededProcess) {
   membership_message Message;
   Message.Sender = Net.Hosts[0].Key;
@@ -66,7 +66,7 @@
 }
 
 // Host 2 cannot reach host 3 while all other paths work, so its direct pings get no answer. Other
-// hosts ping host 3 on its behalf, so no host is suspected and callers are not affected.
+// hosts ping host 3 on its behalf, so no host is suspected.
 TEST_F(EightHostsTest, KeepAHostAliveDespiteAnAsymmetricCut) {
   int NotAliveCount = 0;
   Net.OnAction = [&NotAliveCount](std::size_t, const membership_action &Action) {
@@ -111,10 +111,9 @@
   EXPECT_TRUE(Net.runUntil([this] { return Net.allSeeAllHostsAlive(); }, 40s));
 }
 
-// A randomised run found this failure: all hosts are down but one that is no seed, then one of the
-// three seeds starts and knows no peer. The first host contacted one random seed every five
-// seconds, so for half a minute each of them served without the engines that announced themselves
-// to the other.
+// A randomised run found this failure: only host 3 runs, which is no seed; then one of the three
+// seeds starts and knows no peer. Host 3 contacted one random seed every five seconds, so for half
+// a minute neither of the two knew the engines that announced themselves to the other.
 TEST_F(EightHostsTest, FindTheOnlySeedThatRestarts) {
   for (std::size_t Host = 0; Host < 8; ++Host)
     Net.stop(Host);
@@ -172,10 +171,11 @@
   EXPECT_TRUE(Net.allSeeBackend(1, backend_status::Leaving));
 }
 
-// An engine announces that it leaves, then an announcement that was sent before arrives late at
-// another host. If that made the engine active again, it would get new requests and cut them off
-// when it ends. Leaving therefore sticks to the incarnation, whatever arrives later.
-TEST_F(BackendsTest, LeavingSticksAgainstOlderAndNewerAnnouncements) {
+// After an engine announced that it leaves, an announcement without Leaving arrives at another
+// host, for example an earlier one that is late. If it made the engine active again, the engine
+// would get new requests and cut them off when it ends. Leaving therefore sticks to the
+// incarnation, whatever arrives later.
+TEST_F(BackendsTest, LeavingSticksAgainstNewerAnnouncements) {
   leave(1);
   Net.runFor(2s);
   Net.Backends[1].Announcement.Leaving = false;
@@ -198,7 +198,7 @@
   EXPECT_TRUE(Net.allSeeBackend(1, backend_status::Active));
 }
 
-// An entry is paused while an engine starts to leave, and resumes a minute later. Its views still
+// A host is paused while an engine starts to leave, and resumes a minute later. Its views still
 // list the engine as Active. Between the resumption and the first exchange it would place work on
 // the leaving engine, so its views are not fresh until another host has compared records with it.
 TEST_F(BackendsTest, APausedHostIsNotFreshBeforeItHasSynced) {
@@ -274,7 +274,7 @@
       }
 }
 
-/// Enough engines that each one's report is gossiped only every five seconds.
+/// So many engines that the bandwidth budget permits one gossiped report of each in five seconds.
 class ManyBackendsTest : public EightHostsTest {
 protected:
   void SetUp() override {
@@ -291,7 +291,7 @@
   int LostCount{0};
 };
 
-TEST_F(ManyBackendsTest, StayActiveDespiteOldReports) {
+TEST_F(ManyBackendsTest, StayActiveWhenReportsAreGossipedRarely) {
   Net.runFor(60s);
   EXPECT_EQ(LostCount, 0);
 }
@@ -303,10 +303,10 @@
   EXPECT_TRUE(Net.allSeeBackend(7, backend_status::Leaving));
 }
 
-// A host received its engines' reports directly and was paused, and the engines continued at other
-// hosts. When it resumes, it would count the seconds until their reports arrive through the gossip
-// as missing reports, and as their direct receiver be the first to declare them lost. It must query
-// its peers before.
+// A host that receives the reports of some engines directly is paused, and the engines report to
+// other hosts. When it resumes, their new reports reach it only seconds later, through the gossip.
+// As their former direct receiver, it would be the first to declare them lost. It must query its
+// peers first.
 TEST_F(ManyBackendsTest, APausedHostQueriesPeersBeforeExpiry) {
   Net.freeze(4);
   Net.runFor(30s);
--- a/tests/membership/random_fleet_test.cpp
+++ b/tests/membership/random_fleet_test.cpp
@@ -187,7 +187,7 @@
     if (Actual.Alive) {
       const bool Leaving = Actual.Announcement.Leaving;
       if (Status != (Leaving ? backend_status::Leaving : backend_status::Active))
-        recordViolation("wrong view" + Suffix + ", standing " +
+        recordViolation("wrong view" + Suffix + ", status " +
                         std::to_string(Status ? static_cast<int>(*Status) : -1));
     } else if (Status && *Status != backend_status::Lost) {
       recordViolation("not lost without announcements" + Suffix);
