--- a/bench/decision/work_bench.cpp
+++ b/bench/decision/work_bench.cpp
@@ -66,7 +66,7 @@
            failure_domain_name("d" + std::to_string(Entry % (OtherDomainCount + 1)))});
     View.setEntries(EntryList, Now);
     Placer.applyDeclaration(makeDeclaration());
-    Placer.updateExchange(View.facts());
+    Placer.updateExchange(View.exchangeStats());
     for (std::size_t Engine = 0; Engine < Engines; ++Engine)
       Placer.updateBackend(makeListing(Engine));
     for (std::size_t Report = 0; Report < 4 * Engines; ++Report)
--- a/programs/pollenstall-control/entry_server.cpp
+++ b/programs/pollenstall-control/entry_server.cpp
@@ -30,7 +30,7 @@
 claim_status verdictOf(const std::optional<control_answer> &Answer) {
   const auto *Acquired = Answer ? std::get_if<claim_acquire_answer>(&*Answer) : nullptr;
   const bool HasVerdict = Acquired != nullptr && succeeded(*Acquired);
-  return HasVerdict ? valueOf(*Acquired) : VerdictOnRefusal;
+  return HasVerdict ? valueOf(*Acquired) : StatusOnRefusal;
 }
 
 } // namespace
--- a/programs/pollenstall-entry/decision_core.cpp
+++ b/programs/pollenstall-entry/decision_core.cpp
@@ -68,7 +68,7 @@
     onAttemptEnded(Ending, Now);
   };
   Callbacks.GroupsFor = [this](const request_facts &Facts) { return groupsFor(Facts); };
-  Callbacks.Resumes = [this](const backend_key &Backend) {
+  Callbacks.SupportsResume = [this](const backend_key &Backend) {
     const auto Found = Backends.find(Backend);
     return Found != Backends.end() && Found->second.Announcement.Capabilities.Resumes;
   };
--- a/programs/pollenstall-entry/decision_core_base.h
+++ b/programs/pollenstall-entry/decision_core_base.h
@@ -43,7 +43,7 @@
   void handleEvent(const backends_listed &Listed, mono_time Now);
   /// Updates the work in flight at other entries where it changed, and the facts of the exchange.
   void updatePeerLoads(const peer_work_update &Others, mono_time Now) {
-    Placer.updateExchange(Others.Facts);
+    Placer.updateExchange(Others.ExchangeStats);
     Placer.updateOthersLoads(Others.ChangedLoads, Now);
   }
   [[nodiscard]] std::vector<work_load> ownLoads(mono_time Now) const {
--- a/src/claim/claim_type.h
+++ b/src/claim/claim_type.h
@@ -97,7 +97,7 @@
 
 /// The verdict that the entry gets if the table refuses an acquire or the log does not answer in
 /// time. Nothing was claimed for the request, so it must not run.
-constexpr claim_status VerdictOnRefusal = claim_status::Unavailable;
+constexpr claim_status StatusOnRefusal = claim_status::Unavailable;
 
 } // namespace pollenstall
 
--- a/src/control_state/control_state_cmd.cpp
+++ b/src/control_state/control_state_cmd.cpp
@@ -164,7 +164,7 @@
 }
 
 control_answer control_state::executeCommand(const clear_suspect &Command) {
-  Suspects.clear(Command.High);
+  Suspects.clearByHigh(Command.High);
   return suspects_updated{};
 }
 
--- a/src/dispatch/abandoned_tracker.cpp
+++ b/src/dispatch/abandoned_tracker.cpp
@@ -12,13 +12,14 @@
 constexpr mono_duration MaxBackoff = std::chrono::seconds(10);
 /// Enough doublings to reach the maximum backoff; the limit keeps the shift from overflowing.
 constexpr std::uint32_t MaxDoublings = 6;
-/// How long bytes of a closed connection may still arrive at a slow backend server.
+/// How long after an attempt was abandoned a slow backend server may still start it: bytes of the
+/// closed connection may still arrive there.
 constexpr mono_duration LateStartWindow = std::chrono::seconds(15);
 
 } // namespace
 
 bool abandoned_attempt::canNoLongerStart(mono_time Now) const {
-  return hasAnswered(ReachedState) || Now - AbandonedAt >= LateStartWindow;
+  return isMidAnswer(ReachedState) || Now - AbandonedAt >= LateStartWindow;
 }
 
 void abandoned_tracker::add(abandoned_attempt Attempt, mono_time Now) {
--- a/src/dispatch/abandoned_tracker_base.h
+++ b/src/dispatch/abandoned_tracker_base.h
@@ -21,7 +21,8 @@
   attempt_id Attempt;
   backend_key Backend;
   attempt_lifecycle Lifecycle;                           ///< In state Cancelling.
-  attempt_state ReachedState{attempt_state::Connecting}; ///< Last state known; late events count.
+  attempt_state ReachedState{attempt_state::Connecting}; ///< Furthest state reached; later events
+                                                         ///< still update it.
   std::optional<attempt_failure> Failure;
   std::optional<std::string> ClaimKey; ///< Set if its claim was settled as Unknown.
   std::chrono::milliseconds ClaimLifetime{0};
--- a/src/dispatch/attempt_type.h
+++ b/src/dispatch/attempt_type.h
@@ -39,8 +39,9 @@
          State == attempt_state::Gone;
 }
 
-/// @return Whether part of the answer may have reached the caller.
-constexpr bool hasAnswered(attempt_state State) {
+/// @return Whether the attempt is in the middle of its answer: part of the answer was relayed, and
+/// the attempt has not ended.
+constexpr bool isMidAnswer(attempt_state State) {
   return State == attempt_state::Answering || State == attempt_state::Resuming;
 }
 
--- a/src/dispatch/dispatch_dump_type.h
+++ b/src/dispatch/dispatch_dump_type.h
@@ -14,7 +14,7 @@
 
 /// What a request is waiting for.
 enum class request_phase : std::uint8_t {
-  Claiming, ///< The claim on its key.
+  Claiming, ///< The claim on its key, if one is needed. Also the initial phase.
   Queued,   ///< A placement by the scheduler.
   Running,  ///< The answer of its attempt.
 };
@@ -28,10 +28,10 @@
   std::uint64_t Attempts{0};
   std::uint64_t Retries{0};
   std::uint64_t RetriesOverBudget{0}; ///< Retries that the budget refused.
-  std::uint64_t Resumes{0};
-  std::uint64_t Abandoned{0};     ///< Attempts abandoned while the backend server may run them.
-  std::uint64_t CancelsSent{0};   ///< Includes repeated cancels.
-  std::uint64_t IgnoredEvents{0}; ///< Late, duplicate or misrouted events.
+  std::uint64_t Resumes{0};           ///< Resumes of broken answers.
+  std::uint64_t Abandoned{0};         ///< Attempts abandoned while the backend server may run them.
+  std::uint64_t CancelsSent{0};       ///< Includes repeated cancels.
+  std::uint64_t IgnoredEvents{0};     ///< Late, duplicate or misrouted events.
 };
 
 /// One request that has no final answer yet.
--- a/src/dispatch/dispatch_type.h
+++ b/src/dispatch/dispatch_type.h
@@ -29,13 +29,14 @@
   mono_time Arrived;
   mono_time Deadline; ///< The caller gets its final answer by this time.
 
-  // Set if the call's route declares rules of its own; the defaults mean that it declares none.
+  // Set by the request's declared route, but AnswerHint and Continues by the caller. The defaults
+  // mean that nothing is declared.
   std::vector<std::pair<service_name, std::uint32_t>> Services; ///< With their weights.
-  bool Resumable{false};                   ///< Another server may continue a broken stream.
-  std::uint32_t MaxAttempts{0};            ///< 0: the declaration's limits apply.
-  std::uint32_t Urgency{0};                ///< Declared priority; 0 is the most urgent.
-  std::chrono::milliseconds Target{0};     ///< Time to the first event; 0 if none is declared.
-  std::chrono::milliseconds LongestGap{0}; ///< Between two events; 0 if none is declared.
+  bool Resumable{false};        ///< Another server may continue a broken stream.
+  std::uint32_t MaxAttempts{0}; ///< Declared by the route; 0: the limits of the declaration apply.
+  std::uint32_t Urgency{0};     ///< Declared priority; 0 is the most urgent.
+  std::chrono::milliseconds Target{0}; ///< Declared limit of the time to the first event; 0: none.
+  std::chrono::milliseconds LongestGap{0}; ///< Declared limit between two events; 0: none.
   tokens AnswerHint;                       ///< The caller's estimate; 0 if it sent none.
   bool Continues{false}; ///< The caller has part of the answer from an earlier, broken request.
 };
@@ -76,8 +77,8 @@
   ErrorAnswer,  ///< A complete answer with a 5xx status; the work may have been done.
   BadAnswer,    ///< The answer is not valid HTTP or belongs to another attempt.
   TimedOut,     ///< No answer arrived within the attempt's timeout.
-  NotWanted,    ///< Not sent because the caller had left or the deadline had passed; the backend
-                ///< server is not at fault.
+  NotWanted, ///< Not sent, without fault of the backend server: the caller had left, the deadline
+             ///< had passed, or the caller had bytes of an older attempt.
 };
 
 /// @return Whether the failure implies that no byte of the request was written.
@@ -137,7 +138,7 @@
 struct attempt_failed {
   attempt_id Attempt;
   attempt_failure Failure{attempt_failure::NotConnected};
-  backend_address AtFault{}; ///< The cause, if the backend server named another one.
+  backend_address AtFault{}; ///< The server at fault, if the backend server blamed another one.
 };
 /// The backend server confirmed that it holds no resources of the attempt.
 struct cancel_confirmed {
@@ -158,8 +159,8 @@
 /// Makes a claim on the key durable before the work is sent to a backend server.
 struct acquire_claim {
   request_number Request;
-  std::string Key; ///< Account and idempotency key, joined so that accounts cannot collide.
-  mono_time AnswerBy;
+  std::string Key;    ///< Account and idempotency key, joined so that accounts cannot collide.
+  mono_time AnswerBy; ///< The claim must be answered by this time.
   std::chrono::milliseconds Lifetime{0}; ///< From now; covers the deadline and callers' resends.
 };
 /**
@@ -180,18 +181,20 @@
 };
 /**
  * Starts an attempt. The relay forwards answer bytes of the newest attempt only. If bytes of an
- * older attempt have already reached the caller, it does not start this one and reports NotWanted.
+ * older attempt have already reached the caller, it does not start this one and reports NotWanted,
+ * unless the request is Resumable and the new attempt can continue the event stream.
  */
 struct start_attempt {
   attempt_id Attempt;
   backend_key Backend;
   std::uint32_t Priority{0};          ///< Lower values run first.
-  mono_time AnswerBy;                 ///< Deadline of the first byte; the dispatcher enforces it.
+  mono_time FirstByteBy;              ///< Deadline of the first byte; the dispatcher enforces it.
   bool MayRetry{false};               ///< The relay keeps the body until the answer begins.
-  std::vector<backend_key> Helpers{}; ///< Engines that read parts of the prompt.
-  std::vector<memory_hold> Holds{};   ///< Memory at helpers that the first engine lacks.
+  std::vector<backend_key> Helpers{}; ///< Other engines that prefill parts of the prompt.
+  std::vector<memory_hold> Holds{}; ///< Memory reserved at helpers because Backend has too little.
   mono_duration ExpectedFirstToken{}; ///< Expected time to the first event, for the log.
-  std::string Instance{};             ///< The server's name for its incarnation, if it has one.
+  std::string Instance{}; ///< The server's own name of its incarnation; empty if it has none. Set
+                          ///< by the entry, not by the dispatcher.
 };
 /// Reconnects to the same backend server and continues after the event that was relayed last.
 struct resume_attempt {
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -119,7 +119,7 @@
   case claim_status::Complete:
     return finishAlreadyComplete(*Request);
   case claim_status::Running:
-    Request->Claim = claim_progress::HeldByOther;
+    Request->Claim = claim_progress::OwnedByOther;
     --Claiming;
     return finishWithFailure(*Request, failure_reason::AlreadyRunning, std::nullopt, Now);
   case claim_status::Unavailable:
@@ -143,7 +143,8 @@
   live_request *Request = find(Expiry.Request);
   if (Request == nullptr || Request->Phase != request_phase::Queued)
     return countIgnoredEvent();
-  Request->Phase = request_phase::Claiming; // No longer queued: finishing must not withdraw it.
+  // Any phase but Queued: the scheduler has removed the work already, so it is not withdrawn.
+  Request->Phase = request_phase::Claiming;
   finishWithFailure(*Request, Expiry.Refusal.Reason, Expiry.Refusal.RetryAfter, Now);
   sendDueCancels(Now);
 }
@@ -164,7 +165,7 @@
 }
 
 void dispatcher::finishAlreadyComplete(live_request &Request) {
-  Request.Claim = claim_progress::HeldByOther;
+  Request.Claim = claim_progress::OwnedByOther;
   --Claiming;
   close(Request,
         {Request.Facts.Id, final_outcome::Complete, failure_reason::AlreadyComplete, std::nullopt});
@@ -174,7 +175,7 @@
                                    std::optional<seconds> RetryAfter, mono_time Now) {
   // Without the claim's result, an earlier request with the key may have run. A reply of "not run"
   // could make the caller start the work again under another key, so that it would run twice.
-  const bool NotRun = !Request.mayHaveRun() && !Request.earlierSendMayHaveRun();
+  const bool NotRun = !Request.mayHaveRun() && !Request.earlierRequestMayHaveRun();
   if (Request.Phase == request_phase::Queued && Callbacks.Withdraw)
     Callbacks.Withdraw(Request.Facts.Id);
   if (Request.Claim == claim_progress::Granted)
@@ -214,7 +215,7 @@
 
 void dispatcher::close(const live_request &Request, const finish_request &Finish) {
   const bool SaysNotRun = Finish.Outcome == final_outcome::NotRun;
-  requireInvariant(!SaysNotRun || (!Request.mayHaveRun() && !Request.earlierSendMayHaveRun()),
+  requireInvariant(!SaysNotRun || (!Request.mayHaveRun() && !Request.earlierRequestMayHaveRun()),
                    "'not run' is reported only for work that never ran",
                    [this] { return stateText(); });
   Counters.Complete += Finish.Outcome == final_outcome::Complete ? 1 : 0;
--- a/src/dispatch/dispatcher_attempt.cpp
+++ b/src/dispatch/dispatcher_attempt.cpp
@@ -13,9 +13,10 @@
 constexpr int ExpectationTimeoutFactor = 4;
 /// Minimum timeout of the first byte, since expected times of short prompts are noisy.
 constexpr mono_duration MinFirstTokenTimeout = std::chrono::seconds(30);
-/// Minimum timeout as a multiple of the declared target, if there is one. The caller must still be
-/// waiting then: callers of short streams leave after 2 s. A factor of 2 moved requests away from
-/// engines that were merely busy after a restart of the fleet: 85 requests in one second.
+/// Minimum timeout as a multiple of the declared target, if there is one. Upper bound: the timeout
+/// must expire while the caller is still waiting, and callers of short streams leave after 2 s.
+/// Lower bound: after a restart of the fleet, a factor of 2 moved 85 requests in one second away
+/// from engines that were merely busy.
 constexpr int TargetTimeoutFactor = 4;
 constexpr std::uint32_t MaxResumes = 3;
 constexpr mono_duration ResumeBackoff = std::chrono::milliseconds(200);
@@ -70,8 +71,8 @@
   requireInvariant(Request.Facts.Idempotent || !Request.MayHaveRun,
                    "non-idempotent work that may have run is not started again",
                    [this] { return stateText(); });
-  requireInvariant(!Request.earlierSendMayHaveRun(), "work with a key starts only under its claim",
-                   [this] { return stateText(); });
+  requireInvariant(!Request.earlierRequestMayHaveRun(),
+                   "work with a key starts only under its claim", [this] { return stateText(); });
   ++Request.Attempts;
   ++Counters.Attempts;
   if (Request.Attempts == 1)
@@ -80,13 +81,13 @@
   const mono_time SlowAt = Now + firstTokenTimeout(Request.Facts, Placement.ExpectedFirstToken);
   // If no other attempt may follow, giving up a slow one could only lose its answer.
   const bool MayRetryElsewhere = MoreAttemptsAllowed && Request.Facts.Idempotent;
-  const mono_time AnswerBy =
+  const mono_time FirstByteBy =
       MayRetryElsewhere ? std::min(SlowAt, Request.Facts.Deadline) : Request.Facts.Deadline;
   Request.Phase = request_phase::Running;
   Request.CurrentAttempt.emplace(running_attempt{{Self, Request.Facts.Id, Request.Attempts},
                                                  Placement.Backend,
                                                  attempt_lifecycle{},
-                                                 AnswerBy,
+                                                 FirstByteBy,
                                                  0,
                                                  std::nullopt,
                                                  false});
@@ -95,7 +96,7 @@
   Actions.emplace_back(start_attempt{Id,
                                      Placement.Backend,
                                      Placement.Priority,
-                                     AnswerBy,
+                                     FirstByteBy,
                                      MoreAttemptsAllowed,
                                      Placement.Helpers,
                                      Placement.Holds,
@@ -190,21 +191,23 @@
   closeAttempt(Request, Failure, Now, Event.AtFault);
   // Another engine can continue after the last event that the caller received.
   const bool ContinuesElsewhere = Request.Facts.Resumable && mayResume(Failure);
-  Request.PartlyAnswered = Request.PartlyAnswered || hasAnswered(State);
-  if (hasAnswered(State) && !ContinuesElsewhere)
+  Request.PartlyAnswered = Request.PartlyAnswered || isMidAnswer(State);
+  if (isMidAnswer(State) && !ContinuesElsewhere)
     return finishWithFailure(Request, failure_reason::BackendFailed, std::nullopt, Now);
   retryOrFinish(Request, Now);
 }
 
 bool dispatcher::resumeAttempt(live_request &Request, attempt_failure Failure, mono_time Now) {
   running_attempt &CurrentAttempt = *Request.CurrentAttempt;
-  const bool CanResumeHere =
-      Callbacks.Resumes && Callbacks.Resumes(CurrentAttempt.Backend) && !CurrentAttempt.BackendGone;
+  const bool CanResumeHere = Callbacks.SupportsResume &&
+                             Callbacks.SupportsResume(CurrentAttempt.Backend) &&
+                             !CurrentAttempt.BackendGone;
   if (!mayResume(Failure) || !CanResumeHere || CurrentAttempt.Resumes >= MaxResumes)
     return false;
   if (!CurrentAttempt.Lifecycle.apply(attempt_step::Resume))
     return false;
-  CurrentAttempt.ResumeAt = Now + ResumeBackoff * CurrentAttempt.Resumes; // The first has no delay.
+  // The first resume has no delay.
+  CurrentAttempt.ResumeAt = Now + ResumeBackoff * CurrentAttempt.Resumes;
   ++CurrentAttempt.Resumes;
   ++Counters.Resumes;
   handleAttemptTimer(Request, Now);
--- a/src/dispatch/dispatcher_base.h
+++ b/src/dispatch/dispatcher_base.h
@@ -66,9 +66,10 @@
   /// Sets whether a declaration is in force. Without one, new requests are refused while admitted
   /// ones continue.
   void setReady(bool Value) { Ready = Value; }
-  /// Applies the limits of a new declaration; running attempts keep theirs.
+  /// Applies the limits of a new declaration. Deadlines and claim lifetimes that are already set
+  /// stay; MaxAttempts applies to live requests too.
   void applyLimits(const limits_declaration &Value);
-  /// Limits the retries of any window; see retry_budget.
+  /// Replaces the token bucket of retries by a limit on each sliding time window; see retry_budget.
   void setRetryAllowance(const retry_allowance &Value) { Budget.setAllowance(Value); }
 
   /// @return The number of requests without a final answer.
--- a/src/dispatch/dispatcher_callbacks_type.h
+++ b/src/dispatch/dispatcher_callbacks_type.h
@@ -44,7 +44,7 @@
 
 /**
  * Callbacks from the dispatcher to the other components of the entry. All of them run on the
- * dispatcher's thread. Submit and GroupsFor are required; the others may be empty.
+ * dispatcher's thread. Submit and GroupsFor are required; the others need not be set.
  */
 struct dispatcher_callbacks {
   /// Queues the work of one attempt, or returns why it is refused.
@@ -54,18 +54,19 @@
   std::function<void(const started_attempt &, mono_time)> AttemptStarted;
   std::function<void(const attempt_id &, mono_time)> AttemptAnswering;
   std::function<void(const attempt_id &, std::uint64_t Events, mono_time)> AttemptAdvanced;
-  /// The attempt was abandoned, with the failure if it broke; its memory counts as used until
-  /// AttemptEnded.
+  /// The attempt was abandoned; the second argument is its failure, or empty if it did not fail.
+  /// Its memory counts as used until AttemptEnded.
   std::function<void(const attempt_id &, std::optional<attempt_failure>, mono_time)>
       AttemptAbandoned;
   /// Called exactly once for each started attempt, when its memory is free.
   std::function<void(const attempt_result &, mono_time)> AttemptEnded;
   /// Returns the groups that the selectors choose for a request; empty if no group serves it.
   std::function<std::vector<candidate_group>(const request_facts &)> GroupsFor;
-  /// Returns whether the backend server can continue a broken stream at an event id. Empty: no
-  /// backend server can.
-  std::function<bool(const backend_key &)> Resumes;
-  /// Returns after which time the queue may accept such a request again. Empty: after 1 s.
+  /// Returns whether the backend server can continue a broken stream at an event id. If this is not
+  /// set, no backend server can.
+  std::function<bool(const backend_key &)> SupportsResume;
+  /// Returns after which time the queue may accept such a request again. If this is not set, 1 s is
+  /// used.
   std::function<std::chrono::seconds(const request_facts &, mono_time)> RetryAfter;
 };
 
--- a/src/dispatch/dispatcher_retry.cpp
+++ b/src/dispatch/dispatcher_retry.cpp
@@ -13,9 +13,9 @@
 } // namespace
 
 std::uint32_t dispatcher::maxAttempts(const live_request &Request) const {
-  // A declared route limits to how many backend servers a request is sent. An unreachable server
-  // was sent nothing and does not count. Otherwise, when a failure domain is lost, two of its
-  // servers would use up two attempts.
+  // The MaxAttempts of a route counts only the attempts of which a backend server may have received
+  // bytes. Otherwise, when a failure domain is lost, two of its unreachable servers would use up
+  // two attempts.
   if (Request.Facts.MaxAttempts > 0)
     return Request.Facts.MaxAttempts + std::min(Request.UnsentAttempts, MaxUnsentAttempts);
   return Limits.MaxAttempts;
@@ -52,7 +52,7 @@
 
 void dispatcher::retryElsewhere(live_request &Request, attempt_failure Failure, mono_time Now) {
   const bool Unanswered =
-      Request.CurrentAttempt && !hasAnswered(Request.CurrentAttempt->Lifecycle.state());
+      Request.CurrentAttempt && !isMidAnswer(Request.CurrentAttempt->Lifecycle.state());
   if (!Unanswered || !Request.Facts.Idempotent || !trySpendRetry(Request, Now))
     return;
   closeAttempt(Request, Failure, Now);
--- a/src/dispatch/dispatcher_time.cpp
+++ b/src/dispatch/dispatcher_time.cpp
@@ -39,10 +39,10 @@
     Actions.emplace_back(resume_attempt{CurrentAttempt.Id, CurrentAttempt.Backend});
     return;
   }
-  if (hasAnswered(CurrentAttempt.Lifecycle.state()) || Now < CurrentAttempt.AnswerBy)
+  if (isMidAnswer(CurrentAttempt.Lifecycle.state()) || Now < CurrentAttempt.FirstByteBy)
     return;
   // If no retry may start, the slow attempt keeps running until the request's deadline.
-  CurrentAttempt.AnswerBy = Request.Facts.Deadline;
+  CurrentAttempt.FirstByteBy = Request.Facts.Deadline;
   retryElsewhere(Request, attempt_failure::TimedOut, Now);
 }
 
@@ -52,8 +52,8 @@
     Wake = std::min(Wake, Request.ClaimDeadline);
   if (Request.CurrentAttempt && Request.CurrentAttempt->ResumeAt)
     Wake = std::min(Wake, *Request.CurrentAttempt->ResumeAt);
-  if (Request.CurrentAttempt && !hasAnswered(Request.CurrentAttempt->Lifecycle.state()))
-    Wake = std::min(Wake, Request.CurrentAttempt->AnswerBy);
+  if (Request.CurrentAttempt && !isMidAnswer(Request.CurrentAttempt->Lifecycle.state()))
+    Wake = std::min(Wake, Request.CurrentAttempt->FirstByteBy);
   Timers.set(Request.Facts.Id, Wake);
 }
 
--- a/src/dispatch/live_request_type.h
+++ b/src/dispatch/live_request_type.h
@@ -19,7 +19,7 @@
   Needed,    ///< Not requested yet.
   Requested,
   Granted,
-  HeldByOther, ///< Another request holds the claim, so this one must not settle it.
+  OwnedByOther, ///< The claim belongs to another request, running or complete; do not settle it.
 };
 
 /// The attempt that a request is waiting for.
@@ -27,8 +27,8 @@
   attempt_id Id;
   backend_key Backend;
   attempt_lifecycle Lifecycle;
-  mono_time AnswerBy;
-  std::uint32_t Resumes{0};
+  mono_time FirstByteBy;             ///< When the attempt counts as slow if no byte was received.
+  std::uint32_t Resumes{0};          ///< How many times the attempt was resumed.
   std::optional<mono_time> ResumeAt; ///< Time of the next resume, if one is scheduled.
   bool BackendGone{false};           ///< The backend server's incarnation ended; no cancel needed.
 };
@@ -52,7 +52,7 @@
   [[nodiscard]] bool mayHaveRun() const { return MayHaveRun || CurrentAttempt.has_value(); }
   /// @return Whether another request with the same key may have run; only a granted claim rules
   /// this out.
-  [[nodiscard]] bool earlierSendMayHaveRun() const {
+  [[nodiscard]] bool earlierRequestMayHaveRun() const {
     return Claim != claim_progress::NotNeeded && Claim != claim_progress::Granted;
   }
 };
--- a/src/dispatch/outcome.cpp
+++ b/src/dispatch/outcome.cpp
@@ -4,7 +4,7 @@
 namespace pollenstall {
 
 attempt_failure failureInState(attempt_failure Reported, attempt_state State) {
-  if (hasAnswered(State))
+  if (isMidAnswer(State))
     return Reported == attempt_failure::BadAnswer ? Reported : attempt_failure::BrokenMidway;
   const bool BytesMayBeOut = State != attempt_state::Connecting;
   return BytesMayBeOut && wasNeverSent(Reported) ? attempt_failure::BrokenSent : Reported;
--- a/src/dispatch/retry_budget_base.h
+++ b/src/dispatch/retry_budget_base.h
@@ -24,7 +24,7 @@
 
   /// Changes the share of retries; the balance is kept.
   void setPercent(std::uint32_t Percent) { RetryPercent = Percent; }
-  /// Limits the retries of any window instead of keeping a balance.
+  /// Replaces the token bucket by a limit on the retries in each sliding time window.
   void setAllowance(const retry_allowance &Value);
   /// Counts the first attempt of a request.
   void deposit(mono_time Now);
--- a/src/dispatch/retry_window_base.h
+++ b/src/dispatch/retry_window_base.h
@@ -10,16 +10,17 @@
 
 namespace pollenstall {
 
-/// How many retries one entry may start in any window.
+/// How many retries one entry may start in each sliding time window.
 struct retry_allowance {
   double Reserve{0};                              ///< In addition to the share of first attempts.
   mono_duration Window{std::chrono::seconds(10)}; ///< Length of the window.
 };
 
 /**
- * Limits the retries in any window to a share of its first attempts plus a fixed reserve. A token
- * bucket that respects the same limit can accumulate only a part of it: when an engine with dozens
- * of streams is lost, it would cut most of them although the limit allows to resume all.
+ * Limits the retries in each sliding time window to a share of the first attempts in that window
+ * plus a fixed reserve. A token bucket that never exceeds this limit can save up only a part of it:
+ * after the loss of an engine with dozens of streams, the bucket would refuse most of the retries
+ * that resume these streams, although the window allows all of them.
  */
 class retry_window {
 public:
--- a/src/fleet_model/entry_policy.cpp
+++ b/src/fleet_model/entry_policy.cpp
@@ -57,7 +57,7 @@
                                  mono_time Now) { Placer->attemptEnded(Attempt, Report, Now); };
   Policy.OwnLoads = [Placer](mono_time Now) { return Placer->ownLoads(Now); };
   Policy.UpdatePeers = [Placer](const peer_work_update &Update, mono_time Now) {
-    Placer->updateExchange(Update.Facts);
+    Placer->updateExchange(Update.ExchangeStats);
     Placer->updateOthersLoads(Update.ChangedLoads, Now);
   };
   Policy.ClaimsMade = [Placer] { return Placer->claimsMade(); };
--- a/src/fleet_model/fleet_run_engines.cpp
+++ b/src/fleet_model/fleet_run_engines.cpp
@@ -26,7 +26,8 @@
   entry_state &Entry = Entries[EntryIndex];
   if (Entry.Down)
     return;
-  Entry.Policy.UpdatePeers({Entry.View->changedPeerLoads(now()), Entry.View->facts()}, now());
+  Entry.Policy.UpdatePeers({Entry.View->changedPeerLoads(now()), Entry.View->exchangeStats()},
+                           now());
   const poll_outcome Outcome = Entry.Policy.Poll(now());
   for (const work_expiry &Expiry : Outcome.Expiries)
     handleRefusal(static_cast<std::size_t>(Expiry.Request.value() - 1), Expiry.Refusal);
--- a/src/suspect/suspect_table.cpp
+++ b/src/suspect/suspect_table.cpp
@@ -30,7 +30,7 @@
                                   milliseconds Now) {
   auto Found = Records.find(Fingerprint);
   if (Found == Records.end()) {
-    if (!evictIfFull(Fingerprint.Account, Now))
+    if (!makeRoom(Fingerprint.Account, Now))
       return;
     Found = Records.emplace(Fingerprint, suspect_record{Fingerprint, 0, 0, {}, {}, {}}).first;
   }
@@ -64,7 +64,7 @@
   Record.Crashes = Tuning.BlockAfterCrashes - 1;
 }
 
-void suspect_table::clear(std::uint64_t High) {
+void suspect_table::clearByHigh(std::uint64_t High) {
   Version += std::erase_if(Records, [High](const auto &Item) { return Item.first.High == High; });
 }
 
@@ -104,8 +104,8 @@
 
 /// Makes room for a record of the account. An account at its limit loses its own oldest record; a
 /// full table loses only records that are not published. So one account cannot evict the suspects
-/// of another.
-bool suspect_table::evictIfFull(std::uint64_t Account, milliseconds Now) {
+/// of another. @return Whether there is room.
+bool suspect_table::makeRoom(std::uint64_t Account, milliseconds Now) {
   const auto OfAccount = [Account](const suspect_record &Record) {
     return Record.Fingerprint.Account == Account;
   };
--- a/src/suspect/suspect_table_base.h
+++ b/src/suspect/suspect_table_base.h
@@ -13,8 +13,9 @@
 /**
  * Detects requests that crash backend servers and blocks them.
  * One of the requests on a crashed backend server may be the cause, while the others only ran
- * there. The cause is common to several crashes, so crashes are counted for each request. Each
- * incarnation of a server counts once, and a successful run clears the request.
+ * there. The causing request recurs in several crashes and the others differ from crash to crash,
+ * so crashes are counted for each request. Each incarnation of a server counts once, and a
+ * successful run clears the request.
  *
  * The state depends only on the sequence of calls, so that it is identical on all control hosts.
  */
@@ -27,18 +28,20 @@
   void recordCrash(const std::vector<request_fingerprint> &Fingerprints, incarnation Incarnation,
                    std::chrono::milliseconds Now);
   /// Removes a request after a successful run, or when an operator unblocks it.
-  /// @param High request_fingerprint::High.
-  void clear(std::uint64_t High);
+  /// @param High request_fingerprint::High of the records to remove.
+  void clearByHigh(std::uint64_t High);
 
-  /// @return The requests that entries must refuse or watch at that time.
+  /// @return The requests that entries, at Now, must refuse or whose successful runs they must
+  /// report.
   [[nodiscard]] std::vector<published_suspect> published(std::chrono::milliseconds Now) const;
-  /// @return A number that increases when published() changes, except by the passage of time.
+  /// @return A number that increases whenever a call changes published(), and sometimes without
+  /// such a change. The passage of time does not increase it.
   [[nodiscard]] std::uint64_t version() const { return Version; }
 
   /// @return All records, ordered by fingerprint.
   [[nodiscard]] std::vector<suspect_record> records() const;
-  /// Restores the records of a snapshot. @return Whether they are within the limits; otherwise the
-  /// table is unchanged.
+  /// Restores the records of a snapshot. @return Whether they are unique and within MaxRecords and
+  /// MaxIncarnations; otherwise the table is unchanged.
   bool restore(const std::vector<suspect_record> &SnapshotRecords, std::uint64_t SnapshotVersion);
 
 private:
@@ -48,7 +51,7 @@
                      std::chrono::milliseconds Now);
   void block(suspect_record &Record, std::chrono::milliseconds Now);
   void expireRecords(std::chrono::milliseconds Now);
-  bool evictIfFull(std::uint64_t Account, std::chrono::milliseconds Now);
+  bool makeRoom(std::uint64_t Account, std::chrono::milliseconds Now);
   template <typename Predicate>
   bool evictOldest(std::chrono::milliseconds Now, const Predicate &IsCandidate);
   [[nodiscard]] static bool isPublished(const suspect_record &Record,
--- a/src/suspect/suspect_type.h
+++ b/src/suspect/suspect_type.h
@@ -15,13 +15,13 @@
 namespace pollenstall {
 
 /**
- * Identifies a request by its client account, service, method, target and body. Each submission of
- * the same request has the same fingerprint at all entries. No key, name or prompt can be recovered
- * from it.
+ * Identifies a request by its client account, service, method, URL path and query, and body. Each
+ * submission of the same request has the same fingerprint at all entries. No key, name or prompt
+ * can be recovered from it.
  */
 struct request_fingerprint {
   std::uint64_t Account{0};  ///< Hash of the client account's name.
-  std::uint64_t HeadHash{0}; ///< Hash of everything but the body, and of the body's length.
+  std::uint64_t HeadHash{0}; ///< Hash of the request without its body, but with the body's length.
   std::uint64_t High{0};     ///< With Low: leading 128 bits of SHA-256 over the whole request.
   std::uint64_t Low{0};
 
@@ -48,11 +48,11 @@
 /// leaders.
 struct suspect_record {
   request_fingerprint Fingerprint;
-  std::uint32_t Crashes{0};
-  std::uint32_t Blocks{0}; ///< How many times the request was blocked.
+  std::uint32_t Crashes{0}; ///< Counted towards the next block; reduced when a block begins.
+  std::uint32_t Blocks{0};  ///< How many times the request was blocked.
   std::chrono::milliseconds LastCrash{0};
   std::chrono::milliseconds BlockedUntil{0};
-  std::vector<incarnation> Incarnations; ///< Backend servers of the crashes counted last.
+  std::vector<incarnation> Incarnations; ///< Of the last counted crashes, so that each counts once.
 
   bool operator==(const suspect_record &) const = default;
 };
@@ -66,14 +66,16 @@
   bool operator==(const published_suspect &) const = default;
 };
 
-/// Limits of a suspect_table. They must be the same on all control hosts, or their states diverge.
+/// Limits of a suspect_table. They must be the same on all control hosts, or the hosts' tables
+/// diverge.
 struct suspect_tuning {
   /// A request is blocked at this many crashes.
   std::uint32_t BlockAfterCrashes{3};
-  /// Crashes closer together than this count once. The loss of a failure domain ends all runs of an
-  /// unrelated request at the same time.
+  /// Crashes closer together than this count once, since the loss of a failure domain ends all runs
+  /// of an innocent request at the same time.
   std::chrono::milliseconds MinCrashInterval{500};
-  /// A record expires this long after the request's last crash or block.
+  /// A record expires this long after the last counted crash or the end of the last block,
+  /// whichever is later.
   std::chrono::milliseconds ForgetAfter{std::chrono::minutes(10)};
   /// Duration of the first block; each further block is twice as long.
   std::chrono::milliseconds InitialBlock{std::chrono::minutes(2)};
--- a/src/work_exchange/work_exchange_type.h
+++ b/src/work_exchange/work_exchange_type.h
@@ -15,7 +15,7 @@
 /// An entry that places work.
 struct work_entry {
   std::string Address;        ///< "IP:port" that receives its work reports.
-  failure_domain_name Domain; ///< Entries of one domain relay for each other.
+  failure_domain_name Domain; ///< An entry's relay is in the same domain.
 
   auto operator<=>(const work_entry &) const = default;
 };
@@ -31,7 +31,7 @@
 /// An incremental report: backend servers that are not listed have not changed.
 struct work_report {
   process_key Sender;
-  std::uint64_t Sequence{0}; ///< Rises within an incarnation; late datagrams are dropped.
+  std::uint64_t Sequence{0}; ///< Rises within an incarnation; overtaken reports are dropped.
   report_scope Scope{report_scope::Own};
   bool Urgent{false}; ///< Contains work that is about to start; relays forward it at once.
   std::vector<work_load> Loads;
@@ -50,21 +50,23 @@
 
 /// Tuning of the work exchange. All other durations must be well below ReportLifetime.
 struct work_share_tuning {
-  /// Reports expire after this time, which is the one that placement uses.
+  /// Reported loads expire after this time. Placement ignores loads of peers after the same time.
   mono_duration ReportLifetime{placement_tuning().PeerLoadTimeout};
   /// Up to this number of entries, each reports to all others directly, without a relay's delay.
   std::size_t MaxDirectEntries{16};
   /// Minimum time between two rounds of an entry. The time also grows with the number of datagrams
-  /// in a round, so that one entry sends at most a thousand datagrams a second.
+  /// in a round, so that the regular rounds of an entry that sends changes contain at most about
+  /// 670 datagrams a second.
   mono_duration MinRoundInterval{std::chrono::milliseconds(10)};
-  mono_duration RoundIntervalPerReceiver{std::chrono::microseconds(1'500)};
+  mono_duration RoundIntervalPerDatagram{std::chrono::microseconds(1'500)};
   /// Delay from one entry to the next, including its processing there.
   mono_duration HopDelay{std::chrono::milliseconds(3)};
   /// Unchanged loads are sent again after this time, for receivers that missed a datagram.
   mono_duration RefreshInterval{std::chrono::milliseconds(400)};
   /// A relay sends a report to its members at least this often.
   mono_duration RelayHeartbeat{std::chrono::milliseconds(100)};
-  /// A relay that has been unresponsive for longer than this is replaced by the next one.
+  /// A relay that has been unresponsive for longer than this is replaced by the next entry of
+  /// its group.
   mono_duration RelayTimeout{std::chrono::milliseconds(300)};
   /// An entry that has switched relays sends a withdrawal to the old one after this delay. Before
   /// that, the new relay may not have forwarded the entry's work, which would then count nowhere.
@@ -73,14 +75,14 @@
   mono_duration SuspensionThreshold{std::chrono::milliseconds(700)};
   /// A load's PrefillMs is sent again if it differs from the receiver's estimate by more than this
   /// and by more than the fraction below.
-  std::uint32_t MinReadChangeMs{20};
-  std::uint32_t ReadChangeDivisor{8}; ///< An eighth of the load's PrefillMs.
+  std::uint32_t MinPrefillChangeMs{20};
+  std::uint32_t PrefillChangeDivisor{8}; ///< An eighth of the load's PrefillMs.
 };
 
 /// Changes of the summed work of all other entries.
 struct peer_work_update {
   std::vector<work_load> ChangedLoads;
-  load_exchange_stats Facts;
+  load_exchange_stats ExchangeStats;
 };
 
 } // namespace pollenstall
--- a/src/work_exchange/work_feed.cpp
+++ b/src/work_exchange/work_feed.cpp
@@ -5,7 +5,8 @@
 
 namespace {
 
-/// How many times the end of all work at a backend server is sent, since datagrams may be lost.
+/// How many times an empty load is sent when all work at a backend server has ended, since
+/// datagrams may be lost.
 constexpr std::uint32_t MaxEmptyReports = 3;
 
 } // namespace
--- a/src/work_exchange/work_feed_base.h
+++ b/src/work_exchange/work_feed_base.h
@@ -1,5 +1,4 @@
-/** @file work_feed_base.h Tracks which loads one receiver was sent and selects those to send next.
- */
+/** @file work_feed_base.h Tracks which loads were sent and selects those to send next. */
 #ifndef POLLENSTALL_WORK_EXCHANGE_WORK_FEED_BASE_H
 #define POLLENSTALL_WORK_EXCHANGE_WORK_FEED_BASE_H
 
@@ -11,8 +10,9 @@
 namespace pollenstall {
 
 /**
- * Sends the load of a backend server when it changed, and refreshes it periodically. The receiver's
- * cost depends on the number of changes, not on the number of backend servers or senders.
+ * Selects the loads to send to one receiver, or to several that get the same reports. Sends the
+ * load of a backend server when it changed, and refreshes it periodically. The receiver's cost
+ * depends on the number of changes, not on the number of backend servers or senders.
  */
 class work_feed {
 public:
@@ -20,7 +20,7 @@
 
   /**
    * Returns the loads to send now.
-   * @param IncludesSource Returns whether a source's load is part of the sums for this receiver.
+   * @param IncludesSource Returns whether a source's load is part of the sums for the receivers.
    * @param WithRefresh Whether to include unchanged loads whose refresh is due.
    * @return At most MaxLoads loads; the next call returns those that do not fit.
    */
@@ -52,7 +52,8 @@
     return Loads;
   }
 
-  /// Rechecks all sums in the next call, since IncludesSource changes.
+  /// Must be called before nextLoads() is called with another IncludesSource: the next call
+  /// rechecks all sums.
   void recheckAll() { CheckedUntil = mono_time::min(); }
 
 private:
--- a/src/work_exchange/work_tracker.cpp
+++ b/src/work_exchange/work_tracker.cpp
@@ -17,7 +17,8 @@
   work_load Extrapolated = loadAfter(Reported, Now - ReportedAt);
   const std::uint32_t Difference = std::max(Extrapolated.PrefillMs, Load.PrefillMs) -
                                    std::min(Extrapolated.PrefillMs, Load.PrefillMs);
-  if (Difference > Tuning.MinReadChangeMs && Difference > Load.PrefillMs / Tuning.ReadChangeDivisor)
+  if (Difference > Tuning.MinPrefillChangeMs &&
+      Difference > Load.PrefillMs / Tuning.PrefillChangeDivisor)
     return true;
   Extrapolated.PrefillMs = Load.PrefillMs;
   return Extrapolated != Load;
--- a/src/work_exchange/work_tracker_base.h
+++ b/src/work_exchange/work_tracker_base.h
@@ -38,7 +38,7 @@
       mono_time ReceivedAt;
     };
     std::vector<source_load> SourceLoads; ///< Only sources with work at the server.
-    mono_time ChangedAt;                  ///< Last change, apart from the progress of time.
+    mono_time ChangedAt;                  ///< Last change by an update, a removal or an expiry.
   };
   [[nodiscard]] const std::unordered_map<incarnation, engine_work> &engines() const {
     return Engines;
--- a/src/work_exchange/work_view.cpp
+++ b/src/work_exchange/work_view.cpp
@@ -10,8 +10,8 @@
 constexpr work_source_id OwnSource = 0;
 constexpr work_source_id RelaySource = 1; ///< A relay's sum of the work of all other entries.
 constexpr work_source_id FirstSender = 2;
-/// To how many entries of a group reports are sent if none of them has sent one: the group's relay
-/// may have failed.
+/// While no relay of another group is known, reports go to this many of the group's first entries:
+/// the first one may have failed.
 constexpr std::size_t RelayCandidates = 3;
 
 } // namespace
@@ -39,20 +39,20 @@
 void work_view::detectSuspension(mono_time Now) {
   if (LastActiveAt != mono_time::min() && Now - LastActiveAt > Tuning.SuspensionThreshold)
     resetState(Now);
-  if (ReceivingSince == mono_time::min())
-    ReceivingSince = Now;
+  if (ActiveSince == mono_time::min())
+    ActiveSince = Now;
   LastActiveAt = Now;
 }
 
-/// Discards the state after a suspension, since it is stale. No other entry is informed of it, not
-/// even that the work ended.
+/// Discards the state after a suspension, since it is stale. Sends no report about it: empty loads
+/// would tell the other entries that the work ended.
 void work_view::resetState(mono_time Now) {
   Tracker.clear();
   OwnIncarnations.clear();
   Members.clear();
   FailedRelays.clear();
   GroupFeed = RelayFeed = PlacementFeed = work_feed(Tuning);
-  ReceivingSince = RelayReceivedAt = Now;
+  ActiveSince = RelayReceivedAt = Now;
 }
 
 void work_view::expireStale(mono_time Now) {
@@ -144,7 +144,8 @@
 }
 
 void work_view::markUrgent(report_scope Scope) {
-  // Reports of another relay are forwarded to members only, those of a member to relays as well.
+  // Urgent work of this entry or of a member goes to the relays and to members, that of another
+  // relay's group to members only.
   UrgentToRelays = UrgentToRelays || Scope == report_scope::Own;
   UrgentToMembers = UrgentToMembers || ActsAsRelay;
 }
@@ -214,7 +215,7 @@
                      : PlacementFeed.nextLoads(Tracker, Now, FromRelay, true, Unbounded);
 }
 
-load_exchange_stats work_view::facts() const {
+load_exchange_stats work_view::exchangeStats() const {
   std::size_t Entries = Group.size();
   std::size_t Largest = Group.size();
   for (const work_group &Other : OtherGroups) {
@@ -224,16 +225,18 @@
   const bool Direct = Largest <= 1;
   const auto Receivers = static_cast<std::int64_t>(OtherGroups.size() + Largest - 1);
   const mono_duration RoundTime =
-      std::max<mono_duration>(Tuning.MinRoundInterval, Tuning.RoundIntervalPerReceiver * Receivers);
+      std::max<mono_duration>(Tuning.MinRoundInterval, Tuning.RoundIntervalPerDatagram * Receivers);
   constexpr int RelayedHops = 3; // To the relay, to another relay, to that relay's member.
-  load_exchange_stats Facts;
-  Facts.Entries = Entries;
-  Facts.ClaimDelay = Tuning.HopDelay * (Direct ? 2 : RelayedHops);
+  load_exchange_stats Stats;
+  Stats.Entries = Entries;
+  // The delay of an urgent report to the farthest entry; a direct one has a single hop, which is
+  // doubled.
+  Stats.ClaimDelay = Tuning.HopDelay * (Direct ? 2 : RelayedHops);
   // A change waits for half a round on average, at the entry and at each of two relays.
-  Facts.PropagationDelay =
+  Stats.PropagationDelay =
       Direct ? RoundTime / 2 + Tuning.HopDelay
              : Tuning.MinRoundInterval / 2 + RoundTime + Tuning.HopDelay * RelayedHops;
-  return Facts;
+  return Stats;
 }
 
 // ---- Rounds. ----
@@ -269,7 +272,7 @@
   }
   if (Regular)
     RoundInterval = std::max<mono_duration>(Tuning.MinRoundInterval,
-                                            Tuning.RoundIntervalPerReceiver *
+                                            Tuning.RoundIntervalPerDatagram *
                                                 static_cast<std::int64_t>(Datagrams.size()));
   return Datagrams;
 }
@@ -279,7 +282,7 @@
     return Withdrawals.clear();
   std::erase_if(Withdrawals, [&](const auto &Item) {
     const bool IsDue = Now >= Item.second;
-    // Reports sent to the current relay since the switch must not be revoked.
+    // If the receiver is the relay again and was sent new reports, these must not be revoked.
     if (IsDue && (Item.first != RelayAddress || LastRelayReportAt == mono_time::min()))
       Datagrams.push_back(
           {Item.first, makeReport(report_scope::Withdrawn, round_kind::Regular, {})});
@@ -333,14 +336,15 @@
 }
 
 /// Returns the entries that reported their work to this one, and, if this entry is the group's
-/// relay, the rest of the group, so that they learn of it. A relay that has just started knows too
-/// little to send reports to entries for which another one may relay.
+/// relay, the rest of the group, so that they learn who the relay is. The rest is left out until
+/// RefreshInterval after the start: until then this entry knows too little of the others' work, and
+/// another entry may be relaying for them.
 std::vector<std::string> work_view::memberReceivers(mono_time Now) const {
   std::vector<std::string> Addresses;
   for (const auto &[Host, Sender] : Senders)
     if (Sender.Scope == report_scope::Own)
       Addresses.push_back(Sender.Address);
-  if (!RelayAddress.empty() || Now - ReceivingSince < Tuning.RefreshInterval)
+  if (!RelayAddress.empty() || Now - ActiveSince < Tuning.RefreshInterval)
     return Addresses;
   for (const std::string &Address : Group)
     if (Address != OwnAddress &&
--- a/src/work_exchange/work_view_base.h
+++ b/src/work_exchange/work_view_base.h
@@ -24,9 +24,9 @@
  * and a relay with about twice the square root of the number of entries. If there are few entries,
  * each forms a group of its own.
  *
- * The members replace an unresponsive relay by the next entry of the group. An entry that receives
- * reports as a relay acts as one, so that no agreement is needed. For a short time work may count
- * twice, until the old relay's reports expire.
+ * The members replace an unresponsive relay by the next entry of the group. An entry acts as a
+ * relay as soon as another one reports its own work to it, so that no agreement is needed. For a
+ * short time work may count twice, until the old relay's reports expire.
  */
 class work_view {
 public:
@@ -47,9 +47,10 @@
   /// @return When dueDatagrams() must be called next if nothing happens before.
   [[nodiscard]] mono_time nextWake(mono_time Now) const;
 
-  /// @return How long it takes until all other entries know this entry's work.
-  [[nodiscard]] load_exchange_stats facts() const;
-  /// @return Whether this entry currently relays for others or reports to all others directly.
+  /// @return The number of entries, and the delays until all others know this entry's work.
+  [[nodiscard]] load_exchange_stats exchangeStats() const;
+  /// @return Whether this entry currently acts as its group's relay. If there are few entries, each
+  /// does, since it is the only one of its group.
   [[nodiscard]] bool isRelay() const { return ActsAsRelay; }
 
 private:
@@ -95,8 +96,9 @@
   void reportToMembers(mono_time Now, round_kind Round, std::vector<work_datagram> &Datagrams);
   work_report makeReport(report_scope Scope, round_kind Round, std::vector<work_load> Loads);
 
-  /// @return The reports to send to the feed's receivers in this round. It is one report without
-  /// loads if there are no changes and nothing was sent for HeartbeatInterval.
+  /// @return The reports to send to the feed's receivers in this round. If there are no loads to
+  /// send, a regular round returns one empty report if nothing was sent for HeartbeatInterval, else
+  /// none.
   template <typename Filter>
   std::vector<work_report> makeReports(work_feed &Feed, report_scope Scope, round_kind Round,
                                        mono_duration HeartbeatInterval, mono_time &LastReportAt,
@@ -124,14 +126,14 @@
   work_group Group; ///< The group of this entry.
   std::vector<work_group> OtherGroups;
   std::string RelayAddress; ///< Empty: this entry itself.
-  /// Entries that are due a withdrawal of this entry's reports, and when to send it.
+  /// Entries to which a Withdrawn report must be sent, and when.
   std::map<std::string, mono_time> Withdrawals;
   mono_time LastRelayReportAt{mono_time::min()};
   mono_time LastGroupReportAt{mono_time::min()};
   bool ActsAsRelay{true};
   mono_time RelayReceivedAt{mono_time::min()}; ///< Last report of the relay, or when it was chosen.
   std::set<std::string> FailedRelays;          ///< Unresponsive relays that were replaced.
-  mono_time ReceivingSince{mono_time::min()};  ///< Since when reports have been received.
+  mono_time ActiveSince{mono_time::min()}; ///< First activity, or the end of the last suspension.
   work_tracker Tracker;
   std::vector<incarnation> OwnIncarnations; ///< Backend servers at which this entry has work.
   std::map<host_name, sender> Senders;
--- a/src/work_share/work_report_codec_func.h
+++ b/src/work_share/work_report_codec_func.h
@@ -10,7 +10,8 @@
 
 namespace pollenstall {
 
-/// @return The datagram. Counts are limited to 255 and times to 65535 ms; memory is rounded up.
+/// @return The datagram. Counts saturate at 255 and times at 65535 ms. Memory is rounded up to the
+/// unit of the wire format and saturates at 65535 units.
 std::string encodeWorkReport(const std::string &Fleet, const work_report &Report);
 
 /// @return The report, or why the bytes are not a report of this fleet.
--- a/src/work_share/work_share.cpp
+++ b/src/work_share/work_share.cpp
@@ -25,7 +25,8 @@
 namespace {
 
 constexpr std::size_t RingCapacity = 1024;
-/// Minimum time between two updates for placement, each of which iterates over all backend servers.
+/// Minimum time between two updates for placement, and delay of the timer for the next round.
+/// Computing an update iterates over all backend servers.
 constexpr mono_duration PublishInterval = std::chrono::milliseconds(5);
 
 } // namespace
@@ -55,8 +56,8 @@
     if (Code)
       return work_share_error{Bind + ": " + Code.message()};
     Socket.non_blocking(true, Code);
-    Listening = toText(Socket.local_endpoint());
-    View.emplace(Self, Listening);
+    LocalAddress = toText(Socket.local_endpoint());
+    View.emplace(Self, LocalAddress);
     return done{};
   }
 
@@ -70,7 +71,7 @@
   const process_key Self;
   bounded_ring<share_command> Commands;
   bounded_ring<peer_work_update> PeerUpdates;
-  std::string Listening;
+  std::string LocalAddress;
   std::atomic<std::uint64_t> SentDatagrams{0};
   std::atomic<std::uint64_t> SentBytes{0};
   std::atomic<std::uint64_t> ReceivedDatagrams{0};
@@ -101,11 +102,11 @@
     if (Now - LastPublishAt >= PublishInterval) {
       LastPublishAt = Now;
       if (std::vector<work_load> Changed = View->changedPeerLoads(Now); !Changed.empty())
-        PeerUpdates.push({std::move(Changed), View->facts()});
+        PeerUpdates.push({std::move(Changed), View->exchangeStats()});
     }
     Timer.expires_after(std::max(View->nextWake(Now) - Now, PublishInterval));
-    Timer.async_wait([this](boost::system::error_code Cancelled) {
-      if (!Cancelled)
+    Timer.async_wait([this](boost::system::error_code TimerError) {
+      if (!TimerError)
         runRound();
     });
   }
@@ -119,7 +120,7 @@
       CachedSequence = Datagram.Report.Sequence;
       CachedDatagram = encodeWorkReport(Fleet, Datagram.Report);
     }
-    boost::system::error_code Ignored; // A failure counts as a lost datagram.
+    boost::system::error_code Ignored; // Handled like a lost datagram, and counted as sent.
     Socket.send_to(asio::buffer(CachedDatagram), *Endpoint, 0, Ignored);
     SentDatagrams.fetch_add(1, std::memory_order_relaxed);
     SentBytes.fetch_add(CachedDatagram.size(), std::memory_order_relaxed);
@@ -152,7 +153,7 @@
   }
 
   /// Receives all pending datagrams in the same iteration of the event loop, since an iteration
-  /// costs more than a report.
+  /// costs more CPU time than handling a datagram.
   void receivePending() {
     boost::system::error_code Code;
     while (true) {
@@ -196,7 +197,7 @@
   return std::unique_ptr<work_share>(new work_share(std::move(NewState)));
 }
 
-std::string work_share::address() const { return State->Listening; }
+std::string work_share::address() const { return State->LocalAddress; }
 bounded_ring<share_command> &work_share::commands() { return State->Commands; }
 bounded_ring<peer_work_update> &work_share::peerUpdates() { return State->PeerUpdates; }
 work_share_counts work_share::counts() const {
--- a/src/work_share/work_share_base.h
+++ b/src/work_share/work_share_base.h
@@ -22,9 +22,10 @@
   work_share &operator=(const work_share &) = delete;
 
   [[nodiscard]] std::string address() const;
-  /// Commands from the decision thread; its wake callback is already in use.
+  /// Commands from the decision thread. Do not call onWake() on this ring; work_share has set it.
   bounded_ring<share_command> &commands();
-  /// Updates for the decision thread, which polls them in each iteration: they do not wake it.
+  /// Updates for the decision thread. An update does not wake that thread, which polls the ring in
+  /// each iteration.
   bounded_ring<peer_work_update> &peerUpdates();
   /// May be called from any thread.
   [[nodiscard]] work_share_counts counts() const;
--- a/src/work_share/work_share_type.h
+++ b/src/work_share/work_share_type.h
@@ -31,7 +31,7 @@
 
 using share_command = std::variant<own_work_update, entries_update>;
 
-/// Counters since the start.
+/// Counters since the work_share was created.
 struct work_share_counts {
   std::uint64_t SentDatagrams{0};
   std::uint64_t SentBytes{0};
--- a/tests/dispatch/dispatch_simulation.cpp
+++ b/tests/dispatch/dispatch_simulation.cpp
@@ -84,7 +84,7 @@
                    .build();
   Incarnation.Dispatch.emplace(valueOf(std::move(Built)));
   Incarnation.Dispatch->setReady(true);
-  Incarnation.RingBusyUntil = Now;
+  Incarnation.LastDeliveryAt = Now;
   Entries.at(Entry) = std::move(Incarnation);
 }
 
@@ -92,7 +92,8 @@
   const process_key Dead = Entries.at(Entry).Self;
   startEntry(Entry);
   for (const auto &[Request, Submission] : SubmissionOf)
-    if (Request.first == Dead && !Tasks[Submission.first].Submissions[Submission.second].End)
+    if (Request.first == Dead &&
+        !Tasks[Submission.first].Submissions[Submission.second].FinalAnswer)
       after(delay(), [this, Submission = Submission] { maybeResubmit(Submission, false); });
 }
 
@@ -109,7 +110,7 @@
   Callbacks.GroupsFor = [](const request_facts &) {
     return std::vector<candidate_group>{{group_name("all"), 1}};
   };
-  Callbacks.Resumes = [](const backend_key &Key) { return Key.Address.str() != "0"; };
+  Callbacks.SupportsResume = [](const backend_key &Key) { return Key.Address.str() != "0"; };
   Callbacks.AttemptStarted = [this, Entry](const started_attempt &Start, mono_time) {
     if (!Entries.at(Entry).Started.insert(Start.Attempt).second)
       addViolation("an attempt started twice: " + toText(Start.Attempt));
@@ -130,12 +131,12 @@
 
 void dispatch_simulation::postEvent(std::size_t Entry, const dispatch_event &Event) {
   entry_incarnation &Incarnation = Entries.at(Entry);
-  Incarnation.RingBusyUntil = std::max(Incarnation.RingBusyUntil, Now + delay() / 4);
-  afterAtEntry(Entry, Incarnation.RingBusyUntil - Now, [this, Entry, Event] {
+  Incarnation.LastDeliveryAt = std::max(Incarnation.LastDeliveryAt, Now + delay() / 4);
+  afterAtEntry(Entry, Incarnation.LastDeliveryAt - Now, [this, Entry, Event] {
     Entries.at(Entry).Dispatch->handle(Event, Now);
     executeActions(Entry);
   });
-  // The relay's ring does not duplicate events, but events from outside may arrive twice.
+  // Any event but an arrival may be delivered again: events from outside may arrive twice.
   if (!std::holds_alternative<request_arrived>(Event))
     Incarnation.PastEvents.push_back(Event);
   if (!Incarnation.PastEvents.empty() && chance(0.05))
@@ -193,9 +194,9 @@
 void dispatch_simulation::receiveOutcome(submission_index Submission,
                                          const finish_request &Finish) {
   submission_record &Record = Tasks[Submission.first].Submissions[Submission.second];
-  if (++Record.EndCount > 1)
+  if (++Record.FinalAnswerCount > 1)
     return addViolation("a request had two final answers");
-  Record.End = Finish;
+  Record.FinalAnswer = Finish;
   const bool IsComplete = Finish.Outcome == final_outcome::Complete;
   if (IsComplete && Finish.Reason == failure_reason::None) {
     bool IsCorrect = Record.ReceivedParts.size() == AnswerParts;
@@ -228,7 +229,7 @@
     if (!Answer || Entries.at(Entry).Self != Owner)
       return;
     postEvent(Entry, claim_answered{Command.Holder.Request,
-                                    succeeded(Status) ? valueOf(Status) : VerdictOnRefusal});
+                                    succeeded(Status) ? valueOf(Status) : StatusOnRefusal});
   });
 }
 
@@ -276,16 +277,17 @@
   const caller_task &Task = Tasks[Index];
   if (!Task.Idempotent && !Task.Key.empty() && Task.Starts > 1)
     addViolation("non-idempotent work ran twice: work " + std::to_string(Index));
-  std::uint32_t Earlier = 0;
+  std::uint32_t EarlierStarts = 0;
   for (const submission_record &Submission : Task.Submissions) {
     if (!Task.Idempotent && Submission.Starts > 1)
       addViolation("one submission of non-idempotent work ran twice: work " +
                    std::to_string(Index));
-    const bool SaysNotRun = Submission.End && Submission.End->Outcome == final_outcome::NotRun;
-    const bool SameWork = !Task.Idempotent && !Task.Key.empty();
-    if (SaysNotRun && Submission.Starts + (SameWork ? Earlier : 0) > 0)
+    const bool SaysNotRun =
+        Submission.FinalAnswer && Submission.FinalAnswer->Outcome == final_outcome::NotRun;
+    const bool SharesClaim = !Task.Idempotent && !Task.Key.empty();
+    if (SaysNotRun && Submission.Starts + (SharesClaim ? EarlierStarts : 0) > 0)
       addViolation("'not run' was reported for work that ran: work " + std::to_string(Index));
-    Earlier += Submission.Starts;
+    EarlierStarts += Submission.Starts;
   }
 }
 
@@ -306,7 +308,7 @@
     addViolation("an attempt's memory was never freed");
   for (const auto &[Request, Submission] : SubmissionOf)
     if (Request.first == Incarnation.Self &&
-        Tasks[Submission.first].Submissions[Submission.second].EndCount != 1)
+        Tasks[Submission.first].Submissions[Submission.second].FinalAnswerCount != 1)
       addViolation("a caller got no final answer");
 }
 
--- a/tests/dispatch/dispatch_simulation.h
+++ b/tests/dispatch/dispatch_simulation.h
@@ -22,16 +22,16 @@
 
 /// A part of an answer that a caller received.
 struct answer_part {
-  attempt_id Attempt;
+  attempt_id Attempt; ///< The attempt whose engine produced the part.
   std::uint32_t Part{0};
 };
 
 /// One submission of a caller's task to one entry.
 struct submission_record {
-  std::optional<finish_request> End;
-  std::uint32_t EndCount{0};
+  std::optional<finish_request> FinalAnswer;
+  std::uint32_t FinalAnswerCount{0};
   std::vector<answer_part> ReceivedParts;
-  std::uint32_t Starts{0}; ///< Counted by the engines.
+  std::uint32_t Starts{0}; ///< How many times an engine started this submission.
 };
 
 /// Work of a caller; all its submissions have the same key.
@@ -39,7 +39,7 @@
   bool Idempotent{true};
   std::string Key;
   std::vector<submission_record> Submissions;
-  std::uint32_t Starts{0};
+  std::uint32_t Starts{0};        ///< Of all submissions.
   std::uint32_t CompletedRuns{0}; ///< Complete runs at engines.
 };
 
@@ -57,12 +57,14 @@
   std::optional<dispatcher> Dispatch;
   std::map<request_number, work_item> Queue;
   std::map<attempt_id, relay_connection> Connections;
-  std::map<request_number, attempt_id> Relaying; ///< The attempt whose bytes the caller has.
-  std::vector<dispatch_event> PastEvents;        ///< Events to deliver again as duplicates.
+  /// For each request, the attempt that last relayed a part to the caller; it may have ended.
+  std::map<request_number, attempt_id> AnsweringAttempts;
+  std::vector<dispatch_event> PastEvents; ///< Events to deliver again as duplicates.
   std::set<attempt_id> Started;
   std::set<attempt_id> Ended;
   std::uint64_t NextRequest{1};
-  mono_time RingBusyUntil; ///< Rings keep their order: no event is delivered earlier.
+  mono_time LastDeliveryAt; ///< The event queue is FIFO: the next event is not delivered before
+                            ///< this time.
 };
 
 /// An engine that counts starts and holds memory until the work ends or is cancelled.
@@ -85,7 +87,7 @@
   std::vector<std::string> run();
   /// @return The number of simulated steps.
   [[nodiscard]] std::uint64_t steps() const { return Steps; }
-  /// @return Counters summed over the last incarnations of all entries.
+  /// @return Counters summed over the entries. Counts of restarted incarnations are not included.
   [[nodiscard]] const dispatch_counters &totals() const { return Totals; }
 
 private:
--- a/tests/dispatch/dispatch_simulation_relay.cpp
+++ b/tests/dispatch/dispatch_simulation_relay.cpp
@@ -22,7 +22,8 @@
   entry_incarnation &Incarnation = Entries.at(Entry);
   Incarnation.Connections[Action.Attempt] = {Action.Backend, true, 0, 0};
   const attempt_id Id = Action.Attempt;
-  if (Incarnation.Relaying.count(Id.Request) != 0)
+  // The relay reports NotWanted here; to the dispatcher, both prove that no byte was sent.
+  if (Incarnation.AnsweringAttempts.count(Id.Request) != 0)
     return failConnection(Entry, Id, attempt_failure::BrokenUnsent);
   afterAtEntry(Entry, delay(), [this, Entry, Id, Backend = Action.Backend] {
     if (!Entries.at(Entry).Connections[Id].Open)
@@ -111,14 +112,14 @@
     return failConnection(Entry, ConnectionId, attempt_failure::BadAnswer);
   if (Generation != Connection.Generation)
     return;
-  const auto Relaying = Incarnation.Relaying.find(ConnectionId.Request);
-  const bool First = Relaying == Incarnation.Relaying.end();
+  const auto AnsweringAttempt = Incarnation.AnsweringAttempts.find(ConnectionId.Request);
+  const bool First = AnsweringAttempt == Incarnation.AnsweringAttempts.end();
   if (Part != Connection.NextPart)
     return failConnection(Entry, ConnectionId, attempt_failure::BadAnswer);
   if (chance(0.08))
     return failConnection(Entry, ConnectionId,
                           First ? attempt_failure::BrokenSent : attempt_failure::BrokenMidway);
-  Incarnation.Relaying[ConnectionId.Request] = ConnectionId;
+  Incarnation.AnsweringAttempts[ConnectionId.Request] = ConnectionId;
   ++Connection.NextPart;
   const submission_index Submission = SubmissionOf.at({ConnectionId.Owner, ConnectionId.Request});
   Tasks[Submission.first].Submissions[Submission.second].ReceivedParts.push_back({From, Part});
--- a/tests/dispatch/dispatcher_fixture.h
+++ b/tests/dispatch/dispatcher_fixture.h
@@ -48,7 +48,7 @@
       return HasGroups ? std::vector<candidate_group>{{group_name("all"), 1}}
                        : std::vector<candidate_group>{};
     };
-    Callbacks.Resumes = [this](const backend_key &) { return CanResume; };
+    Callbacks.SupportsResume = [this](const backend_key &) { return CanResume; };
     auto Built =
         dispatcher_builder().process(Self).limits(Limits).seed(1).callbacks(Callbacks).build();
     valueOf(Built).setReady(true);
--- a/tests/dispatch/retry_test.cpp
+++ b/tests/dispatch/retry_test.cpp
@@ -93,10 +93,10 @@
 // A failure domain is lost while its engines are still listed, and three attempts cannot connect to
 // them. No backend server was sent anything, so neither the route's limit of two attempts nor the
 // budget may end the request.
-TEST_F(dispatcher_fixture, ServersOutOfReachUseUpNoAttemptOfADeclaredRoute) {
-  limits_declaration None = Limits;
-  None.RetryPercent = 0;
-  Dispatch.applyLimits(None);
+TEST_F(dispatcher_fixture, UnreachableServersDoNotCountTowardsMaxAttempts) {
+  limits_declaration NoRetries = Limits;
+  NoRetries.RetryPercent = 0;
+  Dispatch.applyLimits(NoRetries);
   Dispatch.setRetryAllowance({});
   request_facts Facts = facts(true);
   Facts.MaxAttempts = 2;
--- a/tests/relay/relay_harness.cpp
+++ b/tests/relay/relay_harness.cpp
@@ -171,7 +171,7 @@
   start_attempt Order;
   Order.Attempt = {{host_name("entry"), incarnation(1)}, Facts.Id, Ordinal};
   Order.Backend = Backend;
-  Order.AnswerBy = boot_clock::now() + Limit;
+  Order.FirstByteBy = boot_clock::now() + Limit;
   return Order;
 }
 
--- a/tests/suspect/crash_simulation_test.cpp
+++ b/tests/suspect/crash_simulation_test.cpp
@@ -16,14 +16,15 @@
 constexpr milliseconds StepTime{10};
 constexpr milliseconds RunTime{60'000};
 constexpr milliseconds RestartTime{2'000};
-/// Time from a crash until all entries act on the published suspects.
-constexpr milliseconds PublishDelay{100};
+/// Interval at which the suspects are published. The entries act on a list one interval after it
+/// was published.
+constexpr milliseconds PublishInterval{100};
 
 struct simulation_plan {
   std::uint64_t Servers{18};
   milliseconds CrashInterval{2'700}; ///< Mean time between random crashes of single servers.
   milliseconds DomainLossAt{20'000}; ///< When a third of the servers crash at once.
-  int CrashingRequests{0};           ///< Sent at once, every 0.3 s from 5 s on.
+  int CopiesPerBurst{0}; ///< Copies of the crashing request sent every 0.3 s, from 5 s on.
 };
 
 /// Simulates requests of 100 accounts, dozens of concurrent runs of the same request of one
@@ -44,7 +45,7 @@
 
   std::size_t RefusedInnocents{0};
   std::size_t CrashedServers{0}; ///< Crashed by the crashing request.
-  std::size_t LateRequests{0};   ///< Sent more than 3 s after its third crash.
+  std::size_t LateCopies{0};     ///< Crashing requests sent later than 3 s after the third crash.
 
 private:
   struct run {
@@ -67,9 +68,9 @@
     return false;
   }
 
-  /// Entries act on suspects that were published some time ago.
+  /// Lets the entries act on the list that was published one interval ago, and publishes a new one.
   void updatePublished() {
-    if (Now - PublishedAt < PublishDelay)
+    if (Now - PublishedAt < PublishInterval)
       return;
     Published = std::exchange(NextPublished, Table.published(Now + Epoch));
     PublishedAt = Now;
@@ -105,10 +106,10 @@
   void sendCrashingRequests() {
     if (Now < milliseconds(5'000) || Now.count() % 300 != 0)
       return;
-    for (int Send = 0; Send < Plan.CrashingRequests; ++Send) {
+    for (int Send = 0; Send < Plan.CopiesPerBurst; ++Send) {
       if (isBlocked(CrashingRequest))
         continue;
-      LateRequests += ThirdCrashAt && Now > *ThirdCrashAt + milliseconds(3'000) ? 1 : 0;
+      LateCopies += ThirdCrashAt && Now > *ThirdCrashAt + milliseconds(3'000) ? 1 : 0;
       startRun(CrashingRequest, milliseconds(60 + Random.below(150)), true);
     }
   }
@@ -128,7 +129,7 @@
           ThirdCrashAt = Now;
         crash(Run.Server, {Run.Fingerprint});
       } else if (!Run.CausesCrash && isPublished(Run.Fingerprint)) {
-        Table.clear(Run.Fingerprint.High);
+        Table.clearByHigh(Run.Fingerprint.High);
       }
     }
   }
@@ -196,16 +197,16 @@
 }
 
 // Guards against a request that continues to crash servers after the third one.
-TEST(CrashSimulationTest, BlocksTheRequestUnderWhichServersCrash) {
+TEST(CrashSimulationTest, BlocksTheRequestThatCrashesServers) {
   std::size_t MaxCrashedServers = 0;
   std::size_t Refused = 0;
   for (std::uint64_t Seed = 1; Seed <= seeds(); ++Seed)
     for (const int Requests : {1, 3}) {
       simulation_plan Plan;
-      Plan.CrashingRequests = Requests;
+      Plan.CopiesPerBurst = Requests;
       crash_simulation Simulation(Plan, Seed);
       Simulation.simulate();
-      EXPECT_LE(Simulation.LateRequests, 3U) << "seed " << Seed << ", " << Requests << " at once";
+      EXPECT_LE(Simulation.LateCopies, 3U) << "seed " << Seed << ", " << Requests << " at once";
       MaxCrashedServers = std::max(MaxCrashedServers, Simulation.CrashedServers);
       Refused += Simulation.RefusedInnocents;
     }
--- a/tests/suspect/suspect_table_test.cpp
+++ b/tests/suspect/suspect_table_test.cpp
@@ -73,13 +73,14 @@
 
 TEST_F(suspect_table_test, ClearsARequestAfterASuccessfulRun) {
   crashThreeTimes(CrashingRequest);
-  Table.clear(CrashingRequest.High);
+  Table.clearByHigh(CrashingRequest.High);
   EXPECT_TRUE(Table.published(Now).empty());
   crash({CrashingRequest}, Tuning.MinCrashInterval);
   EXPECT_TRUE(Table.published(Now).empty());
 }
 
-// Guards against the loss of three more servers each time that a block ends.
+// After a block, one crash must be enough to block the request again. Otherwise, each end of a
+// block would cost three more servers.
 TEST_F(suspect_table_test, DoublesTheBlockAtTheFirstCrashAfterIt) {
   crashThreeTimes(CrashingRequest);
   Now += Tuning.InitialBlock;
--- a/tests/work_share/simulated_network.h
+++ b/tests/work_share/simulated_network.h
@@ -55,7 +55,7 @@
       Entry.View->setEntries(All, Now);
   }
 
-  /// Sets the entry's loads; they are set again every 250 ms, as the decision thread does.
+  /// Sets the entry's loads. run() repeats them every 250 ms, like the decision thread.
   void setLoads(std::size_t EntryIndex, std::vector<work_load> Loads, bool Urgent = false) {
     entry &Entry = Entries[EntryIndex];
     Entry.OwnLoads = std::move(Loads);
@@ -68,7 +68,8 @@
       step();
   }
 
-  void kill(std::size_t EntryIndex) { Entries[EntryIndex].Down = true; }
+  /// Stops the entry but keeps its state. resume() continues with that state, restart() without it.
+  void stop(std::size_t EntryIndex) { Entries[EntryIndex].Down = true; }
   void resume(std::size_t EntryIndex) { Entries[EntryIndex].Down = false; }
   void restart(std::size_t EntryIndex) {
     Entries[EntryIndex] = makeEntry(EntryIndex, Entries[EntryIndex].Incarnation + 1);
--- a/tests/work_share/work_view_test.cpp
+++ b/tests/work_share/work_view_test.cpp
@@ -12,7 +12,8 @@
 namespace pollenstall {
 namespace {
 
-/// Requests of each entry at engine EntryIndex % Engines, and the loads that an entry should know.
+/// A workload, in which entry i has 1 + i % 3 requests at engine i % Engines, and the loads that
+/// each entry should know of it.
 struct expected_work {
   std::size_t Engines{24};
 
@@ -87,7 +88,8 @@
                    ? 1
                    : 0;
   }
-  EXPECT_LE(Moved, 2 * All.size()) << "two other entries on average, apart from its own group";
+  EXPECT_LE(Moved, 2 * All.size())
+      << "on average, at most two entries whose own relay is present change their relay";
 }
 
 TEST(Groups, ContainEachEntryOnceAndOneFailureDomain) {
@@ -119,9 +121,9 @@
     EXPECT_EQ(Net.knownLoad(Entry, 5).Requests, Entry == 3 ? 0U : 2U) << Entry;
 }
 
-// The receiver extrapolates the progress of reading. Reporting it every 10 ms would take as many
+// The receiver extrapolates the progress of a prefill. Reporting it every 10 ms would take as many
 // datagrams as all other changes.
-TEST(FewEntries, DoNotReportReadingProgress) {
+TEST(FewEntries, DoNotReportPrefillProgress) {
   simulated_network Net(8, 3);
   Net.run(50ms);
   Net.setLoads(0, {simulated_network::load(1, 1, 3'000)});
@@ -159,7 +161,7 @@
 }
 
 // The bytes sent by an ordinary entry depend on its own work, not on the number of entries.
-TEST(ManyEntries, SendNoMoreBytesFromAnOrdinaryEntry) {
+TEST(ManyEntries, SendNoMoreBytesFromAnOrdinaryEntryOfALargerFleet) {
   std::vector<std::size_t> Bytes;
   for (const std::size_t Count : {59U, 195U, 320U}) {
     simulated_network Net(Count, 5);
@@ -177,26 +179,26 @@
   EXPECT_LE(Bytes[2], Bytes[0] + Bytes[0] / 10);
 }
 
-// A long read is reported before it begins, so that two entries do not begin on the same engine.
-// The two relays on its path must not delay it until their next rounds.
-TEST(ManyEntries, LearnOfAClaimAtOnce) {
+// A long prefill is reported as urgent before it begins, so that two entries do not begin on the
+// same engine. The two relays on its path must not delay it until their next rounds.
+TEST(ManyEntries, LearnOfUrgentWorkAtOnce) {
   simulated_network Net(195, 5);
   Net.run(600ms);
   expected_work{150}.applyTo(Net);
   Net.run(500ms);
   for (std::size_t Step = 0; Step < 20; ++Step) {
-    const std::size_t ClaimingEntry = Step * 7;
-    Net.setLoads(ClaimingEntry, {simulated_network::load(150 + Step, 1, 900)}, true);
+    const std::size_t UrgentEntry = Step * 7;
+    Net.setLoads(UrgentEntry, {simulated_network::load(150 + Step, 1, 900)}, true);
     Net.run(5ms);
     for (std::size_t Entry = 0; Entry < Net.size(); ++Entry)
-      ASSERT_TRUE(Entry == ClaimingEntry || Net.knownLoad(Entry, 150 + Step).PrefillMs > 800)
+      ASSERT_TRUE(Entry == UrgentEntry || Net.knownLoad(Entry, 150 + Step).PrefillMs > 800)
           << Step << " at " << Entry;
   }
 }
 
-// If two entries read on an engine at the same time, its load names the one that goes first,
-// whichever relay computed the sum.
-TEST(ManyEntries, KnowTheFirstReader) {
+// If two entries have a prefill on an engine at the same time, its load contains the lowest
+// precedence of the two, whichever relay computed the sum.
+TEST(ManyEntries, KnowTheLowestPrecedence) {
   simulated_network Net(59, 3);
   Net.run(600ms);
   work_load First = simulated_network::load(4, 1, 500);
@@ -210,7 +212,8 @@
   EXPECT_EQ(Net.knownLoad(40, 4).LowestPrecedence, 99U);
 }
 
-// The fleet model computes traffic from this size.
+// fleet_run, the model of a whole fleet, computes traffic from workReportSize(), which must match
+// the encoder.
 TEST(WorkReport, HasTheDeclaredSize) {
   for (const std::size_t Count : {0U, 3U, 56U}) {
     work_report Report;
@@ -260,7 +263,7 @@
 // and no other entry would learn of the group's work.
 TEST_F(relayed_fleet_test, ContinuesWithoutARelay) {
   const std::size_t Dead = findRelay(Net);
-  Net.kill(Dead);
+  Net.stop(Dead);
   Net.run(500ms);
   Net.setLoads(50, {simulated_network::load(70, 5)});
   Net.run(150ms);
@@ -268,28 +271,30 @@
     EXPECT_TRUE(Entry == Dead || Entry == 50 || Net.knownLoad(Entry, 70).Requests == 5) << Entry;
 }
 
-// The dead relay's sum counts in addition to that of its successor for a second at most.
-TEST_F(relayed_fleet_test, ExpiresTheWorkOfADeadRelayAfterASecond) {
+// The dead relay's sum counts in addition to that of its successor until it expires, a second after
+// the last report. 1,600 ms also cover the replacement after 300 ms and the rounds of reports.
+TEST_F(relayed_fleet_test, ExpiresTheWorkOfADeadRelay) {
   const std::size_t Dead = findRelay(Net);
-  Net.kill(Dead);
+  Net.stop(Dead);
   Net.run(1'600ms);
   EXPECT_EQ(Work.countWrong(Net, {Dead}), 0U);
 }
 
-TEST_F(relayed_fleet_test, ExpiresTheWorkOfADeadEntryAfterASecond) {
+// Work expires a second after the last report; 1,200 ms also cover the rounds of reports.
+TEST_F(relayed_fleet_test, ExpiresTheWorkOfADeadEntry) {
   std::size_t Dead = 0;
   while (Net.isRelay(Dead))
     ++Dead;
-  Net.kill(Dead);
+  Net.stop(Dead);
   Net.run(1'200ms);
   EXPECT_EQ(Work.countWrong(Net, {Dead}), 0U);
 }
 
 // A relay freezes for four seconds and resumes with its state of that time. It must not report to
 // its group that all other work has ended.
-TEST_F(relayed_fleet_test, IsNotMisledByAResumedRelay) {
+TEST_F(relayed_fleet_test, IgnoresStaleStateOfAResumedRelay) {
   const std::size_t Frozen = findRelay(Net);
-  Net.kill(Frozen);
+  Net.stop(Frozen);
   Net.run(4'000ms);
   Net.resume(Frozen);
   for (int Step = 0; Step < 100; ++Step) {
@@ -308,7 +313,7 @@
 
 TEST_F(relayed_fleet_test, UsesARestartedRelayAgain) {
   const std::size_t Restarted = findRelay(Net);
-  Net.kill(Restarted);
+  Net.stop(Restarted);
   Net.run(700ms);
   Net.restart(Restarted);
   Work.applyTo(Net);
@@ -327,13 +332,14 @@
   std::size_t WrongLoads = 0;
   for (std::size_t Entry = 0; Entry < Net.size(); ++Entry)
     for (std::size_t Engine = 0; Engine < 60; ++Engine) {
+      // With 59 entries, engine 0 has no work. An entry does not count its own work.
       const std::uint32_t Expected = Engine > 0 && Engine != Entry + 1 ? 2 : 0;
       WrongLoads += Net.knownLoad(Entry, Engine).Requests == Expected ? 0 : 1;
     }
   EXPECT_EQ(WrongLoads, 0U);
 }
 
-// Datagrams are lost, duplicated and reordered, hosts fail and restart, and work changes. After two
+// Datagrams are lost, duplicated and reordered, hosts fail and restart, and work changes. After 2.5
 // seconds without faults, all running entries know the work of all running entries.
 RC_GTEST_PROP(FaultyFleet, KnowsAllWorkAfterTheFaultsEnd, ()) {
   const auto Seed = *rc::gen::arbitrary<std::uint32_t>();
@@ -349,7 +355,7 @@
   for (int Step = 0; Step < 30; ++Step) {
     const auto EntryIndex = static_cast<std::size_t>(Net.Random.below(Count));
     if (Net.Random.chance(0.1) && Down.size() + 1 < Count && !IsDown(EntryIndex)) {
-      Net.kill(EntryIndex);
+      Net.stop(EntryIndex);
       Down.push_back(EntryIndex);
     } else if (Net.Random.chance(0.1) && !Down.empty()) {
       Net.restart(Down.back());
