--- a/src/fleet_model/model_load.cpp
+++ b/src/fleet_model/model_load.cpp
@@ -96,15 +96,15 @@
 
 /// Reads overrides of placement parameters, for trials without a rebuild.
 void readTuning(toml_reader &Table, placement_tuning &Tuning) {
-  Tuning.GapPart = Table.number("gap_part", FractionRange, Tuning.GapPart);
-  Tuning.TargetPart = Table.number("target_part", FractionRange, Tuning.TargetPart);
+  Tuning.GapFraction = Table.number("gap_part", FractionRange, Tuning.GapFraction);
+  Tuning.TargetFraction = Table.number("target_part", FractionRange, Tuning.TargetFraction);
   Tuning.MaxSinglePrefillMs =
       Table.number("whole_read_ms", NonNegativeRange, Tuning.MaxSinglePrefillMs);
   Tuning.MinPartMs = Table.number("part_ms", PositiveRange, Tuning.MinPartMs);
   Tuning.IdlePrefillMs = Table.number("idle_read_ms", NonNegativeRange, Tuning.IdlePrefillMs);
-  Tuning.SlackPart = Table.number("slack_part", FractionRange, Tuning.SlackPart);
-  Tuning.WaitPart = Table.number("wait_part", FractionRange, Tuning.WaitPart);
-  Tuning.HeadroomPart = Table.number("room_part", FractionRange, Tuning.HeadroomPart);
+  Tuning.SlackFraction = Table.number("slack_part", FractionRange, Tuning.SlackFraction);
+  Tuning.WaitFraction = Table.number("wait_part", FractionRange, Tuning.WaitFraction);
+  Tuning.HeadroomFraction = Table.number("room_part", FractionRange, Tuning.HeadroomFraction);
   Tuning.LongPartMs = Table.number("long_part_ms", NonNegativeRange, Tuning.LongPartMs);
   Tuning.MaxPrefillEngines = static_cast<std::uint32_t>(
       Table.integer("most_readers", CountRange, Tuning.MaxPrefillEngines));
@@ -112,8 +112,8 @@
       static_cast<std::uint32_t>(Table.integer("spare_places", UrgencyRange, Tuning.SpareSlots));
   Tuning.MinPackedChoices = static_cast<std::size_t>(Table.integer(
       "packed_choices", CountRange, static_cast<std::int64_t>(Tuning.MinPackedChoices)));
-  Tuning.ChoicesPerUnknown =
-      Table.number("choices_per_unknown", NonNegativeRange, Tuning.ChoicesPerUnknown);
+  Tuning.ChoicesPerUnseenRequest =
+      Table.number("choices_per_unknown", NonNegativeRange, Tuning.ChoicesPerUnseenRequest);
   Table.finish("placement's tuning");
 }
 
--- a/src/placement/millis_func.h
+++ b/src/placement/millis_func.h
@@ -8,9 +8,9 @@
 
 namespace pollenstall {
 
-/// Returns the milliseconds from Now until Time; less than 0 if Time has passed.
-inline double millisUntil(mono_time Time, mono_time Now) {
-  return std::chrono::duration<double, std::milli>(Time - Now).count();
+/// Returns the milliseconds from Start until Time; less than 0 if Time is earlier.
+inline double millisUntil(mono_time Time, mono_time Start) {
+  return std::chrono::duration<double, std::milli>(Time - Start).count();
 }
 
 inline mono_duration durationFromMs(double Milliseconds) {
--- a/src/placement/placement_type.h
+++ b/src/placement/placement_type.h
@@ -19,9 +19,9 @@
   std::uint32_t DecodingRequests{0}; ///< Requests that have begun to answer.
   std::uint32_t PrefillMs{0}; ///< Pending prefill, including parts of prompts answered elsewhere.
   std::uint32_t Tokens{0};    ///< Allocated memory.
-  std::uint32_t GapMs{0};     ///< Shortest event gap that the callers allow; 0: unlimited.
-  /// Lowest precedenceOf() of the entries with a long prefill on this server; 0: none.
-  std::uint32_t LowestPrecedence{0};
+  std::uint32_t GapMs{0}; ///< Lowest of the callers' maximum times between events; 0: unlimited.
+  /// Lowest claimRankOf() of the entries with a long prefill on this server; 0: none.
+  std::uint32_t LowestClaimRank{0};
 
   bool operator==(const work_load &) const = default;
 };
@@ -29,9 +29,9 @@
 /// Returns whether the load contains no work.
 bool isEmpty(const work_load &Load);
 
-/// Returns the precedence of an entry, never 0. If two entries claim one engine at the same time,
+/// Returns the claim rank of an entry, never 0. If two entries claim one engine at the same time,
 /// the one with the lower value keeps its claim.
-inline std::uint32_t precedenceOf(const host_name &Host) {
+inline std::uint32_t claimRankOf(const host_name &Host) {
   return static_cast<std::uint32_t>(stableHash(Host.str())) | 1U;
 }
 
@@ -42,56 +42,61 @@
 work_load loadAfter(work_load Load, mono_duration Elapsed);
 
 /// Properties of the load exchange between entries that placement depends on.
-struct load_exchange_stats {
+struct load_exchange_properties {
   std::size_t Entries{1};            ///< Number of entries that place work, including this one.
-  mono_duration PropagationDelay{0}; ///< Average time until the others know of a placement.
+  mono_duration PropagationDelay{0}; ///< Average time until other entries know of a placement.
   /// Time between publishing a claim for a long prompt and acting on it. Two entries that see an
   /// engine become free at the same time would both place a prefill there, and the part that came
-  /// first would be finished last, seconds late. It must be at least the delay to the farthest
-  /// entry; with a longer delay, more claims conflict and are withdrawn.
+  /// first would be finished last, seconds late, because an engine processes a new part before
+  /// waiting ones. It must be at least the delay to the farthest entry; with a longer delay, more
+  /// claims conflict and are withdrawn.
   mono_duration ClaimDelay{std::chrono::milliseconds(6)};
 };
 
 /// Placement parameters. Numbers are in milliseconds unless noted.
 struct placement_tuning {
-  /// Part of the shortest allowed gap that a pass with its prefill may take. The rest covers
-  /// network delays and work that other entries place at the same time.
-  double GapPart{0.65};
-  /// Upper bound of the reserved rest of a gap: network delays do not grow with the gap.
+  /// Part of the lowest maximum gap of its streams that a pass with its prefill may take. The rest
+  /// covers network delays and work that other entries place at the same time.
+  double GapFraction{0.65};
+  /// Maximum time of a gap that is kept free for network delays, because these do not grow with the
+  /// gap.
   double GapMarginMs{90.0};
   /// Part of the time remaining to the target within which the first event must be expected.
-  double TargetPart{0.6};
+  double TargetFraction{0.6};
   /// Prefill up to this duration runs on a single engine, alongside its decoding requests.
   double MaxSinglePrefillMs{60.0};
   /// Part of an engine's memory that one prompt may use. The rest covers work that was placed just
   /// before.
-  double MemoryPart{0.94};
+  double MemoryFraction{0.94};
   /// Maximum number of engines, besides the first, that hold memory for one prompt.
   std::uint32_t MaxHolders{3};
-  /// Minimum duration of a part when a prompt is split.
+  /// Minimum duration of a prefill part when a prompt is split.
   double MinPartMs{80.0};
   /// An engine with at most this much pending prefill counts as idle.
   double IdlePrefillMs{30.0};
   /// Part of the engines, rounded down, that must keep headroom for a short prompt if a prefill
   /// occupies each of its engines for longer than LongPartMs. One prompt of 570,000 tokens that
   /// occupied all idle engines for two seconds made 51 short ones late.
-  double HeadroomPart{0.12};
-  /// A short prompt, with a target of some hundred milliseconds, can wait for less than this.
+  double HeadroomFraction{0.12};
+  /// Prefill per engine above which HeadroomFraction applies. A short prompt, with a target of some
+  /// hundred milliseconds, cannot wait that long.
   double LongPartMs{500.0};
-  /// Work waits for more idle engines only while more than this part of its target would remain.
-  double SlackPart{0.25};
+  /// Work waits for more idle engines only while its first event, if it were placed now, would
+  /// precede its target by more than this part of the target.
+  double SlackFraction{0.25};
   /// For a resumed stream, engines whose start times differ by at most this are equivalent.
   double StartToleranceMs{10.0};
   /// Slots of an engine that stay free, because two entries may choose it at the same time.
   std::uint32_t SpareSlots{2};
-  /// Minimum number of engines, from the start of the common order, among which short work is
-  /// spread at random. It is low so that the other engines stay free for long prefill.
+  /// Minimum number of engines, from the start of the order that all entries share, among which
+  /// short work is spread at random. It is low so that the other engines stay free for long
+  /// prefill.
   std::size_t MinPackedChoices{2};
-  /// Number of engines for each request that all entries place before they know of each other's
-  /// placements. With fewer, entries choose the same engine, and all its streams pause. With two
-  /// choices for 195 entries, 46 in 100 short prompts began within 20 ms of another one on the same
-  /// engine.
-  double ChoicesPerUnknown{2.0};
+  /// Number of engines to choose among for each unseen request: one that an entry places before the
+  /// others know of it. With fewer, entries choose the same engine, and all its streams pause. With
+  /// two choices for 195 entries, 46 in 100 short prompts began within 20 ms of another one on the
+  /// same engine.
+  double ChoicesPerUnseenRequest{2.0};
   /// Averaging window of the request rate.
   mono_duration RateWindow{std::chrono::seconds(2)};
   std::uint32_t MaxPrefillEngines{17}; ///< Maximum for one prompt, including the first engine.
@@ -106,7 +111,7 @@
   /// there and were lost, again after each backoff.
   mono_duration TrialTimeout{std::chrono::milliseconds(1500)};
   /// Part of the time limit after which waiting work is refused, so that its caller can retry.
-  double WaitPart{0.3};
+  double WaitFraction{0.3};
 };
 
 } // namespace pollenstall
--- a/src/placement/placer.cpp
+++ b/src/placement/placer.cpp
@@ -12,14 +12,14 @@
 
 constexpr std::chrono::seconds MinRetryAfter{1};
 /// A caller does not retry after more than this part of its remaining time.
-constexpr double MaxRetryPart = 1.0 / 3;
+constexpr double MaxRetryFraction = 1.0 / 3;
 /// Maximum number of waiting requests to try per poll, which bounds its duration under overload.
 constexpr std::size_t MaxTriesPerPoll = 64;
 
 } // namespace
 
 placer::placer(const host_name &Host, std::uint64_t Seed, const placement_tuning &InitialTuning)
-    : Precedence(precedenceOf(Host)), Random(combineHashes(Seed, stableHash(Host.str()))),
+    : ClaimRank(claimRankOf(Host)), Random(combineHashes(Seed, stableHash(Host.str()))),
       Tuning(InitialTuning), Rate(InitialTuning.RateWindow) {}
 
 void placer::applyDeclaration(const fleet_declaration &Declaration) {
@@ -50,8 +50,8 @@
     const auto Found = EnginesByIncarnation.find(Load.Incarnation);
     if (Found == EnginesByIncarnation.end())
       continue;
-    // Requests that ended since the last report hide as many new ones, so the rate is slightly too
-    // low under load.
+    // Only the increase of the count is visible: each request that ended since the last report
+    // cancels out a new one, so the rate is slightly too low under load.
     const std::uint32_t PreviousRequests =
         Found->second->othersLoad(Now, Tuning.PeerLoadTimeout).Requests;
     if (Load.Requests > PreviousRequests)
@@ -87,7 +87,7 @@
     return work_refusal{failure_reason::NoBackend, MinRetryAfter};
   const std::optional<engine_profile> &Figures = Declared->second.Engine;
   const double MaxTokens = Figures ? static_cast<double>(Figures->Memory.value()) *
-                                         (1 + Tuning.MaxHolders) * Tuning.MemoryPart
+                                         (1 + Tuning.MaxHolders) * Tuning.MemoryFraction
                                    : 0;
   if (Figures && memoryOf(Item) > MaxTokens)
     return work_refusal{failure_reason::TooLargeForFleet, std::nullopt};
@@ -108,7 +108,7 @@
 void placer::withdraw(request_number Request) {
   Waiting.erase(Request);
   Claimed.erase(Request);
-  Placed.erase(Request);
+  Unstarted.erase(Request);
 }
 
 bool placer::isPastTarget(const waiting_work &Work, mono_time Now) const {
@@ -143,7 +143,7 @@
     // The caller of a resumed request has a part of the answer, and a refusal would truncate it. It
     // waits until its deadline.
     if (Item.Resumed ||
-        millisUntil(Now, Iterator->second.WaitingSince) < TimeLimitMs * Tuning.WaitPart) {
+        millisUntil(Now, Iterator->second.WaitingSince) < TimeLimitMs * Tuning.WaitFraction) {
       ++Iterator;
       continue;
     }
@@ -174,14 +174,14 @@
 
 /**
  * Returns when the caller of a refused request should retry: when the work ahead of it is expected
- * to be done, but not later than the caller would retry at all. After a fixed second, it would find
- * the same queue, wait again and finally be refused.
+ * to be done, but no later than the last time at which the caller still retries. A retry after a
+ * constant one second would meet the same queue, wait again and finally be refused.
  */
 std::chrono::seconds placer::retryAfter(const waiting_work &Work, mono_time Now) {
   const auto Service = Services.find(Work.Service);
   if (Service == Services.end() || !Service->second.Engine)
     return MinRetryAfter;
-  const double MaxDelayMs = millisUntil(Work.Item.Deadline, Now) * MaxRetryPart;
+  const double MaxDelayMs = millisUntil(Work.Item.Deadline, Now) * MaxRetryFraction;
   const double DelayMs = std::min(prefillBacklogMs(Service->second), MaxDelayMs);
   return std::max(MinRetryAfter, std::chrono::floor<std::chrono::seconds>(durationFromMs(DelayMs)));
 }
@@ -230,7 +230,7 @@
     if (isClaimLost(Claim, Now)) {
       Waiting.insert_or_assign(Iterator->first, std::move(Claim.Work));
     } else {
-      Placed.insert_or_assign(Iterator->first, std::move(Claim.Started));
+      Unstarted.insert_or_assign(Iterator->first, std::move(Claim.Assigned));
       Outcome.Placements.push_back(std::move(Claim.Placement));
     }
     Iterator = Claimed.erase(Iterator);
@@ -238,20 +238,20 @@
 }
 
 bool placer::isClaimLost(const claimed_work &Claim, mono_time Now) const {
-  return std::any_of(Claim.Started.Parts.begin(), Claim.Started.Parts.end(),
+  return std::any_of(Claim.Assigned.Parts.begin(), Claim.Assigned.Parts.end(),
                      [&](const prefill_part &Part) {
                        const auto Engine = Engines.find(Part.Backend);
                        return Engine == Engines.end() || !Engine->second.active() ||
-                              Engine->second.hasPriorClaim(Precedence, Tuning.IdlePrefillMs, Now,
-                                                           Tuning.PeerLoadTimeout);
+                              Engine->second.hasWinningClaim(ClaimRank, Tuning.IdlePrefillMs, Now,
+                                                             Tuning.PeerLoadTimeout);
                      });
 }
 
 void placer::placeWork(const waiting_work &Work, const prefill_plan &Plan, mono_time Now,
                        poll_outcome &Outcome) {
-  running_work Started;
-  Started.Request = Work.Item.Request;
-  Started.GapMs = static_cast<double>(Work.Item.LongestGap.count());
+  assigned_work Assigned;
+  Assigned.Request = Work.Item.Request;
+  Assigned.GapMs = static_cast<double>(Work.Item.LongestGap.count());
   double RemainingTokens = memoryOf(Work.Item);
   work_placement Placement;
   Placement.Request = Work.Item.Request;
@@ -260,26 +260,26 @@
   for (const engine_option &PrefillEngine : Plan.PrefillEngines) {
     const backend_key &Key = PrefillEngine.Engine->key();
     PrefillEngine.Engine->recordPlacement(Tuning, Now);
-    Started.Parts.push_back({Key, Plan.PartMs, Now + durationFromMs(Plan.FirstEventMs)});
+    Assigned.Parts.push_back({Key, Plan.PartMs, Now + durationFromMs(Plan.FirstEventMs)});
     if (Key != Placement.Backend)
       Placement.Helpers.push_back(Key);
     if (const auto FoundHold = Plan.HeldTokens.find(Key); FoundHold != Plan.HeldTokens.end()) {
-      Started.Parts.back().Tokens = FoundHold->second;
+      Assigned.Parts.back().Tokens = FoundHold->second;
       RemainingTokens -= FoundHold->second;
     }
   }
-  Started.Parts.front().Tokens = RemainingTokens;
+  Assigned.Parts.front().Tokens = RemainingTokens;
   for (const auto &[Key, Amount] : Plan.HeldTokens)
     Placement.Holds.push_back({Key, tokens(static_cast<std::int64_t>(Amount))});
-  addWork(AllWork, Started, Now);
+  addWork(AllWork, Assigned, Now);
   if (Plan.PrefillEngines.size() > 1 || Plan.PartMs > Tuning.MaxSinglePrefillMs) {
     ++ClaimsMade;
     Claimed.insert_or_assign(
         Work.Item.Request,
-        claimed_work{Work, std::move(Started), std::move(Placement), Now + Exchange.ClaimDelay});
+        claimed_work{Work, std::move(Assigned), std::move(Placement), Now + Exchange.ClaimDelay});
     return;
   }
-  Placed.insert_or_assign(Work.Item.Request, std::move(Started));
+  Unstarted.insert_or_assign(Work.Item.Request, std::move(Assigned));
   Outcome.Placements.push_back(std::move(Placement));
 }
 
--- a/src/placement/placer_base.h
+++ b/src/placement/placer_base.h
@@ -16,9 +16,10 @@
 namespace pollenstall {
 
 /**
- * Places the calls of one entry whose routes and engines are declared. The prefill of a long prompt
- * is split over several engines. A pass of an engine with decoding requests never gets longer than
- * their declared gaps allow. All calls must come from one thread.
+ * Places the requests of one entry. Used instead of scheduler if the declaration contains routes
+ * and the figures of the engines. The prefill of a long prompt is split over several engines. A
+ * pass of an engine with decoding requests never gets longer than their declared gaps allow. All
+ * calls must come from one thread.
  */
 class placer {
 public:
@@ -30,7 +31,7 @@
   void removeBackend(const backend_key &Backend);
   /// Updates the work of all other entries on the engines for which it changed or was sent again.
   void updateOthersLoads(const std::vector<work_load> &Loads, mono_time Now);
-  void updateExchange(const load_exchange_stats &Stats) { Exchange = Stats; }
+  void updateExchange(const load_exchange_properties &Properties) { Exchange = Properties; }
 
   /// Queues a request, or refuses it immediately if it cannot run.
   std::variant<done, work_refusal> submit(const work_item &Item, mono_time Now);
@@ -50,8 +51,8 @@
   /// Returns the number of claims made so far. Each claim must be published to the other entries
   /// immediately.
   [[nodiscard]] std::uint64_t claimsMade() const { return ClaimsMade; }
-  /// Returns whether this entry can reach no backend server. Work then waits, except for periodic
-  /// trial requests, and is refused as not run after its maximum wait.
+  /// Returns whether this entry appears to reach no backend server. Work then waits, except for
+  /// periodic probe requests, and is refused with QueueFull after WaitFraction of its time limit.
   [[nodiscard]] bool reachesNoBackend() const { return Reachability.isIsolated(); }
   [[nodiscard]] std::size_t queued() const { return Waiting.size() + Claimed.size(); }
   /// Returns the state of the queue and each backend server as JSON.
@@ -70,19 +71,22 @@
     mono_time Until;  ///< Expected end of the prefill.
     double Tokens{0}; ///< Memory that stays allocated until the end of the request.
   };
-  struct running_work {
+  /// Work with its parts on engines, from its claim or placement until its attempt has ended.
+  struct assigned_work {
     request_number Request;
     std::vector<prefill_part> Parts; ///< The first part is on the engine that answers.
-    double GapMs{0};                 ///< Maximum time between two events that the caller allows.
+    double GapMs{0};                 ///< Maximum time between two events; 0: unlimited.
     bool Answered{false};
     mono_time SentTime; ///< When the attempt was started.
   };
   /// A placement that is published to the other entries before it takes effect.
   struct claimed_work {
     waiting_work Work;
-    running_work Started;
+    assigned_work Assigned;
     work_placement Placement;
-    mono_time DueTime; ///< Takes effect then unless an entry with lower precedence claimed first.
+    /// Takes effect then, unless one of its engines has left or is also claimed by an entry with a
+    /// lower claim rank.
+    mono_time DueTime;
   };
   struct engine_option {
     tracked_engine *Engine{nullptr};
@@ -111,14 +115,14 @@
   };
   /// Engines without a long pending prefill.
   struct idle_engines {
-    std::vector<prefill_candidate> Free;     ///< Engines without requests.
-    std::vector<prefill_candidate> Decoding; ///< Engines with requests.
+    std::vector<prefill_candidate> Unoccupied; ///< Engines without requests.
+    std::vector<prefill_candidate> Occupied;   ///< Engines with requests.
   };
   using engine_views = std::map<backend_key, engine_view>;
 
   [[nodiscard]] engine_views ownWork(mono_time Now) const;
   [[nodiscard]] engine_views allWork(mono_time Now) const;
-  static void addWork(engine_views &Views, const running_work &Work, mono_time Now);
+  static void addWork(engine_views &Views, const assigned_work &Work, mono_time Now);
   [[nodiscard]] std::vector<request_number> pollOrder(mono_time Now) const;
   void expireWaiting(mono_time Now, poll_outcome &Outcome);
   double prefillBacklogMs(const service_declaration &Service);
@@ -141,17 +145,17 @@
                    double RemainingMs, double TargetMs) const;
   [[nodiscard]] idle_engines
   findIdleEngines(const std::vector<prefill_candidate> &Candidates) const;
-  void keepHeadroom(std::vector<prefill_candidate> &Free,
-                    const std::vector<prefill_candidate> &Decoding, std::size_t CandidateCount,
+  void keepHeadroom(std::vector<prefill_candidate> &Unoccupied,
+                    const std::vector<prefill_candidate> &Occupied, std::size_t CandidateCount,
                     double PromptMs) const;
   [[nodiscard]] std::optional<prefill_plan>
-  splitPrefill(const std::vector<prefill_candidate> &Free,
-               const std::vector<prefill_candidate> &Decoding, double PromptMs,
-               bool UseDecoding) const;
-  static std::optional<prefill_plan> planWithEngines(const std::vector<prefill_candidate> &Free,
-                                                     const std::vector<prefill_candidate> &Decoding,
-                                                     std::size_t Count, double PartMs,
-                                                     bool UseDecoding);
+  splitPrefill(const std::vector<prefill_candidate> &Unoccupied,
+               const std::vector<prefill_candidate> &Occupied, double PromptMs,
+               bool UseOccupied) const;
+  static std::optional<prefill_plan>
+  planWithEngines(const std::vector<prefill_candidate> &Unoccupied,
+                  const std::vector<prefill_candidate> &Occupied, std::size_t Count, double PartMs,
+                  bool UseOccupied);
   void placeWork(const waiting_work &Work, const prefill_plan &Plan, mono_time Now,
                  poll_outcome &Outcome);
   std::optional<prefill_plan> chooseHolders(const std::vector<prefill_candidate> &AllCandidates,
@@ -163,10 +167,11 @@
   [[nodiscard]] bool isPastTarget(const waiting_work &Work, mono_time Now) const;
   [[nodiscard]] double memoryOf(const work_item &Item) const;
   void recordAttemptFailure(const attempt_id &Attempt, attempt_failure Failure, mono_time Now);
-  void recordConnectFailure(const running_work &Work, const tracked_engine &Engine, mono_time Now);
+  void recordConnectFailure(const assigned_work &Work, const tracked_engine &Engine, mono_time Now);
   [[nodiscard]] bool mayPlace(mono_time Now) const;
 
-  std::uint32_t Precedence; ///< Of this entry, for conflicting claims.
+  /// Claim rank of this entry; the lower rank wins if two claims conflict.
+  std::uint32_t ClaimRank;
   random_source Random;
   placement_tuning Tuning;
   std::map<service_name, service_declaration> Services;
@@ -175,9 +180,9 @@
   std::map<request_number, waiting_work> Waiting;
   std::map<request_number, claimed_work> Claimed;
   std::uint64_t ClaimsMade{0};
-  std::map<request_number, running_work> Placed; ///< Placements whose attempt has not started.
-  std::map<attempt_id, running_work> Running;
-  load_exchange_stats Exchange;
+  std::map<request_number, assigned_work> Unstarted; ///< Placements whose attempt has not started.
+  std::map<attempt_id, assigned_work> Running;
+  load_exchange_properties Exchange;
   reachability_monitor Reachability;
   request_rate Rate;    ///< Requests of all entries, as far as reported.
   engine_views AllWork; ///< Work of this and the other entries, as of the current poll.
--- a/src/placement/placer_choice.cpp
+++ b/src/placement/placer_choice.cpp
@@ -14,8 +14,9 @@
 /// Maximum requests per slot of a server without declared figures. Requests above 1 per slot wait
 /// at the server.
 constexpr double FullFactor = 1.5;
-/// Part of the remaining time limit that work past its target may use.
-constexpr double LatePart = 0.5;
+/// Part of the time until the deadline that work may use if its target does not apply: resumed
+/// work, and work without a target or past it.
+constexpr double DeadlineFraction = 0.5;
 
 } // namespace
 
@@ -77,17 +78,19 @@
     Candidate.StartMs = Candidate.PassMs + Option.View.PrefillMs;
     const double GapMs = Option.View.GapMs;
     Candidate.MaxPartMs =
-        GapMs > 0 ? std::max(GapMs * Tuning.GapPart, GapMs - Tuning.GapMarginMs) - Candidate.StartMs
-                  : std::numeric_limits<double>::max();
+        GapMs > 0
+            ? std::max(GapMs * Tuning.GapFraction, GapMs - Tuning.GapMarginMs) - Candidate.StartMs
+            : std::numeric_limits<double>::max();
     Candidate.CanAnswer = Option.View.Requests + Tuning.SpareSlots < Figures.BatchSlots &&
                           Option.View.Tokens + NeededTokens <= EngineTokens;
     Candidates.push_back(Candidate);
   }
-  const bool IsLate = Work.Item.Resumed || Work.Item.Target.count() == 0 || isPastTarget(Work, Now);
-  const double RemainingMs = IsLate ? millisUntil(Work.Item.Deadline, Now) * LatePart
-                                    : millisUntil(Work.Item.Arrived + Work.Item.Target, Now);
+  const bool UsesDeadline =
+      Work.Item.Resumed || Work.Item.Target.count() == 0 || isPastTarget(Work, Now);
+  const double RemainingMs = UsesDeadline ? millisUntil(Work.Item.Deadline, Now) * DeadlineFraction
+                                          : millisUntil(Work.Item.Arrived + Work.Item.Target, Now);
   const double PromptMs = prefillMs(Figures, Work.Item.Prompt);
-  if (NeededTokens > EngineTokens * Tuning.MemoryPart)
+  if (NeededTokens > EngineTokens * Tuning.MemoryFraction)
     return chooseHolders(Candidates, Figures, NeededTokens, PromptMs, RemainingMs);
   if (Work.Item.Resumed && PromptMs <= Tuning.MaxSinglePrefillMs)
     if (auto Plan = chooseSoonest(Candidates, PromptMs))
@@ -101,8 +104,8 @@
 
 std::size_t placer::packedChoiceCount(mono_time Now) const {
   const double UnseenRequests = Rate.expectedRequests(Exchange.PropagationDelay, Now);
-  return std::max(Tuning.MinPackedChoices,
-                  static_cast<std::size_t>(std::ceil(UnseenRequests * Tuning.ChoicesPerUnknown)));
+  return std::max(Tuning.MinPackedChoices, static_cast<std::size_t>(std::ceil(
+                                               UnseenRequests * Tuning.ChoicesPerUnseenRequest)));
 }
 
 /**
@@ -115,7 +118,7 @@
   const std::size_t ChoiceCount = packedChoiceCount(Now);
   std::vector<const prefill_candidate *> Suitable;
   for (const prefill_candidate &Candidate : Candidates) {
-    const bool IsInTime = Candidate.StartMs + PromptMs <= RemainingMs * Tuning.TargetPart;
+    const bool IsInTime = Candidate.StartMs + PromptMs <= RemainingMs * Tuning.TargetFraction;
     if (Candidate.CanAnswer && IsInTime && PromptMs <= Candidate.MaxPartMs)
       Suitable.push_back(&Candidate);
     if (Suitable.size() >= ChoiceCount)
@@ -156,52 +159,53 @@
   idle_engines IdleEngines;
   for (const prefill_candidate &Candidate : Candidates)
     if (Candidate.Option.View.PrefillMs <= Tuning.IdlePrefillMs)
-      (Candidate.occupied() ? IdleEngines.Decoding : IdleEngines.Free).push_back(Candidate);
-  // Reverse of the common order, because short work is placed from its start.
-  std::reverse(IdleEngines.Free.begin(), IdleEngines.Free.end());
+      (Candidate.occupied() ? IdleEngines.Occupied : IdleEngines.Unoccupied).push_back(Candidate);
+  // Reverse of the order that all entries share, because short work is placed from its start.
+  std::reverse(IdleEngines.Unoccupied.begin(), IdleEngines.Unoccupied.end());
   return IdleEngines;
 }
 
 /**
- * Removes engines from Free so that enough engines keep headroom for short prompts. If a long
+ * Removes engines from Unoccupied so that enough engines keep headroom for short prompts. If a long
  * prefill took the last engines with headroom, each short prompt that arrives before its end would
  * wait for longer than its target.
  */
-void placer::keepHeadroom(std::vector<prefill_candidate> &Free,
-                          const std::vector<prefill_candidate> &Decoding,
+void placer::keepHeadroom(std::vector<prefill_candidate> &Unoccupied,
+                          const std::vector<prefill_candidate> &Occupied,
                           std::size_t CandidateCount, double PromptMs) const {
   const auto WantedCount =
-      static_cast<std::size_t>(static_cast<double>(CandidateCount) * Tuning.HeadroomPart);
+      static_cast<std::size_t>(static_cast<double>(CandidateCount) * Tuning.HeadroomFraction);
   const auto WithHeadroom = static_cast<std::size_t>(
-      std::count_if(Decoding.begin(), Decoding.end(), [this](const prefill_candidate &Candidate) {
+      std::count_if(Occupied.begin(), Occupied.end(), [this](const prefill_candidate &Candidate) {
         return Candidate.CanAnswer && Candidate.MaxPartMs >= Tuning.MaxSinglePrefillMs;
       }));
-  const std::size_t EngineCount = std::clamp<std::size_t>(Free.size(), 1, Tuning.MaxPrefillEngines);
+  const std::size_t EngineCount =
+      std::clamp<std::size_t>(Unoccupied.size(), 1, Tuning.MaxPrefillEngines);
   if (WithHeadroom >= WantedCount ||
       PromptMs / static_cast<double>(EngineCount) <= Tuning.LongPartMs)
     return;
-  Free.resize(Free.size() - std::min(Free.size(), WantedCount - WithHeadroom));
+  Unoccupied.resize(Unoccupied.size() - std::min(Unoccupied.size(), WantedCount - WithHeadroom));
 }
 
 /**
  * Splits the prefill of a long prompt over as many idle engines as possible, so that each is
- * occupied only briefly. No work queues at an engine: there, parts of other prompts would be
- * processed first, and queued work could wait forever. A prompt that finds too few idle engines
- * waits here, where the order is kept.
+ * occupied only briefly. Work never waits at an engine: an engine processes later parts of other
+ * prompts first, so waiting work could wait forever. A prompt that finds too few idle engines waits
+ * here, where the order is kept.
  */
 std::optional<placer::prefill_plan>
 placer::spreadLongPrompt(const std::vector<prefill_candidate> &Candidates, double PromptMs,
                          double RemainingMs, double TargetMs) const {
-  auto [Free, Decoding] = findIdleEngines(Candidates);
-  keepHeadroom(Free, Decoding, Candidates.size(), PromptMs);
-  auto Plan = splitPrefill(Free, Decoding, PromptMs, false);
-  if (!Plan || Plan->FirstEventMs > RemainingMs * Tuning.TargetPart)
-    if (auto WidePlan = splitPrefill(Free, Decoding, PromptMs, true))
+  auto [Unoccupied, Occupied] = findIdleEngines(Candidates);
+  keepHeadroom(Unoccupied, Occupied, Candidates.size(), PromptMs);
+  auto Plan = splitPrefill(Unoccupied, Occupied, PromptMs, false);
+  if (!Plan || Plan->FirstEventMs > RemainingMs * Tuning.TargetFraction)
+    if (auto WidePlan = splitPrefill(Unoccupied, Occupied, PromptMs, true))
       if (!Plan || WidePlan->FirstEventMs < Plan->FirstEventMs)
         Plan = std::move(WidePlan);
-  if (!Plan || Plan->FirstEventMs <= RemainingMs * Tuning.TargetPart)
+  if (!Plan || Plan->FirstEventMs <= RemainingMs * Tuning.TargetFraction)
     return Plan;
-  const bool CanWait = RemainingMs - Plan->FirstEventMs > TargetMs * Tuning.SlackPart;
+  const bool CanWait = RemainingMs - Plan->FirstEventMs > TargetMs * Tuning.SlackFraction;
   const bool IsInTime = Plan->FirstEventMs <= RemainingMs;
   return IsInTime && !CanWait ? Plan : std::nullopt;
 }
@@ -215,9 +219,10 @@
 placer::chooseHolders(const std::vector<prefill_candidate> &AllCandidates,
                       const engine_profile &Figures, double NeededTokens, double PromptMs,
                       double RemainingMs) const {
-  const double MaxTokensPerEngine = static_cast<double>(Figures.Memory.value()) * Tuning.MemoryPart;
-  auto [IdleCandidates, Decoding] = findIdleEngines(AllCandidates);
-  keepHeadroom(IdleCandidates, Decoding, AllCandidates.size(), PromptMs);
+  const double MaxTokensPerEngine =
+      static_cast<double>(Figures.Memory.value()) * Tuning.MemoryFraction;
+  auto [IdleCandidates, Occupied] = findIdleEngines(AllCandidates);
+  keepHeadroom(IdleCandidates, Occupied, AllCandidates.size(), PromptMs);
   std::stable_sort(IdleCandidates.begin(), IdleCandidates.end(),
                    [](const prefill_candidate &A, const prefill_candidate &B) {
                      return A.Option.View.Tokens < B.Option.View.Tokens;
@@ -244,34 +249,34 @@
   return Plan.FirstEventMs <= RemainingMs ? std::optional(std::move(Plan)) : std::nullopt;
 }
 
-/// @param UseDecoding Whether engines with decoding requests also prefill parts, as far as the gaps
+/// @param UseOccupied Whether engines with decoding requests also prefill parts, as far as the gaps
 /// of their streams allow.
 std::optional<placer::prefill_plan>
-placer::splitPrefill(const std::vector<prefill_candidate> &Free,
-                     const std::vector<prefill_candidate> &Decoding, double PromptMs,
-                     bool UseDecoding) const {
+placer::splitPrefill(const std::vector<prefill_candidate> &Unoccupied,
+                     const std::vector<prefill_candidate> &Occupied, double PromptMs,
+                     bool UseOccupied) const {
   const auto WantedCount = static_cast<std::size_t>(std::ceil(PromptMs / Tuning.MinPartMs));
   const std::size_t MaxCount = std::clamp<std::size_t>(WantedCount, 1, Tuning.MaxPrefillEngines);
   for (std::size_t Count = MaxCount; Count >= 1; --Count)
-    if (auto Plan = planWithEngines(Free, Decoding, Count, PromptMs / static_cast<double>(Count),
-                                    UseDecoding))
+    if (auto Plan = planWithEngines(Unoccupied, Occupied, Count,
+                                    PromptMs / static_cast<double>(Count), UseOccupied))
       return Plan;
   return std::nullopt;
 }
 
 std::optional<placer::prefill_plan>
-placer::planWithEngines(const std::vector<prefill_candidate> &Free,
-                        const std::vector<prefill_candidate> &Decoding, std::size_t Count,
-                        double PartMs, bool UseDecoding) {
+placer::planWithEngines(const std::vector<prefill_candidate> &Unoccupied,
+                        const std::vector<prefill_candidate> &Occupied, std::size_t Count,
+                        double PartMs, bool UseOccupied) {
   // The engine that answers will decode for some time. Preferring one that already decodes keeps
   // free engines free.
   const auto CanAnswerPart = [PartMs](const prefill_candidate &Candidate) {
     return Candidate.CanAnswer && PartMs <= Candidate.MaxPartMs;
   };
-  auto FirstEngine = std::find_if(Decoding.begin(), Decoding.end(), CanAnswerPart);
-  if (FirstEngine == Decoding.end()) {
-    FirstEngine = std::find_if(Free.begin(), Free.end(), CanAnswerPart);
-    if (FirstEngine == Free.end())
+  auto FirstEngine = std::find_if(Occupied.begin(), Occupied.end(), CanAnswerPart);
+  if (FirstEngine == Occupied.end()) {
+    FirstEngine = std::find_if(Unoccupied.begin(), Unoccupied.end(), CanAnswerPart);
+    if (FirstEngine == Unoccupied.end())
       return std::nullopt;
   }
   std::vector<const prefill_candidate *> ChosenEngines{&*FirstEngine};
@@ -281,9 +286,9 @@
           PartMs <= Candidate.MaxPartMs)
         ChosenEngines.push_back(&Candidate);
   };
-  AddEngines(Free);
-  if (UseDecoding)
-    AddEngines(Decoding);
+  AddEngines(Unoccupied);
+  if (UseOccupied)
+    AddEngines(Occupied);
   if (ChosenEngines.size() < Count)
     return std::nullopt;
   prefill_plan Plan;
--- a/src/placement/placer_work.cpp
+++ b/src/placement/placer_work.cpp
@@ -11,21 +11,21 @@
 
 /// Fraction of a prefill part's duration that it counts for if it is past its expected end but not
 /// known to be done.
-constexpr double OverduePart = 0.25;
-/// A refused connection fails within this time, which shows that the server's host was reached. A
-/// connection without any response fails at the connect timeout.
-constexpr mono_duration RefusalTimeout = std::chrono::milliseconds(100);
+constexpr double OverdueFraction = 0.25;
+/// A connection that fails within this time was refused by the server's host, which was therefore
+/// reached. A connection without any response fails at the connect timeout.
+constexpr mono_duration MaxConnectionRefusedDelay = std::chrono::milliseconds(100);
 
 } // namespace
 
-void placer::addWork(engine_views &Views, const running_work &Work, mono_time Now) {
+void placer::addWork(engine_views &Views, const assigned_work &Work, mono_time Now) {
   for (const prefill_part &Part : Work.Parts) {
     if (Part.Tokens > 0)
       Views[Part.Backend].Tokens += Part.Tokens;
     if (Work.Answered)
       continue;
     const double RemainingMs = std::min(Part.DurationMs, millisUntil(Part.Until, Now));
-    Views[Part.Backend].PrefillMs += std::max(RemainingMs, Part.DurationMs * OverduePart);
+    Views[Part.Backend].PrefillMs += std::max(RemainingMs, Part.DurationMs * OverdueFraction);
   }
   engine_view &AnsweringView = Views[Work.Parts.front().Backend];
   AnsweringView.limitGap(Work.GapMs);
@@ -36,8 +36,8 @@
 placer::engine_views placer::ownWork(mono_time Now) const {
   engine_views Views;
   for (const auto &[Request, Claim] : Claimed)
-    addWork(Views, Claim.Started, Now);
-  for (const auto &[Request, Work] : Placed)
+    addWork(Views, Claim.Assigned, Now);
+  for (const auto &[Request, Work] : Unstarted)
     addWork(Views, Work, Now);
   for (const auto &[Attempt, Work] : Running)
     addWork(Views, Work, Now);
@@ -68,7 +68,7 @@
     Load.PrefillMs = static_cast<std::uint32_t>(View.PrefillMs);
     Load.Tokens = static_cast<std::uint32_t>(View.Tokens);
     Load.GapMs = static_cast<std::uint32_t>(View.GapMs);
-    Load.LowestPrecedence = View.PrefillMs > Tuning.IdlePrefillMs ? Precedence : 0;
+    Load.LowestClaimRank = View.PrefillMs > Tuning.IdlePrefillMs ? ClaimRank : 0;
     Loads.push_back(Load);
   }
   return Loads;
@@ -77,19 +77,19 @@
 void placer::attemptStarted(const attempt_id &Attempt, const work_item &Item,
                             const backend_key &Backend, mono_time Now) {
   Rate.add(1, Now);
-  const auto Found = Placed.find(Item.Request);
-  if (Found != Placed.end()) {
+  const auto Found = Unstarted.find(Item.Request);
+  if (Found != Unstarted.end()) {
     Found->second.SentTime = Now;
     Running.insert_or_assign(Attempt, std::move(Found->second));
-    Placed.erase(Found);
+    Unstarted.erase(Found);
     return;
   }
-  running_work Started;
-  Started.Request = Item.Request;
-  Started.GapMs = static_cast<double>(Item.LongestGap.count());
-  Started.SentTime = Now;
-  Started.Parts.push_back({Backend, 0, Now, memoryOf(Item)});
-  Running.insert_or_assign(Attempt, std::move(Started));
+  assigned_work Assigned;
+  Assigned.Request = Item.Request;
+  Assigned.GapMs = static_cast<double>(Item.LongestGap.count());
+  Assigned.SentTime = Now;
+  Assigned.Parts.push_back({Backend, 0, Now, memoryOf(Item)});
+  Running.insert_or_assign(Attempt, std::move(Assigned));
 }
 
 void placer::attemptAnswering(const attempt_id &Attempt, mono_time Now) {
@@ -148,9 +148,9 @@
     Engine->second.recordFailure(Tuning, Now);
 }
 
-void placer::recordConnectFailure(const running_work &Work, const tracked_engine &Engine,
+void placer::recordConnectFailure(const assigned_work &Work, const tracked_engine &Engine,
                                   mono_time Now) {
-  if (Now - Work.SentTime < RefusalTimeout)
+  if (Now - Work.SentTime < MaxConnectionRefusedDelay)
     return Reachability.recordReachable();
   const bool WasIsolated = Reachability.isIsolated();
   Reachability.recordUnreachable(Engine.key(), Engine.domain(), Now);
--- a/src/placement/reachability_monitor_base.h
+++ b/src/placement/reachability_monitor_base.h
@@ -33,9 +33,10 @@
   [[nodiscard]] mono_time nextProbe() const { return NextProbe; }
 
 private:
-  /// Failures that are further apart are unrelated. If two fifths of all servers lose their links,
-  /// four consecutive failures occur in two of a hundred cases.
+  /// Failures that are further apart are unrelated.
   static constexpr mono_duration FailureWindow = std::chrono::seconds(3);
+  /// With two fifths of all servers unreachable, four consecutive attempts all fail in two of a
+  /// hundred cases.
   static constexpr std::size_t MinServers = 4;
   static constexpr std::size_t MinDomains = 2;
   static constexpr mono_duration ProbeInterval = std::chrono::milliseconds(300);
--- a/src/placement/tracked_engine.cpp
+++ b/src/placement/tracked_engine.cpp
@@ -10,9 +10,9 @@
   OthersReceived = Now;
 }
 
-bool tracked_engine::hasPriorClaim(std::uint32_t Precedence, double ThresholdMs, mono_time Now,
-                                   mono_duration MaxAge) const {
-  return Others.LowestPrecedence != 0 && Others.LowestPrecedence < Precedence &&
+bool tracked_engine::hasWinningClaim(std::uint32_t ClaimRank, double ThresholdMs, mono_time Now,
+                                     mono_duration MaxAge) const {
+  return Others.LowestClaimRank != 0 && Others.LowestClaimRank < ClaimRank &&
          othersLoad(Now, MaxAge).PrefillMs > ThresholdMs;
 }
 
--- a/src/placement/tracked_engine_base.h
+++ b/src/placement/tracked_engine_base.h
@@ -16,7 +16,7 @@
   std::uint32_t DecodingRequests{0};
   double PrefillMs{0}; ///< Pending prefill.
   double Tokens{0};    ///< Allocated memory.
-  double GapMs{0};     ///< Shortest event gap that the requests allow; 0: unlimited.
+  double GapMs{0};     ///< Lowest of the requests' maximum times between events; 0: unlimited.
 
   /// Lowers the allowed gap to that of another request; 0: unlimited.
   void limitGap(double Ms) {
@@ -38,10 +38,10 @@
   /// empty if that report is older than MaxAge.
   [[nodiscard]] engine_view othersLoad(mono_time Now, mono_duration MaxAge) const;
 
-  /// Returns whether an entry with a lower precedence number claims this server and other entries
-  /// have more than ThresholdMs of prefill pending here.
-  [[nodiscard]] bool hasPriorClaim(std::uint32_t Precedence, double ThresholdMs, mono_time Now,
-                                   mono_duration MaxAge) const;
+  /// Returns whether an entry with a lower claim rank, which wins, claims this server and other
+  /// entries have more than ThresholdMs of prefill pending here.
+  [[nodiscard]] bool hasWinningClaim(std::uint32_t ClaimRank, double ThresholdMs, mono_time Now,
+                                     mono_duration MaxAge) const;
 
   /// Starts a backoff after an attempt failed because of the server.
   void recordFailure(const placement_tuning &Tuning, mono_time Now);
--- a/src/placement/work_load.cpp
+++ b/src/placement/work_load.cpp
@@ -27,7 +27,7 @@
   A.PrefillMs += B.PrefillMs;
   A.Tokens += B.Tokens;
   A.GapMs = lowerNonZero(A.GapMs, B.GapMs);
-  A.LowestPrecedence = lowerNonZero(A.LowestPrecedence, B.LowestPrecedence);
+  A.LowestClaimRank = lowerNonZero(A.LowestClaimRank, B.LowestClaimRank);
   return A;
 }
 
--- a/src/scheduling/account_queue_base.h
+++ b/src/scheduling/account_queue_base.h
@@ -69,18 +69,19 @@
   [[nodiscard]] std::optional<mono_time> nextExpiry() const;
   /**
    * Returns the recent placed cost of the account divided by its fair share of the recent placed
-   * cost of all active accounts. 1 is exactly the fair share.
+   * cost of all active accounts. 1 is exactly the fair share. Returns 0 if no other account is
+   * active.
    */
   [[nodiscard]] double relativeUsage(const client_account_name &Account, mono_time Now) const;
-  /// Returns the queued cost of the class that fair sharing serves before a new request of the
-  /// account.
+  /// Returns the cost of the waiting requests of the class, of all accounts, that fair sharing
+  /// places before a new request of the account.
   [[nodiscard]] double costAhead(const client_account_name &Account, length_class Class) const;
   [[nodiscard]] std::size_t size() const { return WaitingRequests.size(); }
   [[nodiscard]] std::size_t size(length_class Class) const;
   [[nodiscard]] bool empty() const { return WaitingRequests.empty(); }
 
 private:
-  using arrival = std::pair<mono_time, request_number>;
+  using timed_request = std::pair<mono_time, request_number>;
   struct account_state {
     double Share{1};
     std::uint32_t QueueLimit{256};
@@ -88,7 +89,7 @@
     double FinishTag{0};
     double Usage{0}; ///< Exponentially decaying sum of the placed cost, as of UsageUpdated.
     mono_time UsageUpdated;
-    std::array<std::set<arrival>, LengthClassCount> Waiting;
+    std::array<std::set<timed_request>, LengthClassCount> Waiting;
     std::array<double, LengthClassCount> QueuedCost{};
   };
 
@@ -100,7 +101,7 @@
   double VirtualTime{0};
   std::map<client_account_name, account_state> Accounts;
   std::map<request_number, waiting_work> WaitingRequests;
-  std::set<arrival> ByLatestStart;
+  std::set<timed_request> ByLatestStart;
 };
 
 } // namespace pollenstall
--- a/src/scheduling/backend_pool.cpp
+++ b/src/scheduling/backend_pool.cpp
@@ -9,7 +9,9 @@
 namespace {
 
 constexpr double OptimisticRate = 100'000.0; ///< Prompt tokens per second.
-/// In samples of 4,096 tokens. One sample changes an estimate by at most a factor of two.
+/// Number of samples, of 4,096 tokens each, from which the learned rate of an engine is used to
+/// refuse requests. Several are needed, because one sample changes the estimate by at most a factor
+/// of two.
 constexpr double MinSamplesForRefusal = 6.0;
 
 bool hasLabels(const label_set &Announced, const label_set &Wanted) {
@@ -31,7 +33,7 @@
 
 double scheduled_backend::requestCount() const {
   const double Reported = static_cast<double>(View.Load.Running) + View.Load.Waiting;
-  return std::max(0.0, Reported - OwnInReport) + Outstanding;
+  return std::max(0.0, Reported - OwnAttemptsInReport) + Outstanding;
 }
 
 memory_blocks scheduled_backend::blocksNeeded(const work_item &Item) const {
--- a/src/scheduling/backend_pool_base.h
+++ b/src/scheduling/backend_pool_base.h
@@ -21,9 +21,9 @@
   cost_model Costs;
   prefill_tracker Prefill;
   memory_tracker Memory;
-  std::uint32_t Outstanding{0}; ///< Own attempts that have not ended.
-  std::uint32_t OwnInReport{0}; ///< Number of outstanding attempts that the last report includes.
-  mono_time LastProgress;       ///< When an own attempt on the server last received data.
+  std::uint32_t Outstanding{0};         ///< Own attempts that have not ended.
+  std::uint32_t OwnAttemptsInReport{0}; ///< Outstanding attempts included in the last report.
+  mono_time LastProgress;               ///< When an own attempt on the server last received data.
 
   [[nodiscard]] const backend_key &key() const { return View.Announcement.Key; }
   [[nodiscard]] bool active() const { return View.Status == backend_status::Active; }
@@ -44,7 +44,8 @@
   void remove(const backend_key &Backend);
 
   [[nodiscard]] scheduled_backend *find(const backend_key &Backend);
-  /// Returns the servers of the group, of any standing, or of the service if Group is empty.
+  /// Returns all servers of the group, or of the service if Group is empty, regardless of their
+  /// status.
   [[nodiscard]] const std::vector<scheduled_backend *> &members(const service_name &Service,
                                                                 const group_name &Group);
   /// Recomputes which engines of each group accept long prompts.
@@ -52,8 +53,8 @@
   /// @param LongCostShare Share of the recent cost that is in the long class, from 0 to 1.
   void selectLongEngines(double MaxShare, double LongCostShare);
   /// Returns whether the engine accepts long prompts of the group.
-  /// @param EngineShare Share of the group's long-prompt engines to consider, first ones in the
-  /// common order first.
+  /// @param EngineShare Only this share of the group's long-prompt engines counts, taken from the
+  /// start of longWorkOrder().
   [[nodiscard]] bool acceptsLongWork(const group_name &Group, const backend_key &Backend,
                                      double EngineShare = 1.0) const;
   /// Updates the learned rates, then ejects slow and failing servers of each service.
@@ -79,7 +80,7 @@
     service_name Service;
     label_set Labels;
     std::vector<scheduled_backend *> Servers;
-    std::map<backend_key, std::size_t> LongEngines; ///< With their position in the common order.
+    std::map<backend_key, std::size_t> LongEngines; ///< With their position in longWorkOrder().
   };
 
   void rebuild();
@@ -90,7 +91,7 @@
   std::map<service_name, std::vector<scheduled_backend *>> Services;
   std::vector<scheduled_backend *> NoServers;
   outlier_detector OutlierDetector;
-  bool Stale{true}; ///< A label, service, standing or the set of servers changed since rebuild().
+  bool Stale{true}; ///< A label, service, status or the set of servers changed since rebuild().
   double LongFrom{100'000};
   double TypicalRate{cost_model().prefillRate()};
   double TypicalStep{cost_model().secondsPerStep()};
--- a/src/scheduling/concurrency_limit.cpp
+++ b/src/scheduling/concurrency_limit.cpp
@@ -11,8 +11,8 @@
 constexpr double MaxLimit = 512.0;
 constexpr double PaceGain = 0.01;
 /// RequiredPace tracks this quantile of the observed values: downward steps are larger than upward
-/// steps by the odds of the quantile. It settles at the value that a tenth of the requests, those
-/// with the least time per token, are below.
+/// steps by the odds of the quantile. It converges to the value that a tenth of the observed values
+/// are below. These come from the requests that allow the least time per token.
 constexpr double RequiredPaceQuantile = 0.1;
 constexpr double RequiredPaceGain = 0.005;
 constexpr double Decrease = 0.97;
--- a/src/scheduling/concurrency_limit_base.h
+++ b/src/scheduling/concurrency_limit_base.h
@@ -8,9 +8,9 @@
 
 /**
  * Learns how many concurrent requests an engine can run so that their answers still end within the
- * callers' time limits. An engine with continuous prefill produces one token per running answer and
- * prefill chunk. With too many requests, answers exceed the time limits and their work is lost.
- * Requests that wait at the entry instead can be refused early.
+ * callers' time limits. While an engine prefills without pause, each running answer gets one token
+ * per prefill chunk. With too many requests, answers exceed the time limits and their work is lost.
+ * Requests that wait at this host instead can be refused early.
  */
 class concurrency_limit {
 public:
--- a/src/scheduling/cost_model_base.h
+++ b/src/scheduling/cost_model_base.h
@@ -48,8 +48,8 @@
 
   /**
    * Records the arrival of the first token of an attempt.
-   * @param Tokens Prompt tokens that the engine processed before, of this attempt and of the
-   * attempts estimated to be ahead of it.
+   * @param Tokens Prompt tokens that the engine processed before that token: those of this attempt
+   * and of the attempts estimated to be ahead of it.
    * @param Elapsed Time from placement to the first token.
    */
   void observePrefill(double Tokens, mono_duration Elapsed);
@@ -58,7 +58,8 @@
   void observeSteps(std::uint64_t Events, mono_duration Elapsed);
   /// Uses the median rate of the peers as prior if the engine has no samples yet.
   void adoptPeerRate(double TokensPerSecond) { Rate.adoptPrior(TokensPerSecond); }
-  /// Discards the learned rate; for a server that is admitted again after an ejection.
+  /// Discards the learned rate, for a server that is admitted again after an ejection. Currently
+  /// without a caller.
   void restart(double TokensPerSecond) { Rate.restart(TokensPerSecond); }
 
   /// Returns the prefill rate in tokens per second.
--- a/src/scheduling/outlier_detector.cpp
+++ b/src/scheduling/outlier_detector.cpp
@@ -18,9 +18,9 @@
 constexpr mono_duration BaseEjectionTime = 5s;
 constexpr std::uint32_t MaxDoublings = 4;
 
-double medianRate(const std::vector<peer_speed> &Group) {
+double medianRate(const std::vector<peer_speed> &Peers) {
   std::vector<double> Rates;
-  for (const peer_speed &Peer : Group)
+  for (const peer_speed &Peer : Peers)
     if (Peer.Samples >= MinSpeedSamples)
       Rates.push_back(Peer.Rate);
   if (Rates.size() < MinPeers)
@@ -62,11 +62,11 @@
   ++Server.EjectionCount;
 }
 
-void outlier_detector::updateEjections(const std::vector<peer_speed> &Group,
+void outlier_detector::updateEjections(const std::vector<peer_speed> &Peers,
                                        std::uint32_t MaxEjectPercent, mono_time Now) {
-  const double MedianRate = medianRate(Group);
+  const double MedianRate = medianRate(Peers);
   std::size_t NotAdmitted = 0;
-  for (const peer_speed &Peer : Group) {
+  for (const peer_speed &Peer : Peers) {
     const auto Found = Servers.find(Peer.Backend);
     if (Found == Servers.end())
       continue;
@@ -76,8 +76,8 @@
     if (Server.State != ejection_state::Admitted)
       ++NotAdmitted;
   }
-  const std::size_t MaxNotAdmitted = Group.size() * MaxEjectPercent / 100;
-  for (const peer_speed &Peer : Group) {
+  const std::size_t MaxNotAdmitted = Peers.size() * MaxEjectPercent / 100;
+  for (const peer_speed &Peer : Peers) {
     if (NotAdmitted >= MaxNotAdmitted)
       return;
     server_state &Server = Servers[Peer.Backend];
--- a/src/scheduling/outlier_detector_base.h
+++ b/src/scheduling/outlier_detector_base.h
@@ -33,9 +33,10 @@
 public:
   /// Records the end of an attempt. @param Failed Whether it failed because of the server.
   void observe(const backend_key &Backend, bool Failed, mono_time Now);
-  /// Starts probing servers whose ejection time has passed and ejects outliers of the group.
-  /// @param MaxEjectPercent Limit for the servers of the group that are ejected or probing.
-  void updateEjections(const std::vector<peer_speed> &Group, std::uint32_t MaxEjectPercent,
+  /// Starts probing servers whose ejection time has passed and ejects outliers among the peers.
+  /// @param Peers Servers of one service, which are compared with each other.
+  /// @param MaxEjectPercent Limit for the peers that are ejected or probing.
+  void updateEjections(const std::vector<peer_speed> &Peers, std::uint32_t MaxEjectPercent,
                        mono_time Now);
   void eraseBackend(const backend_key &Backend) { Servers.erase(Backend); }
 
--- a/src/scheduling/prefill_tracker.cpp
+++ b/src/scheduling/prefill_tracker.cpp
@@ -35,10 +35,10 @@
   Reported = std::max(0.0, WaitingTokens);
   ReportReceived = ReceivedAt;
   HasReport = true;
-  OwnInReport = 0;
+  OwnTokensInReport = 0;
   for (const auto &[Placement, Prefill] : OwnPrefills)
     if (Prefill.Placed + ReportLag <= ReceivedAt)
-      OwnInReport += Prefill.Tokens;
+      OwnTokensInReport += Prefill.Tokens;
 }
 
 double prefill_tracker::remainingTokens(const own_prefill &Prefill, mono_time Now,
@@ -58,9 +58,9 @@
   if (!HasReport)
     return {};
   const double Age = secondsBetween(ReportReceived, Now);
-  // The report includes own attempts, which run alongside those of other hosts, so their tokens are
-  // subtracted first.
-  const double AtReport = std::max(0.0, Reported - OwnInReport);
+  // The report includes own attempts. Their tokens are subtracted before the tokens processed since
+  // then, because the engine processes own and other work at the same time.
+  const double AtReport = std::max(0.0, Reported - OwnTokensInReport);
   const double Remaining =
       std::max(0.0, AtReport - Age * Rate) * std::exp(-Age / ReportFadeSeconds);
   if (AtReport > LongPromptShare * LongFrom)
--- a/src/scheduling/prefill_tracker_base.h
+++ b/src/scheduling/prefill_tracker_base.h
@@ -63,7 +63,7 @@
 
   std::map<placement_id, own_prefill> OwnPrefills;
   double Reported{0};
-  double OwnInReport{0}; ///< Own tokens that the report includes.
+  double OwnTokensInReport{0}; ///< Own tokens that the report includes.
   mono_time ReportReceived;
   bool HasReport{false};
   double LongFrom{100'000};
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -43,11 +43,11 @@
 void scheduler::updateBackend(const backend_view &View, mono_time Now) {
   const scheduled_backend *Previous = Pool.find(View.Announcement.Key);
   const bool NewReport = Previous == nullptr || Previous->View.Load.Sequence != View.Load.Sequence;
-  const bool NewServer = Previous == nullptr || Previous->View.Status != View.Status;
+  const bool StatusChanged = Previous == nullptr || Previous->View.Status != View.Status;
   scheduled_backend &Record = Pool.update(View, Now);
   if (NewReport && View.Load.Sequence > 0)
     updateTrackers(Record);
-  if (NewServer)
+  if (StatusChanged)
     NextReview = mono_time();
   if (!Queue.empty())
     NextWake = Now;
@@ -78,7 +78,7 @@
   reviewServers(Now);
   expireLate(Now, Outcome);
   Unplaceable.clear();
-  OverShareAccounts.clear();
+  IsOverShareCache.clear();
   ReservationRequested = false;
   while (placeNext(Now, Outcome)) {
   }
@@ -122,7 +122,7 @@
 std::array<length_class, LengthClassCount> scheduler::classOrder(mono_time Now) const {
   std::array<length_class, LengthClassCount> Order{length_class::Short, length_class::Medium,
                                                    length_class::Long};
-  std::array<double, LengthClassCount> Urgency{};
+  std::array<double, LengthClassCount> WaitRatio{};
   for (const length_class Class : Order) {
     const auto Index = static_cast<std::size_t>(Class);
     const std::optional<mono_time> Oldest = Queue.oldestArrival(Class);
@@ -130,10 +130,10 @@
     if (Class == length_class::Long)
       ReferenceWait *= Policy.ShortWeight / std::max(0.01, Policy.LongWeight);
     if (Oldest)
-      Urgency[Index] = secondsBetween(*Oldest, Now) / ReferenceWait;
+      WaitRatio[Index] = secondsBetween(*Oldest, Now) / ReferenceWait;
   }
-  std::stable_sort(Order.begin(), Order.end(), [&Urgency](length_class A, length_class B) {
-    return Urgency[static_cast<std::size_t>(A)] > Urgency[static_cast<std::size_t>(B)];
+  std::stable_sort(Order.begin(), Order.end(), [&WaitRatio](length_class A, length_class B) {
+    return WaitRatio[static_cast<std::size_t>(A)] > WaitRatio[static_cast<std::size_t>(B)];
   });
   return Order;
 }
--- a/src/scheduling/scheduler_attempt.cpp
+++ b/src/scheduling/scheduler_attempt.cpp
@@ -70,7 +70,7 @@
     requireInvariant(Record->Outstanding > 0,
                      "the outstanding count of a server covers its attempts");
     --Record->Outstanding;
-    Record->OwnInReport = std::min(Record->OwnInReport, Record->Outstanding);
+    Record->OwnAttemptsInReport = std::min(Record->OwnAttemptsInReport, Record->Outstanding);
   }
   if (Placement.Attempt)
     ByAttempt.erase(*Placement.Attempt);
@@ -83,11 +83,11 @@
 void scheduler::updateTrackers(scheduled_backend &Record) {
   const backend_load &Load = Record.View.Load;
   const mono_time ReportReceivedAt = Record.View.LoadReceivedAt;
-  Record.OwnInReport = 0;
+  Record.OwnAttemptsInReport = 0;
   for (const auto &[PlacementId, Placement] : OpenPlacements) {
     if (Placement.Backend != Record.key() || Placement.Placed + ReportLag > ReportReceivedAt)
       continue;
-    ++Record.OwnInReport;
+    ++Record.OwnAttemptsInReport;
     // As soon as an engine has a prompt, its used blocks and pending prefill together cover it.
     Record.Memory.setHeldBlocks(PlacementId,
                                 blocksFor(static_cast<double>(Placement.Prompt.value()), Record));
--- a/src/scheduling/scheduler_base.h
+++ b/src/scheduling/scheduler_base.h
@@ -17,7 +17,7 @@
 
 /// Scheduler parameters that operators do not declare. Times are in seconds unless noted.
 struct scheduler_tuning {
-  /// Maximum prefill ahead on an engine by class; with more ahead, a request waits at the entry.
+  /// Maximum prefill ahead on an engine by class; with more ahead, a request waits at this host.
   std::array<double, LengthClassCount> MaxSecondsAhead{0.25, 0.5, 4.0};
   /// Waits by class that count as equally long. The class with the highest ratio of actual wait to
   /// reference wait is served first, so that no class starves.
@@ -30,15 +30,18 @@
   /// Weight of one second of a slower answer relative to one second until the first token.
   double AnswerWeight{0.05};
   /// Part of a request's time limit that its answer may take.
-  double AnswerPart{0.75};
-  /// Part of the concurrency limit that each class may use, so that shorter work finds free slots.
-  std::array<double, LengthClassCount> ClassPart{1.0, 0.7, 1.5};
-  /// Part of the concurrency limit that work of accounts over their share may use.
-  double DeprioritizedPart{0.4};
-  /// The choice is random among servers whose cost exceeds the lowest cost by at most this part of
-  /// it plus CostToleranceSeconds.
-  double CostTolerance{0.1};
-  double CostToleranceSeconds{0.01};
+  double AnswerFraction{0.75};
+  /// Multiplier of the concurrency limit by class. Medium work uses a part of the limit, so that
+  /// short work finds free slots. Long work may exceed it; the number of long prompts per engine
+  /// is limited separately.
+  std::array<double, LengthClassCount> ClassLimitFactor{1.0, 0.7, 1.5};
+  /// Part of the concurrency limit, and of the long-prompt engines, that work of accounts over
+  /// their share may use.
+  double DeprioritizedFraction{0.4};
+  /// The choice is random among servers whose penalty exceeds the lowest one by at most this part
+  /// of it plus PenaltyToleranceSeconds.
+  double PenaltyTolerance{0.1};
+  double PenaltyToleranceSeconds{0.01};
   double ChunkTokens{2'048.0}; ///< Prefill that an engine finishes before it checks priorities.
   mono_duration PollInterval{std::chrono::milliseconds(20)}; ///< While work waits.
   std::size_t MaxPrefixHashes{65'536}; ///< Maximum number of stored prefix hashes.
@@ -52,7 +55,7 @@
 };
 
 /**
- * Scheduler of one entry: queues work, places it on backend servers and learns from its attempts.
+ * Scheduler of one host: queues work, places it on backend servers and learns from its attempts.
  * All calls must come from one thread.
  */
 class scheduler {
@@ -109,7 +112,7 @@
     double Uncached{0};       ///< Prompt tokens that are probably not in the engine's cache.
     double CachedShare{0};    ///< Part of the prompt that is expected to be in the cache.
     double TokensAhead{0};    ///< Estimated tokens that the engine processes first.
-    double Cost{0};           ///< Cost charged to the account.
+    double Cost{0};           ///< Engine seconds charged to the account.
     mono_duration Expected{}; ///< Expected time from placement to the first token.
     mono_time Placed;
     mono_time Deadline;
@@ -124,13 +127,16 @@
     double TokensAhead{0};
     double FirstToken{0};      ///< Seconds from now until the first token.
     bool Deprioritized{false}; ///< The account is over its share: other work overtakes this one.
-    double Cost{0};            ///< Cost of the choice, including delays of other classes.
+    /// Seconds, including the delays of other classes; a server near the lowest one is chosen.
+    double ChoicePenalty{0};
   };
   struct server_choice {
     scheduled_backend *Record{nullptr};
     engine_estimate Estimate;
   };
-  /// Key of work that could not be placed in this poll, so that similar work is not tried again.
+  /// Requests that differ only in prompt length and account: if one cannot be placed in this poll,
+  /// those with a prompt at least as long are not tried. The bool is whether they are
+  /// deprioritized.
   using work_kind = std::tuple<service_name, model_name, group_name, length_class, bool>;
 
   // scheduler_intake.cpp
@@ -140,7 +146,7 @@
   [[nodiscard]] double expectedRunSeconds(const work_item &Item) const;
   std::optional<group_name> pickGroup(const work_item &Item);
   [[nodiscard]] std::optional<work_refusal> checkFleet(const work_item &Item);
-  [[nodiscard]] double assumedRate(const work_item &Item, length_class Class);
+  [[nodiscard]] double assumedPlacementRate(const work_item &Item, length_class Class);
   [[nodiscard]] double queueWaitSeconds(const waiting_work &Work, mono_time Now);
   void recordRequiredPace(const work_item &Item);
   [[nodiscard]] std::chrono::seconds retryAfter(const waiting_work &Work, mono_time Now);
@@ -157,7 +163,7 @@
   [[nodiscard]] bool isWithinConcurrencyLimit(const scheduled_backend &Record, length_class Class,
                                               bool Deprioritized) const;
   std::optional<server_choice> choose(const waiting_work &Work, mono_time Now);
-  server_choice pickNearCheapest(const std::vector<server_choice> &Choices, length_class Class);
+  server_choice pickNearBest(const std::vector<server_choice> &Choices, length_class Class);
   void reserveEngineFor(const waiting_work &Work, mono_time Now);
   [[nodiscard]] std::uint32_t priorityOf(const waiting_work &Work, mono_time Now);
 
@@ -194,8 +200,8 @@
   std::map<request_number, placement_id> Unstarted; ///< Placements whose attempt has not started.
   placement_id NextPlacementId{1};
   double AnswerShare{0.5}; ///< Average part of the allowed answer tokens that answers use.
-  std::map<work_kind, tokens> Unplaceable; ///< Smallest prompt that failed in this poll.
-  std::map<client_account_name, bool> OverShareAccounts; ///< Accounts checked in this poll.
+  std::map<work_kind, tokens> Unplaceable;              ///< Smallest prompt by kind.
+  std::map<client_account_name, bool> IsOverShareCache; ///< As of this poll.
   /// Engine that accepts only long work until a waiting long prompt fits.
   std::optional<backend_key> ReservedForLong;
   bool ReservationRequested{false}; ///< A long prompt needs the reservation in this poll.
@@ -206,7 +212,7 @@
 /// Builds a scheduler.
 class scheduler_builder {
 public:
-  /// @param Seed Seed of the random choice between servers of nearly equal cost.
+  /// @param Seed Seed of the random choice between servers of nearly equal penalty.
   scheduler_builder &seed(std::uint64_t Seed);
   /// @param Name Name of this host; different hosts rank equal engines differently.
   scheduler_builder &host(host_name Name);
--- a/src/scheduling/scheduler_choice.cpp
+++ b/src/scheduling/scheduler_choice.cpp
@@ -14,7 +14,7 @@
 constexpr std::uint32_t AgedPriority = 150;
 /// Added to the priority value of work of an account that exceeds its share on a full fleet.
 constexpr std::uint32_t DeprioritizedOffset = 300;
-/// Cost in seconds that each plain call on a server adds for further calls there.
+/// Penalty in seconds that each plain call on a server adds for further calls there.
 constexpr double PlainCallSeconds = 0.01;
 /// Weight of a call in the same failure domain relative to a call on the same server.
 constexpr double DomainShare = 0.05;
@@ -46,17 +46,16 @@
 
 bool scheduler::isDeprioritized(const waiting_work &Work, mono_time Now) {
   // The order of the queue alone does not limit a large account. Other accounts have few requests
-  // waiting at one entry, so the large account gets each slot that becomes free while none of
-  // theirs waits. Their next requests then find the engines full of work that runs for half a
-  // minute.
+  // waiting at one host, so the large account gets each slot that becomes free while none of theirs
+  // waits. Their next requests then find the engines full of work that runs for half a minute.
   if (LastLimitReached == mono_time() || Now - LastLimitReached >= Settings.Tuning.FullDuration)
     return false;
   const client_account_name &Account = Work.Item.Account;
-  const auto CachedResult = OverShareAccounts.find(Account);
-  if (CachedResult != OverShareAccounts.end())
+  const auto CachedResult = IsOverShareCache.find(Account);
+  if (CachedResult != IsOverShareCache.end())
     return CachedResult->second;
   const bool IsOverShare = Queue.relativeUsage(Account, Now) > Settings.Tuning.MaxRelativeUsage;
-  OverShareAccounts.emplace(Account, IsOverShare);
+  IsOverShareCache.emplace(Account, IsOverShare);
   return IsOverShare;
 }
 
@@ -78,7 +77,7 @@
   Result.Deprioritized = Deprioritized;
   if (Work.Item.Model.empty()) {
     Result.FirstToken = PlainCallSeconds * (1.0 + Record.requestCount());
-    Result.Cost = Result.FirstToken;
+    Result.ChoicePenalty = Result.FirstToken;
     return Result;
   }
   const double Rate = Record.Costs.prefillRate();
@@ -100,8 +99,8 @@
   // While an engine has pending prefill, each token of an answer takes as long as a whole chunk.
   const double ChunkedSeconds = expectedAnswer(Work.Item) * Settings.Tuning.ChunkTokens / Rate;
   const double SlowdownSeconds = std::min(Pending / Rate, ChunkedSeconds);
-  Result.Cost = Result.FirstToken + LongWeight * DelaySeconds +
-                Settings.Tuning.AnswerWeight * SlowdownSeconds;
+  Result.ChoicePenalty = Result.FirstToken + LongWeight * DelaySeconds +
+                         Settings.Tuning.AnswerWeight * SlowdownSeconds;
   return Result;
 }
 
@@ -111,7 +110,7 @@
     return true;
   const double Rate = Record.Costs.prefillRate();
   if (Work.Class == length_class::Long) {
-    const double Part = Estimate.Deprioritized ? Settings.Tuning.DeprioritizedPart : 1.0;
+    const double Part = Estimate.Deprioritized ? Settings.Tuning.DeprioritizedFraction : 1.0;
     if (!Pool.acceptsLongWork(Work.Group, Record.key(), Part))
       return false;
     if (Record.Prefill.longPromptCount(Now, Rate) >= std::max(1U, Policy.MaxLongPerEngine))
@@ -123,9 +122,9 @@
 bool scheduler::isWithinConcurrencyLimit(const scheduled_backend &Record, length_class Class,
                                          bool Deprioritized) const {
   const double RelativeSpeed = Record.Costs.prefillRate() / Pool.typicalRate();
-  const double ClassShare = Settings.Tuning.ClassPart[indexOf(Class)];
+  const double ClassShare = Settings.Tuning.ClassLimitFactor[indexOf(Class)];
   const double Part =
-      Deprioritized ? std::min(ClassShare, Settings.Tuning.DeprioritizedPart) : ClassShare;
+      Deprioritized ? std::min(ClassShare, Settings.Tuning.DeprioritizedFraction) : ClassShare;
   return Record.requestCount() < std::max(1.0, Concurrency.value() * RelativeSpeed * Part);
 }
 
@@ -160,25 +159,25 @@
     for (const server_choice &Option : Choices)
       Domains[Option.Record->View.Announcement.Domain] += Option.Record->Outstanding;
     for (server_choice &Option : Choices)
-      Option.Estimate.Cost +=
+      Option.Estimate.ChoicePenalty +=
           PlainCallSeconds * DomainShare * Domains[Option.Record->View.Announcement.Domain];
   }
-  return pickNearCheapest(Choices, Work.Class);
+  return pickNearBest(Choices, Work.Class);
 }
 
-scheduler::server_choice scheduler::pickNearCheapest(const std::vector<server_choice> &Choices,
-                                                     length_class Class) {
-  double LowestCost = std::numeric_limits<double>::max();
+scheduler::server_choice scheduler::pickNearBest(const std::vector<server_choice> &Choices,
+                                                 length_class Class) {
+  double LowestPenalty = std::numeric_limits<double>::max();
   for (const server_choice &Option : Choices)
-    LowestCost = std::min(LowestCost, Option.Estimate.Cost);
-  const double CostBound =
-      LowestCost * (1.0 + Settings.Tuning.CostTolerance) + Settings.Tuning.CostToleranceSeconds;
-  std::vector<const server_choice *> NearCheapest;
+    LowestPenalty = std::min(LowestPenalty, Option.Estimate.ChoicePenalty);
+  const double MaxPenalty = LowestPenalty * (1.0 + Settings.Tuning.PenaltyTolerance) +
+                            Settings.Tuning.PenaltyToleranceSeconds;
+  std::vector<const server_choice *> NearBest;
   for (const server_choice &Option : Choices)
-    if (Option.Estimate.Cost <= CostBound)
-      NearCheapest.push_back(&Option);
+    if (Option.Estimate.ChoicePenalty <= MaxPenalty)
+      NearBest.push_back(&Option);
   if (Class != length_class::Long)
-    return *NearCheapest[Random.below(NearCheapest.size())];
+    return *NearBest[Random.below(NearBest.size())];
   // Hosts that see the same free engines rank them differently: if two hosts chose one engine for a
   // long prompt each, the second prompt would wait for the whole prefill of the first.
   const std::uint64_t Host = stableHash(Settings.Host.str());
@@ -186,7 +185,7 @@
     return combineHashes(Host, stableHash(Option->Record->key().Address.str()));
   };
   return **std::min_element(
-      NearCheapest.begin(), NearCheapest.end(),
+      NearBest.begin(), NearBest.end(),
       [&Rank](const server_choice *A, const server_choice *B) { return Rank(A) < Rank(B); });
 }
 
--- a/src/scheduling/scheduler_dump.cpp
+++ b/src/scheduling/scheduler_dump.cpp
@@ -6,7 +6,7 @@
 namespace pollenstall {
 namespace {
 
-constexpr std::array<std::string_view, 3> StandingNames{"active", "leaving", "lost"};
+constexpr std::array<std::string_view, 3> StatusNames{"active", "leaving", "lost"};
 constexpr std::array<std::string_view, 3> EjectionNames{"admitted", "ejected", "probing"};
 
 /// Writes a JSON string. Addresses come from the network and may contain any character.
@@ -28,7 +28,7 @@
 void writeRecord(std::ostream &Out, const scheduled_backend &Record, ejection_state Ejection) {
   Out << "{\"backend\":";
   writeText(Out, toText(Record.key()));
-  Out << ",\"standing\":\"" << StandingNames[static_cast<std::size_t>(Record.View.Status)]
+  Out << ",\"standing\":\"" << StatusNames[static_cast<std::size_t>(Record.View.Status)]
       << "\",\"ejection\":\"" << EjectionNames[static_cast<std::size_t>(Ejection)]
       << "\",\"outstanding\":" << Record.Outstanding
       << ",\"unanswered\":" << Record.Prefill.unansweredCount()
--- a/src/scheduling/scheduler_intake.cpp
+++ b/src/scheduling/scheduler_intake.cpp
@@ -9,8 +9,9 @@
 
 using namespace std::chrono_literals;
 
-/// Sequences that share a decode step on a busy engine; weighs decode against prefill in a cost.
-constexpr double SharedSteps = 8.0;
+/// Sequences that share a decode step on a busy engine. The cost of a request includes its decode
+/// time divided by this number.
+constexpr double SequencesPerStep = 8.0;
 constexpr double PlainCost = 0.01;
 /// Number of hosts assumed to share the fleet until this host has learned its own rate.
 constexpr double AssumedHosts = 8.0;
@@ -42,7 +43,7 @@
   if (Item.Model.empty())
     return PlainCost;
   const double Prefill = static_cast<double>(Item.Prompt.value()) / Pool.typicalRate();
-  return Prefill + expectedAnswer(Item) * Pool.typicalStep() / SharedSteps;
+  return Prefill + expectedAnswer(Item) * Pool.typicalStep() / SequencesPerStep;
 }
 
 double scheduler::expectedRunSeconds(const work_item &Item) const {
@@ -51,11 +52,11 @@
   const double Prefill = static_cast<double>(Item.Prompt.value()) / Pool.admissionPrefillRate();
   // Most callers give no answer limit, and the default limit is far above any actual answer.
   // Counting it in full would refuse ordinary requests on an idle fleet. The concurrency limit
-  // keeps a pace at which a long answer takes AnswerPart of the allowed time, so that bound is
-  // enough.
+  // keeps a pace at which a long answer takes AnswerFraction of the allowed time, so an answer is
+  // assumed to take at most that fraction.
   const double Allowed = secondsUntil(Item.Deadline, Item.Arrived);
   const double Answer = expectedAnswer(Item) * Pool.typicalStep();
-  return Prefill + std::min(Answer, Allowed * Settings.Tuning.AnswerPart);
+  return Prefill + std::min(Answer, Allowed * Settings.Tuning.AnswerFraction);
 }
 
 std::optional<group_name> scheduler::pickGroup(const work_item &Item) {
@@ -110,7 +111,7 @@
   return std::nullopt;
 }
 
-double scheduler::assumedRate(const work_item &Item, length_class Class) {
+double scheduler::assumedPlacementRate(const work_item &Item, length_class Class) {
   std::size_t Engines = 0;
   const auto Count = [&](const group_name &Group) {
     for (const scheduled_backend *Record : Pool.members(Item.Service, Group))
@@ -127,8 +128,8 @@
 
 double scheduler::queueWaitSeconds(const waiting_work &Work, mono_time Now) {
   const double CostAhead = Queue.costAhead(Work.Item.Account, Work.Class);
-  return PlacedCosts.expectedWaitSeconds(Work.Class, CostAhead, assumedRate(Work.Item, Work.Class),
-                                         Now);
+  return PlacedCosts.expectedWaitSeconds(Work.Class, CostAhead,
+                                         assumedPlacementRate(Work.Item, Work.Class), Now);
 }
 
 void scheduler::recordRequiredPace(const work_item &Item) {
@@ -138,7 +139,7 @@
   if (Item.Model.empty() || LongAnswer < 1.0)
     return;
   const double Allowed = secondsUntil(Item.Deadline, Item.Arrived);
-  Concurrency.observeRequiredPace(Allowed * Settings.Tuning.AnswerPart / LongAnswer);
+  Concurrency.observeRequiredPace(Allowed * Settings.Tuning.AnswerFraction / LongAnswer);
 }
 
 std::chrono::seconds scheduler::retryAfter(const waiting_work &Work, mono_time Now) {
--- a/src/scheduling/scheduling_type.h
+++ b/src/scheduling/scheduling_type.h
@@ -16,7 +16,8 @@
 /// Classes of prompt length; the declared policy sets their bounds.
 enum class length_class : std::uint8_t { Short, Medium, Long };
 
-/// A group that may serve a waiting request, as determined by the selectors.
+/// A group that may serve a waiting request, as determined by the selectors. For placer, Group is
+/// the name of a service.
 struct candidate_group {
   group_name Group;
   std::uint32_t Weight{1};
@@ -35,10 +36,10 @@
   std::vector<backend_key> Avoid; ///< Servers tried before; used again only if there is no other.
   mono_time Arrived;
   mono_time Deadline;
-  std::uint32_t Urgency{0}; ///< As in request_facts, like the members below.
-  std::chrono::milliseconds Target{0};
-  std::chrono::milliseconds LongestGap{0};
-  tokens AnswerHint{};
+  std::uint32_t Urgency{0};                ///< Declared priority; lower values are placed first.
+  std::chrono::milliseconds Target{0};     ///< Time to the first event; 0 if none is declared.
+  std::chrono::milliseconds LongestGap{0}; ///< Maximum between two events; 0 if none is declared.
+  tokens AnswerHint{}; ///< The caller's estimate of the answer; 0 if it sent none.
   bool Resumed{false}; ///< The caller has received a part of the answer and waits for the rest.
 };
 
@@ -73,8 +74,9 @@
 /// Result of an attempt, as the scheduler learns it.
 struct attempt_report {
   bool Completed{false};
-  std::optional<attempt_failure> Failure; ///< Empty if the server is not at fault.
-  std::optional<tokens> PromptTokens;     ///< Count of the engine.
+  /// Empty if the attempt completed or was cancelled. Not every failure is the server's fault.
+  std::optional<attempt_failure> Failure;
+  std::optional<tokens> PromptTokens; ///< Count of the engine.
   std::optional<tokens> AnswerTokens;
   std::optional<tokens> CachedTokens;
   backend_address AtFault{}; ///< Another server at fault; empty if none is named.
--- a/src/work_exchange/work_exchange_type.h
+++ b/src/work_exchange/work_exchange_type.h
@@ -80,7 +80,7 @@
 /// Changes of the summed work of all other entries.
 struct peer_work_update {
   std::vector<work_load> ChangedLoads;
-  load_exchange_stats Facts;
+  load_exchange_properties Facts;
 };
 
 } // namespace pollenstall
--- a/src/work_exchange/work_view.cpp
+++ b/src/work_exchange/work_view.cpp
@@ -214,7 +214,7 @@
                      : PlacementFeed.nextLoads(Tracker, Now, FromRelay, true, Unbounded);
 }
 
-load_exchange_stats work_view::facts() const {
+load_exchange_properties work_view::facts() const {
   std::size_t Entries = Group.size();
   std::size_t Largest = Group.size();
   for (const work_group &Other : OtherGroups) {
@@ -226,7 +226,7 @@
   const mono_duration RoundTime =
       std::max<mono_duration>(Tuning.MinRoundInterval, Tuning.RoundIntervalPerReceiver * Receivers);
   constexpr int RelayedHops = 3; // To the relay, to another relay, to that relay's member.
-  load_exchange_stats Facts;
+  load_exchange_properties Facts;
   Facts.Entries = Entries;
   Facts.ClaimDelay = Tuning.HopDelay * (Direct ? 2 : RelayedHops);
   // A change waits for half a round on average, at the entry and at each of two relays.
--- a/src/work_exchange/work_view_base.h
+++ b/src/work_exchange/work_view_base.h
@@ -48,7 +48,7 @@
   [[nodiscard]] mono_time nextWake(mono_time Now) const;
 
   /// @return How long it takes until all other entries know this entry's work.
-  [[nodiscard]] load_exchange_stats facts() const;
+  [[nodiscard]] load_exchange_properties facts() const;
   /// @return Whether this entry currently relays for others or reports to all others directly.
   [[nodiscard]] bool isRelay() const { return ActsAsRelay; }
 
--- a/src/work_share/work_report_codec.cpp
+++ b/src/work_share/work_report_codec.cpp
@@ -24,10 +24,10 @@
   std::uint16_t PrefillMs{0};
   std::uint16_t MemoryUnits{0};
   std::uint16_t GapMs{0};
-  std::uint32_t LowestPrecedence{0};
+  std::uint32_t LowestClaimRank{0};
 
   template <typename Archive> void serialize(Archive &Into) {
-    Into(Incarnation, Requests, DecodingRequests, PrefillMs, MemoryUnits, GapMs, LowestPrecedence);
+    Into(Incarnation, Requests, DecodingRequests, PrefillMs, MemoryUnits, GapMs, LowestClaimRank);
   }
 };
 
@@ -52,7 +52,7 @@
   Packed.MemoryUnits = saturate<std::uint16_t>(
       Load.Tokens / MemoryUnit + static_cast<std::uint32_t>(Load.Tokens % MemoryUnit > 0));
   Packed.GapMs = saturate<std::uint16_t>(Load.GapMs);
-  Packed.LowestPrecedence = Load.LowestPrecedence;
+  Packed.LowestClaimRank = Load.LowestClaimRank;
   return Packed;
 }
 
@@ -64,7 +64,7 @@
   Load.PrefillMs = Packed.PrefillMs;
   Load.Tokens = Packed.MemoryUnits * MemoryUnit;
   Load.GapMs = Packed.GapMs;
-  Load.LowestPrecedence = Packed.LowestPrecedence;
+  Load.LowestClaimRank = Packed.LowestClaimRank;
   return Load;
 }
 
--- a/tests/placement/placer_fixture.h
+++ b/tests/placement/placer_fixture.h
@@ -91,7 +91,7 @@
     if (Placer.claimsMade() == SettledClaims)
       return Placements;
     SettledClaims = Placer.claimsMade();
-    Now += load_exchange_stats().ClaimDelay;
+    Now += load_exchange_properties().ClaimDelay;
     const std::vector<work_placement> Settled = pollOnce();
     Placements.insert(Placements.end(), Settled.begin(), Settled.end());
     return Placements;
--- a/tests/placement/placer_reach_test.cpp
+++ b/tests/placement/placer_reach_test.cpp
@@ -10,8 +10,8 @@
 namespace pollenstall {
 namespace {
 
-/// Engines of two failure domains that do not respond to connections.
-struct lost_link_fixture : placer_fixture {
+/// Engines in two failure domains, and attempts whose connection fails.
+struct reachability_fixture : placer_fixture {
   void SetUp() override {
     placer_fixture::SetUp();
     for (std::size_t Index = 0; Index < Engines; ++Index) {
@@ -40,26 +40,26 @@
 // With an overloaded link of the entry, eleven consecutive connections to eight healthy servers got
 // no response. One request used up eight attempts, and each server was in backoff, even after the
 // link worked again.
-TEST_F(lost_link_fixture, AvoidsBackoffAndProbesPeriodically) {
+TEST_F(reachability_fixture, IsolatedEntryAvoidsBackoffAndProbesPeriodically) {
   std::set<backend_key> FailedServers;
   for (int Attempt = 0; Attempt < 8 && !Placer.reachesNoBackend(); ++Attempt)
     if (const auto Backend = tryConnection(300ms))
       FailedServers.insert(*Backend);
   ASSERT_EQ(FailedServers.size(), 4U);
   EXPECT_TRUE(Placer.reachesNoBackend());
-  std::size_t TrialCount = 0;
-  std::optional<request_number> TrialRequest;
+  std::size_t ProbeCount = 0;
+  std::optional<request_number> ProbeRequest;
   for (int Step = 0; Step < 9; ++Step) {
     Now += 100ms;
     submitRequest(1'000);
     for (const work_placement &Placement : poll()) {
-      ++TrialCount;
-      TrialRequest = Placement.Request;
+      ++ProbeCount;
+      ProbeRequest = Placement.Request;
     }
   }
-  EXPECT_EQ(TrialCount, 3U);
-  ASSERT_TRUE(TrialRequest);
-  beginAnswer(*TrialRequest);
+  EXPECT_EQ(ProbeCount, 3U);
+  ASSERT_TRUE(ProbeRequest);
+  beginAnswer(*ProbeRequest);
   EXPECT_FALSE(Placer.reachesNoBackend());
   std::set<backend_key> UsedServers;
   for (int Step = 0; Step < 40; ++Step) {
@@ -74,7 +74,7 @@
 }
 
 // Servers that have crashed refuse connections immediately, which shows that the link works.
-TEST_F(lost_link_fixture, IsNotAssumedIfConnectionsAreRefused) {
+TEST_F(reachability_fixture, LinkCountsAsWorkingIfConnectionsAreRefused) {
   for (int Attempt = 0; Attempt < 6; ++Attempt)
     EXPECT_TRUE(tryConnection(2ms));
   EXPECT_FALSE(Placer.reachesNoBackend());
@@ -82,7 +82,7 @@
 
 // If the servers of only one failure domain do not respond, the link is not at fault and work is
 // still placed.
-TEST_F(lost_link_fixture, IsNotAssumedIfOneDomainIsUnreachable) {
+TEST_F(reachability_fixture, LinkCountsAsWorkingIfOneDomainIsUnreachable) {
   for (std::size_t Index = 1; Index < Engines; Index += 2)
     Placer.removeBackend(makeListing(Index).Key);
   for (int Attempt = 0; Attempt < 8; ++Attempt)
@@ -91,7 +91,7 @@
 }
 
 // Connection failures far apart in time do not show that the link has failed.
-TEST_F(lost_link_fixture, IsNotAssumedIfFailuresAreFarApart) {
+TEST_F(reachability_fixture, LinkCountsAsWorkingIfFailuresAreFarApart) {
   for (int Attempt = 0; Attempt < 10; ++Attempt) {
     tryConnection(300ms);
     Now += 1200ms;
@@ -100,7 +100,7 @@
 }
 
 // Requests that wait during the isolation are refused after their maximum wait, with a retry time.
-TEST_F(lost_link_fixture, RefusesRequestsThatWaitTooLong) {
+TEST_F(reachability_fixture, IsolatedEntryRefusesRequestsThatWaitTooLong) {
   for (int Attempt = 0; Attempt < 8 && !Placer.reachesNoBackend(); ++Attempt)
     tryConnection(300ms);
   ASSERT_TRUE(Placer.reachesNoBackend());
--- a/tests/placement/placer_spread_test.cpp
+++ b/tests/placement/placer_spread_test.cpp
@@ -11,7 +11,8 @@
 
 /// Short prompts that arrive one by one at one of many entries.
 struct short_prompts_fixture : placer_fixture {
-  /// Reports requests of another entry that start and end on the engines in turn, for two seconds.
+  /// Simulates two seconds of load reports in which another entry starts and ends PerSecond
+  /// requests per second, on the engines in turn.
   void receiveLoads(std::size_t PerSecond) {
     constexpr std::size_t Rounds = 40;
     for (std::size_t Round = 0; Round < Rounds; ++Round) {
@@ -41,8 +42,8 @@
 };
 
 // 195 entries place 207 short prompts per second and know of each other's placements after 56 ms.
-// Packed onto the two engines that each entry considers free, 46 in 100 prompts began within 20 ms
-// of another one on the same engine, and all streams of that engine paused.
+// When each entry packed them onto the first two suitable engines, 46 in 100 prompts began within
+// 20 ms of another one on the same engine, and all streams of that engine paused.
 TEST_F(short_prompts_fixture, SpreadOverMoreEnginesThanUnseenRequests) {
   Placer.updateExchange({195, 56ms, 9ms});
   receiveLoads(200);
--- a/tests/placement/placer_test.cpp
+++ b/tests/placement/placer_test.cpp
@@ -59,8 +59,9 @@
   EXPECT_EQ(Started, 6U);
 }
 
-// Every engine has streams. A part of a long prompt must not extend a pass beyond their allowed
-// gap, as that would delay all streams for one prompt.
+// Some engines have streams. A part of a long prompt must not extend a pass beyond their allowed
+// gap, as that would delay all streams for one prompt. Requests up to 60 are the streams; the check
+// leaves out request 61, the long prompt.
 TEST_F(placer_fixture, PrefillPartsStayWithinTheGapsOfStreams) {
   for (std::size_t Count = 0; Count < 60; ++Count) {
     submitRequest(5'000);
@@ -91,7 +92,8 @@
     }
     Now += 60ms;
   }
-  EXPECT_LE(UsedEngines.size(), 4U) << "two engines have slots for 24 streams";
+  EXPECT_LE(UsedEngines.size(), 4U)
+      << "two engines would suffice for 24 streams; up to four are accepted";
 }
 
 // After the failure of an entry, its callers resume their streams on this one at nearly the same
@@ -171,9 +173,9 @@
   EXPECT_EQ(poll().size(), 1U);
 }
 
-// An engine without power appears idle, so all short work would go there in the third of a second
-// until the next connection fails. After its backoff it receives one request, and no other until
-// that one is answered.
+// An engine without power appears idle, so all short work would go there for the third of a second
+// until a connection attempt times out. After its backoff it receives one request, and no other
+// until that one is answered.
 TEST_F(placer_fixture, FailedEngineReceivesOneTrialRequest) {
   const request_number FailedRequest = submitRequest(1'000);
   const auto FirstPlacements = poll();
@@ -246,7 +248,7 @@
 };
 
 // A long prompt arrives at each of two entries at the same time, and both see the same idle
-// engines. One prompt is placed immediately, and the other waits until engines are free, so that
+// engines. At least one prompt is placed, and the other one on different engines or later, so that
 // neither waits for the whole prefill of the other on an engine.
 TEST_F(two_entries_fixture, DoNotPlaceTwoPrefillsOnOneEngine) {
   const request_number Request = submitRequest(154'000);
@@ -263,11 +265,11 @@
   PollBoth();
   Now += 2ms;
   exchangeLoads();
-  Now += load_exchange_stats().ClaimDelay;
+  Now += load_exchange_properties().ClaimDelay;
   PollBoth();
   exchangeLoads();
   EXPECT_GE(NewPlacements.size(), 1U) << "one entry keeps its claim";
-  Now += load_exchange_stats().ClaimDelay;
+  Now += load_exchange_properties().ClaimDelay;
   PollBoth();
   EXPECT_EQ(sharedEngineCount(NewPlacements), 0U);
 }
@@ -279,7 +281,7 @@
   EXPECT_TRUE(pollOnce().empty());
   EXPECT_FALSE(Placer.ownLoads(Now).empty()) << "the claim is published before it takes effect";
   ASSERT_TRUE(Placer.nextWake());
-  EXPECT_EQ(*Placer.nextWake(), Now + load_exchange_stats().ClaimDelay);
+  EXPECT_EQ(*Placer.nextWake(), Now + load_exchange_properties().ClaimDelay);
   Now = *Placer.nextWake();
   EXPECT_EQ(pollOnce().size(), 1U);
   completeAttempt(Request);
@@ -287,25 +289,25 @@
   EXPECT_TRUE(pollOnce().empty());
   Placer.withdraw(AbandonedRequest);
   EXPECT_TRUE(Placer.ownLoads(Now).empty());
-  Now += load_exchange_stats().ClaimDelay;
+  Now += load_exchange_properties().ClaimDelay;
   EXPECT_TRUE(pollOnce().empty());
 }
 
 // If an engine of a claim leaves before the claim takes effect, the work is placed elsewhere.
-TEST_F(placer_fixture, ClaimOnALeavingEngineIsRepeated) {
+TEST_F(placer_fixture, ClaimMovesToOtherEnginesIfAnEngineLeaves) {
   submitRequest(154'000);
   EXPECT_TRUE(pollOnce().empty());
   for (std::size_t Index = 0; Index < Engines; Index += 2)
     Placer.removeBackend(makeListing(Index).Key);
-  Now += load_exchange_stats().ClaimDelay;
+  Now += load_exchange_properties().ClaimDelay;
   EXPECT_TRUE(pollOnce().empty());
-  Now += load_exchange_stats().ClaimDelay;
+  Now += load_exchange_properties().ClaimDelay;
   const auto NewPlacements = pollOnce();
   ASSERT_EQ(NewPlacements.size(), 1U);
   EXPECT_LT(NewPlacements[0].Helpers.size(), Engines / 2);
 }
 
-TEST_F(placer_fixture, WorkOfAnUnresponsiveEntryExpires) {
+TEST_F(placer_fixture, LoadsOfASilentEntryAreIgnored) {
   std::vector<work_load> Loads;
   for (std::size_t Index = 0; Index < Engines; ++Index)
     Loads.push_back({makeListing(Index).Key.Incarnation, 16, 16, 5'000, 300'000});
@@ -408,9 +410,10 @@
             0);
 }
 
-// An engine fails 3.5 s after the request arrived, in the middle of the answer. Another engine must
-// resume it immediately; the age of the request is no reason to refuse it. If no engine is free, it
-// keeps waiting, because a refusal would truncate an answer that the caller has half of.
+// An attempt ends 3.5 s after the request arrived, in the middle of the answer; completeAttempt()
+// stands for the failure of its engine. Another engine must resume it immediately; the age of the
+// request is no reason to refuse it. If no engine is free, it keeps waiting, because a refusal
+// would truncate an answer that the caller has half of.
 TEST_F(placer_fixture, ResumedAnswerIsNotRefusedForItsAge) {
   const request_number Request = submitRequest(5'000);
   ASSERT_EQ(poll().size(), 1U);
@@ -429,8 +432,8 @@
   EXPECT_EQ(poll().size(), 1U);
 }
 
-// The first attempt fails after 3.5 s without any byte of an answer. The second attempt has the
-// same maximum wait as the first.
+// The first attempt ends after 3.5 s without any byte of an answer; completeAttempt() stands for
+// its failure. The second attempt has the same maximum wait as the first.
 TEST_F(placer_fixture, RetryHasItsOwnWaitTime) {
   const request_number Request = submitRequest(5'000);
   ASSERT_EQ(poll().size(), 1U);
@@ -460,14 +463,16 @@
   ADD_FAILURE() << "the request was never refused";
 }
 
-/// The only engine runs the prefill of another entry, and a short prompt waits until it is refused.
+/// One engine and a waiting short prompt. In retryAfterRefusal(), the prefill of another entry
+/// occupies the engine and the prompt is refused.
 struct refused_request_fixture : placer_fixture {
   void SetUp() override {
     placer_fixture::SetUp();
     removeAllExcept(makeListing(0).Key);
     submitRequest(5'000);
   }
-  /// @param PrefillMs Pending prefill of the engine when 0.3 of the request's 10 s have passed.
+  /// @param PrefillMs Prefill still pending on the engine when the request is refused, after 0.3 of
+  /// its 10 s.
   std::chrono::seconds retryAfterRefusal(std::uint32_t PrefillMs) {
     Now += 3s;
     setOthersLoads({{makeListing(0).Key.Incarnation, 1, 0, PrefillMs, 200'000, 0}});
--- a/tests/scheduling/learning_test.cpp
+++ b/tests/scheduling/learning_test.cpp
@@ -46,7 +46,7 @@
   EXPECT_LE(Tracker.pendingTokens(Now + 300ms, 10'000), 10'000);
 }
 
-TEST(PrefillTracker, ShortWorkOvertakesLongWorkOnlyIfTheEngineSupportsPriorities) {
+TEST(PrefillTracker, CountsLongWorkAheadOnlyIfShortWorkMayNotOvertake) {
   const mono_time Now{1000s};
   prefill_tracker Tracker;
   Tracker.add(1, length_class::Long, 200'000, false, Now);
--- a/tests/scheduling/memory_tracker_test.cpp
+++ b/tests/scheduling/memory_tracker_test.cpp
@@ -39,7 +39,7 @@
   EXPECT_FALSE(Tracker.fits(blocks(21)));
 }
 
-RC_GTEST_PROP(MemoryTrackerProperty, ReservedEqualsTheOpenReservations, ()) {
+RC_GTEST_PROP(MemoryTrackerProperty, ReservedIsTheSumOfUnreleasedReservations, ()) {
   memory_tracker Tracker;
   std::map<placement_id, std::int64_t> OpenReservations;
   placement_id NextPlacement = 1;
--- a/tests/scheduling/scheduler_fixture.h
+++ b/tests/scheduling/scheduler_fixture.h
@@ -72,7 +72,8 @@
     return errorOf(Result).Reason;
   }
 
-  /// Submits and polls. @return The backend server of the placement, or an empty key.
+  /// Submits and polls. @return The backend server of the item's placement, or an empty key if it
+  /// waits.
   backend_key placeNow(const work_item &Item) {
     EXPECT_EQ(submit(Item), std::nullopt);
     for (const work_placement &Placement : Scheduler.poll(Now).Placements)
--- a/tests/scheduling/scheduler_test.cpp
+++ b/tests/scheduling/scheduler_test.cpp
@@ -30,7 +30,7 @@
 
 // A fleet that has just started has learned no prefill rate. A prompt of a million tokens with a
 // deadline in one minute arrives; the engines need twenty seconds. If the prior rate were used to
-// refuse it, all long prompts would get "not run" and the actual rate would never be learned.
+// refuse it, all long prompts would be refused and the actual rate would never be learned.
 TEST_F(ArrivingRequestTest, IsNotRefusedBecauseOfThePriorRate) {
   Scheduler.updateBackend(engine(1, 2'000'000), Now);
   work_item Item = makeWork(1'000'000);
@@ -39,8 +39,8 @@
 }
 
 // A short chat call without max_tokens gets the declared limit of 4,096 tokens and a deadline of
-// one minute. At the prior pace, half of the limit takes more than a minute. If that were counted,
-// every such call would get "not run" on an idle fleet.
+// one minute. At the initial time per token, the expected answer, half of the limit, takes more
+// than a minute. If it counted in full, every such call would be refused on an idle fleet.
 TEST_F(ArrivingRequestTest, IsNotRefusedBecauseOfAHighAnswerLimit) {
   addEngines(1);
   work_item Item = makeWork(10);
@@ -69,7 +69,7 @@
 
 class EngineWithLongWorkTest : public scheduler_fixture {};
 
-TEST_F(EngineWithLongWorkTest, ReceivesNeitherLongNorShortWork) {
+TEST_F(EngineWithLongWorkTest, ReceivesNoFurtherWorkWhileOthersAreIdle) {
   addEngines(6);
   const work_item First = makeWork(150'000);
   const backend_key FirstEngine = placeNow(First);
@@ -97,8 +97,8 @@
 class EngineMemoryTest : public scheduler_fixture {};
 
 // The caller of a long prompt disconnects. Its attempt is cancelled, but the engine holds the
-// blocks until it confirms. If they counted as free before, the next long prompt would be sent to
-// an engine without memory for it.
+// blocks until it confirms the cancellation. If they counted as free before that, the next long
+// prompt would be sent to an engine without memory for it.
 TEST_F(EngineMemoryTest, StaysReservedUntilTheEndIsConfirmed) {
   addEngines(1);
   const work_item First = makeWork(300'000);
@@ -133,13 +133,13 @@
   EXPECT_EQ(placeNow(makeWork(300'000)), engineKey(1));
 }
 
-class LeavingServerTest : public scheduler_fixture {};
+class LeavingOrLostServerTest : public scheduler_fixture {};
 
-TEST_F(LeavingServerTest, ReceivesNoNewWork) {
+TEST_F(LeavingOrLostServerTest, ReceivesNoNewWork) {
   addEngines(2);
-  for (const backend_status Standing : {backend_status::Leaving, backend_status::Lost}) {
+  for (const backend_status NewStatus : {backend_status::Leaving, backend_status::Lost}) {
     backend_view View = engine(1);
-    View.Status = Standing;
+    View.Status = NewStatus;
     Scheduler.updateBackend(View, Now);
     for (int Index = 0; Index < 4; ++Index)
       EXPECT_NE(placeNow(makeWork(1'000)), engineKey(1));
--- a/tests/work_share/work_view_test.cpp
+++ b/tests/work_share/work_view_test.cpp
@@ -200,14 +200,14 @@
   simulated_network Net(59, 3);
   Net.run(600ms);
   work_load First = simulated_network::load(4, 1, 500);
-  First.LowestPrecedence = 77;
+  First.LowestClaimRank = 77;
   work_load Second = First;
-  Second.LowestPrecedence = 99;
+  Second.LowestClaimRank = 99;
   Net.setLoads(1, {Second});
   Net.setLoads(40, {First});
   Net.run(100ms);
-  EXPECT_EQ(Net.knownLoad(20, 4).LowestPrecedence, 77U);
-  EXPECT_EQ(Net.knownLoad(40, 4).LowestPrecedence, 99U);
+  EXPECT_EQ(Net.knownLoad(20, 4).LowestClaimRank, 77U);
+  EXPECT_EQ(Net.knownLoad(40, 4).LowestClaimRank, 99U);
 }
 
 // The fleet model computes traffic from this size.
