--- a/src/work_exchange/work_exchange_type.h
+++ b/src/work_exchange/work_exchange_type.h
@@ -82,7 +82,7 @@
 /// Changes of the summed work of all other entries.
 struct peer_work_update {
   std::vector<work_load> ChangedLoads;
-  load_exchange_stats ExchangeStats;
+  load_exchange_properties ExchangeStats;
 };
 
 } // namespace pollenstall
--- a/src/work_exchange/work_view.cpp
+++ b/src/work_exchange/work_view.cpp
@@ -215,7 +215,7 @@
                      : PlacementFeed.nextLoads(Tracker, Now, FromRelay, true, Unbounded);
 }
 
-load_exchange_stats work_view::exchangeStats() const {
+load_exchange_properties work_view::exchangeStats() const {
   std::size_t Entries = Group.size();
   std::size_t Largest = Group.size();
   for (const work_group &Other : OtherGroups) {
@@ -227,7 +227,7 @@
   const mono_duration RoundTime =
       std::max<mono_duration>(Tuning.MinRoundInterval, Tuning.RoundIntervalPerDatagram * Receivers);
   constexpr int RelayedHops = 3; // To the relay, to another relay, to that relay's member.
-  load_exchange_stats Stats;
+  load_exchange_properties Stats;
   Stats.Entries = Entries;
   // The delay of an urgent report to the farthest entry; a direct one has a single hop, which is
   // doubled.
--- a/src/work_exchange/work_view_base.h
+++ b/src/work_exchange/work_view_base.h
@@ -48,7 +48,7 @@
   [[nodiscard]] mono_time nextWake(mono_time Now) const;
 
   /// @return The number of entries, and the delays until all others know this entry's work.
-  [[nodiscard]] load_exchange_stats exchangeStats() const;
+  [[nodiscard]] load_exchange_properties exchangeStats() const;
   /// @return Whether this entry currently acts as its group's relay. If there are few entries, each
   /// does, since it is the only one of its group.
   [[nodiscard]] bool isRelay() const { return ActsAsRelay; }
