--- a/src/control_state/control_state_cmd.cpp
+++ b/src/control_state/control_state_cmd.cpp
@@ -165,7 +165,7 @@
 }
 
 control_answer control_state::executeCommand(const clear_suspect &Command) {
-  Suspects.clear(Command.FingerprintHigh);
+  Suspects.clearByHigh(Command.FingerprintHigh);
   return suspects_updated{};
 }
 
