--- a/programs/pollenstall-entry/decision_core.cpp
+++ b/programs/pollenstall-entry/decision_core.cpp
@@ -1,4 +1,5 @@
-/** @file decision_core.cpp Forwards events and decisions between dispatcher and scheduler. */
+/** @file decision_core.cpp Forwards events and decisions between dispatcher and scheduler or
+ * placer. */
 #include "decision_core_base.h"
 
 #include "dispatch_dump_func.h"
--- a/programs/pollenstall-entry/decision_core_base.h
+++ b/programs/pollenstall-entry/decision_core_base.h
@@ -1,5 +1,5 @@
-/** @file decision_core_base.h Combines dispatcher, scheduler and selectors, without a thread or a
- * clock. */
+/** @file decision_core_base.h Combines dispatcher, scheduler or placer, and selectors, without a
+ * thread or a clock. */
 #ifndef POLLENSTALL_ENTRY_DECISION_CORE_BASE_H
 #define POLLENSTALL_ENTRY_DECISION_CORE_BASE_H
 
@@ -41,7 +41,7 @@
   void handleEvent(const membership_event &Event, mono_time Now);
   void handleEvent(const dispatch_event &Event, mono_time Now);
   void handleEvent(const backends_listed &Listed, mono_time Now);
-  /// Updates the work in flight at other entries where it changed, and the facts of the exchange.
+  /// Updates the changed loads of other entries and the state of the work report exchange.
   void updatePeerLoads(const peer_work_update &Others, mono_time Now) {
     Placer.updateExchange(Others.ExchangeStats);
     Placer.updateOthersLoads(Others.ChangedLoads, Now);
--- a/programs/pollenstall-entry/decision_thread.cpp
+++ b/programs/pollenstall-entry/decision_thread.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t ListCapacity = 256;
 constexpr mono_duration MaxSleep = std::chrono::milliseconds(100);
-/// Sleep while the ring of orders is full.
+/// How long the thread sleeps if the ring of orders is full.
 constexpr mono_duration FullRingSleep = std::chrono::milliseconds(1);
 
 /// Minimum interval between checks of the work in flight at this entry. Within it two entries may
@@ -295,7 +295,8 @@
     return mono_time::min();
   if (DecisionOptions.FixedDeclaration)
     return mono_time::max();
-  // Until the first declaration arrives every route and key would be refused as unknown.
+  // Before the first declaration, every route and key would be refused as unknown, so nothing is
+  // admitted.
   const bool Declared = Freshness.current() && *Freshness.current() > revision();
   const bool Awaits = DecisionOptions.Backends == backend_source::Control && !Declared;
   return Awaits ? mono_time::min() : Freshness.leaseEnd();
--- a/programs/pollenstall-entry/decision_thread_base.h
+++ b/programs/pollenstall-entry/decision_thread_base.h
@@ -133,7 +133,7 @@
   bool NoBackendReachable{false}; ///< Last state of reachability that was logged.
   bool DeclarationSent{false};    ///< Whether the relay has the current declaration.
   mono_time SentLeaseEnd{};       ///< Lease end last sent to the relay.
-  bool SentLags{false}; ///< Last value sent to the relay of whether a newer declaration is pending.
+  bool SentLags{false}; ///< Whether a newer declaration is pending, as last sent to the relay.
   std::uint64_t RejectedDeclarations{0};
 
   readiness_deadline Ready;
--- a/programs/pollenstall-entry/entry_base.h
+++ b/programs/pollenstall-entry/entry_base.h
@@ -57,7 +57,7 @@
   [[nodiscard]] std::string dump();
   [[nodiscard]] std::optional<std::string> dumpRelay(std::chrono::milliseconds Limit);
   [[nodiscard]] std::size_t openCalls();
-  /// Logs that a port is open. @param Listener Who connects to it.
+  /// Logs that a port is open. @param Listener What the port is for.
   static void logListening(const char *Listener, const std::string &Address);
   void handleCallEnd(const call_record &Record);
   void waitForZero(mono_time Deadline, const std::function<std::size_t()> &Count);
@@ -69,9 +69,11 @@
   boost::asio::io_context Io{BOOST_ASIO_CONCURRENCY_HINT_UNSAFE_IO};
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type> IoWorkGuard;
   std::unique_ptr<decision_thread> Decision;
-  std::unique_ptr<gossip_service> Gossip; ///< Null if backend servers come from control hosts.
-  std::unique_ptr<work_share> Share;      ///< Null if backend servers come from gossip.
-  /// Guards AnnounceAddress and the producer side of the ring: the server has several threads.
+  std::unique_ptr<gossip_service>
+      Gossip; ///< Null if the list of backend servers comes from control hosts.
+  std::unique_ptr<work_share> Share; ///< Null if the list of backend servers comes from gossip.
+  /// Guards AnnounceAddress and the producer side of the announcement ring: the announcement server
+  /// has several threads.
   std::mutex AnnouncementGuard;
   std::string AnnounceAddress;
   std::unique_ptr<relay> Relay;
--- a/src/relay/backend_exchange.cpp
+++ b/src/relay/backend_exchange.cpp
@@ -124,13 +124,13 @@
 }
 
 asio::awaitable<exchange_end> backend_exchange::perform(exchange_mode Mode) {
-  // If the caller has bytes of an older attempt, this attempt must not relay any; it is proved not
-  // to have run.
+  // Another attempt already answers the caller, and this one may not relay. Nothing has been sent
+  // for it, so it has not run.
   if (Mode == exchange_mode::Start && !Call->mayRelay(Order.Attempt.Ordinal))
     co_return exchange_end{attempt_failure::NotWanted, {}};
   if (!Order.Holds.empty() && Mode == exchange_mode::Start) {
-    // The holds outlive this exchange while they are released; they no longer call this function
-    // then.
+    // While it is being released, memory_holds may outlive this exchange; it no longer calls the
+    // lambda then.
     Holds = std::make_shared<memory_holds>(Context, Order.Attempt, Order.Holds,
                                            [this] { return isStillWanted(); });
     const bool Held = co_await Holds->acquire();
@@ -155,7 +155,7 @@
     co_return exchange_end{Failure, {}};
   const bool Events = Call->Kind == service_kind::Model && isEventStream();
   const bool OpenEvents = Call->HeaderRouted && isEventStream();
-  // Only one attempt may relay its answer; from here on it is this one.
+  // Another attempt may have begun to relay meanwhile; then this answer is dropped.
   if (!Call->mayRelay(Order.Attempt.Ordinal))
     co_return exchange_end{attempt_failure::BrokenSent, {}};
   if (OpenEvents)
--- a/src/relay/backend_exchange_base.h
+++ b/src/relay/backend_exchange_base.h
@@ -60,8 +60,8 @@
 
   boost::asio::awaitable<void> run(exchange_mode Mode);
   boost::asio::awaitable<exchange_end> perform(exchange_mode Mode);
-  /// Returns whether a caller is still waiting for the answer. An engine cannot tell and would work
-  /// for nobody.
+  /// Returns whether the request should still be sent. An engine cannot tell that no caller waits
+  /// for the answer, and would work for nobody.
   bool isStillWanted();
   boost::asio::awaitable<std::optional<attempt_failure>> send(exchange_mode Mode);
   boost::asio::awaitable<std::optional<attempt_failure>> readHead();
@@ -87,7 +87,7 @@
   void flushProgress();
   void uncountIfNotRun(const exchange_end &End);
   void reportForSuspects(const exchange_end &End);
-  /// Returns whether the request has been blocked for crashing servers since it was admitted.
+  /// Returns whether the request, admitted earlier, is now blocked because it crashes servers.
   [[nodiscard]] bool isBlocked() const;
   void report(const exchange_end &End);
 
--- a/src/relay/backend_exchange_stream.cpp
+++ b/src/relay/backend_exchange_stream.cpp
@@ -9,7 +9,8 @@
 namespace {
 
 /// A stream whose engine sends nothing for this many times its declared gap is requested from
-/// another engine. That is already late; the caller leaves after eight gaps or two seconds.
+/// another engine. Waiting longer leaves too little time: callers disconnect after eight gaps or
+/// two seconds.
 constexpr int IdleTimeoutGaps = 3;
 /// On working engines, a pass with a long prefill takes up to this long.
 constexpr std::chrono::milliseconds MinIdleTimeout{500};
--- a/src/relay/call_interface_type.h
+++ b/src/relay/call_interface_type.h
@@ -42,8 +42,8 @@
 struct hold_request {
   std::string Name; ///< Chosen by the entry, unique.
   tokens Amount;
-  std::chrono::milliseconds Ttl{
-      0}; ///< Counts from the call's arrival; a repeated call restarts it.
+  std::chrono::milliseconds Ttl{0}; ///< Counts from the arrival of this request at the engine;
+                                    ///< repeating the request restarts it.
 };
 
 /// A small request to a backend server: method, target and body.
--- a/src/relay/caller_connection_base.h
+++ b/src/relay/caller_connection_base.h
@@ -44,8 +44,8 @@
   caller_connection(socket_sweeper &Sweeper, boost::asio::ip::tcp::socket Open,
                     const relay_limits &Bounds);
 
-  /// Reads and checks the next head. On an error, the caller sends the error answer and closes the
-  /// connection.
+  /// Reads and checks the next head. On an error, the session must send the error answer and close
+  /// the connection.
   boost::asio::awaitable<std::variant<request_head, call_error, connection_ended>> readHead();
   /// Reads the body that the head announces, up to Limit bytes.
   boost::asio::awaitable<std::variant<std::string, call_error, connection_ended>>
--- a/src/relay/memory_holds.cpp
+++ b/src/relay/memory_holds.cpp
@@ -19,7 +19,7 @@
 constexpr unsigned Ok = 200;
 /// The holds of a crashed entry expire after this time.
 constexpr std::chrono::milliseconds HoldTtl{3'500};
-/// Short enough that three renewals in a row may be lost.
+/// Short enough that two renewals in a row may be lost.
 constexpr std::chrono::milliseconds RenewInterval{900};
 constexpr int MaxReleaseAttempts = 3;
 constexpr std::chrono::milliseconds ReleasePause{200};
--- a/src/relay/open_event_scanner_base.h
+++ b/src/relay/open_event_scanner_base.h
@@ -17,7 +17,7 @@
 struct open_event_scan {
   std::string Ready;       ///< Complete events that the caller does not have yet.
   std::size_t Consumed{0}; ///< Bytes consumed; they must not be passed again.
-  std::uint64_t Events{0}; ///< Number of events in Ready that have an id.
+  std::uint64_t Events{0}; ///< Number of complete events in Ready, with or without an id.
 };
 
 /**
--- a/src/relay/relay_type.h
+++ b/src/relay/relay_type.h
@@ -27,7 +27,8 @@
   ms UserTimeout{10'000};   ///< Maximum time that sent bytes may stay unacknowledged by a peer.
   /// Maximum time that a request waits for a declaration in force before it is refused.
   ms ReadyWait{0};
-  ms CancelTimeout{2'000};           ///< For one cancel request.
+  ms CancelTimeout{
+      2'000}; ///< For one request of the entry itself: cancel, memory hold or list of attempts.
   ms BackendIdle{30'000};            ///< Idle timeout of a pooled connection to a backend server.
   std::size_t MaxConnections{8'192}; ///< Maximum number of callers' connections.
   std::size_t MaxEventBytes{1U << 20U}; ///< Maximum size of one event of a stream.
@@ -66,12 +67,12 @@
   std::vector<attempt_id> Attempts;
 };
 
-/// Requests to refuse, or whose successful end must be reported.
+/// The suspected requests. The relay refuses the blocked ones and reports any that completes.
 struct suspects_update {
   std::shared_ptr<const suspect_list> List;
 };
 
-/// Crash reports sent by the relay.
+/// Messages of the relay about suspected requests: a server crashed, or a suspect completed.
 using crash_update = std::variant<crash_report, suspect_cleared>;
 
 /// Orders from the decision thread to the relay thread. Claims go to the control link instead.
--- a/src/relay/relayed_call_base.h
+++ b/src/relay/relayed_call_base.h
@@ -57,7 +57,7 @@
   }
   /// Returns whether the result has been decided and no exchange writes to the caller any more.
   [[nodiscard]] bool isFinished() const { return Finish && !Relaying; }
-  /// Returns whether bytes were sent for an attempt that is not proved not to have run.
+  /// Returns whether an attempt was sent that may have run.
   [[nodiscard]] bool mayHaveRun() const { return SentAttempts > 0; }
 
   request_facts Facts;
--- a/tests/entry/bad_input_test.cpp
+++ b/tests/entry/bad_input_test.cpp
@@ -23,7 +23,7 @@
                      .ServiceLines = "max_body_bytes = 20000\nmax_prompt_tokens = 3000\n"
                                      "max_answer_tokens = 100\n"}};
 
-  /// Checks that a valid request still succeeds and that nothing is left over.
+  /// Checks that a valid request still succeeds and that the fleet becomes idle.
   void TearDown() override {
     EXPECT_TRUE(Fleet.chat("still served").ok());
     EXPECT_TRUE(eventually([this] { return Fleet.isIdle(); }));
--- a/tests/entry/broken_answer_test.cpp
+++ b/tests/entry/broken_answer_test.cpp
@@ -73,8 +73,9 @@
 }
 
 TEST_F(BrokenAnswerTest, HalfAnswerOfAnIdempotentCallIsRetried) {
-  // The same break, but the call is idempotent. The caller has no byte of the first answer yet, so
-  // the call is retried on the other engine, and the caller gets one complete answer.
+  // The same break, once on each engine, but the call is idempotent. The caller has no byte of an
+  // answer yet, so the call is retried until the third attempt completes, and the caller gets one
+  // complete answer.
   entry_fleet Fleet({.Engines = 2});
   ASSERT_TRUE(Fleet.engine(0).faults(R"({"half_answer_next":1})"));
   ASSERT_TRUE(Fleet.engine(1).faults(R"({"half_answer_next":1})"));
@@ -84,8 +85,8 @@
 }
 
 TEST_F(BrokenAnswerTest, UnbufferedHalfAnswerIsTruncatedForTheCaller) {
-  // The engine connection breaks after half of an answer that is too large to buffer. The caller
-  // already has the head with the length, so only a reset can signal the truncation.
+  // The engine connection breaks after half of an answer that is not buffered (held_answer_bytes =
+  // 0). The caller already has the head with the length, so only a reset can signal the truncation.
   entry_fleet Fleet({.EntryLimits = "held_answer_bytes = 0\n"});
   ASSERT_TRUE(Fleet.engine().faults(R"({"half_answer_next":1})"));
   const http_answer Answer = Fleet.chat("a question", 40);
--- a/tests/entry/entry_fleet_base.h
+++ b/tests/entry/entry_fleet_base.h
@@ -14,8 +14,8 @@
 struct fleet_options {
   std::string EntryLimits{};  ///< Lines of the table [limits].
   std::string EntryTop{};     ///< Lines at the top of the entry's settings.
-  std::string ServiceLines{}; ///< Lines of the model service.
-  std::string AccountLines{}; ///< Lines of the account.
+  std::string ServiceLines{}; ///< Additional lines in the model service's declaration.
+  std::string AccountLines{}; ///< Additional lines in the account's declaration.
   std::string EngineTop{};    ///< Lines at the top of the engines' settings.
   std::string EngineTables{}; ///< Tables of the engines' settings.
   int Engines{1};
--- a/tests/entry/leaving_caller_test.cpp
+++ b/tests/entry/leaving_caller_test.cpp
@@ -52,8 +52,8 @@
 }
 
 TEST_F(LeavingCallerTest, WhoStopsReadingPausesTheEngineAndIsDisconnected) {
-  // The caller's buffers fill up. The entry stops reading from the engine, buffers no more than one
-  // read, and closes the caller's connection after the stall limit.
+  // The caller's buffers fill up. The entry stops reading from the engine, keeps at most the bytes
+  // of one read in memory, and closes the caller's connection after the stall limit.
   raw_socket Socket(Fleet.callersAddress(), 2'048);
   ASSERT_TRUE(Fleet.engine().faults(R"({"slow_factor":0.02})"));
   const std::string Body = chatBody("m", "q", true, 8'000);
--- a/tests/entry/stopping_test.cpp
+++ b/tests/entry/stopping_test.cpp
@@ -38,8 +38,8 @@
   EXPECT_TRUE(eventually([&] { return Fleet.engine().stat("used_blocks") == 0; }));
 }
 
-// The platform sends SIGHUP when a settings file has changed. Its default action ends the process,
-// which would interrupt every stream of the entry.
+// The platform sends SIGHUP when a settings file has changed. By default SIGHUP would end the
+// process, which would interrupt every stream of the entry.
 TEST(Stopping, SettingsChangeEndsNothing) {
   entry_fleet Fleet({.EngineTables = "[step]\nbase_us = 20000\n"});
   const auto Stream = Fleet.stream("a question", 30);
--- a/tests/relay/header_routed_call_test.cpp
+++ b/tests/relay/header_routed_call_test.cpp
@@ -178,8 +178,8 @@
 }
 
 // A route was added and acknowledged, but its declaration is still queued for this entry. "No such
-// route" would be wrong and final: the caller would not retry. Seen as 22 answers of 404 for
-// declared routes during one large change.
+// route" would be wrong and final: the caller would not retry. During one large change, 22 calls of
+// declared routes received a 404 for this reason.
 TEST(CallOfAnUnknownRoute, GetsA503WhileTheDeclarationIsStale) {
   relay_harness Relay;
   Relay.setDeclarationStale();
@@ -306,8 +306,8 @@
   EXPECT_TRUE(Answer.ends_with("all of it."));
 }
 
-// A pooled connection delivers an answer to another send. If it were relayed, a caller would read
-// somebody else's answer.
+// A pooled connection delivers the answer to a different request. If it were relayed, a caller
+// would read somebody else's answer.
 TEST(BackendAnswer, ToAnotherSendIsNotRelayed) {
   const scripted_server Crossed([](auto &Socket, const received_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s0\r\nContent-Length: 6\r\n\r\nsecret");
@@ -322,8 +322,8 @@
   EXPECT_EQ(countOf(Answer, "HTTP/1.1 502"), 1U) << Answer;
 }
 
-// A server states that it did not start the request. The caller may receive the one status
-// that guarantees it.
+// A server states that it did not start the request. The caller receives 503, the one status that
+// guarantees that the request was not run.
 TEST(BackendAnswer, ThatSaysNotRunBecomesA503) {
   const scripted_server Full([](auto &Socket, const received_request &) {
     sendText(Socket,
--- a/tests/relay/memory_holds_test.cpp
+++ b/tests/relay/memory_holds_test.cpp
@@ -13,7 +13,7 @@
 const std::string NoRoom = "HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n";
 constexpr tokens Amount{5'000};
 
-/// The requests that several servers received, in one order.
+/// The requests that all servers received, in order of arrival.
 class request_log {
 public:
   void note(const std::string &Server, const received_request &Request) {
--- a/tests/relay/relay_harness_base.h
+++ b/tests/relay/relay_harness_base.h
@@ -30,7 +30,7 @@
   relay_harness(const relay_harness &) = delete;
   relay_harness &operator=(const relay_harness &) = delete;
 
-  /// Sends a request that is refused before it reaches the decision thread.
+  /// Sends a request without waiting for it to reach the decision thread.
   void send(const std::string &Body, const std::string &MoreHeaders = {},
             const std::string &Path = "/a/b");
   /// Sends a request in the background; answer() waits for the end of its connection.
@@ -71,7 +71,7 @@
   void hangUpAndStart(const scripted_server &Server);
   /// Stops the relay and its connections.
   void stop();
-  /// Returns after all orders have started, as far as they do not depend on a peer's answer.
+  /// Returns after the relay thread has done all pending work that needs no further network input.
   void settle();
   void finish(final_outcome Outcome, failure_reason Reason);
 
