--- a/programs/pollenstall-entry/announcement.cpp
+++ b/programs/pollenstall-entry/announcement.cpp
@@ -116,6 +116,7 @@
   std::optional<announcement_fault> &Fault;
 };
 
+/// Returns how the server checks the orders of control hosts; any other text: it takes none.
 order_check parseOrderCheck(const std::string &Text) {
   if (Text == "fenced")
     return order_check::Fenced;
--- a/programs/pollenstall-entry/decision_core.cpp
+++ b/programs/pollenstall-entry/decision_core.cpp
@@ -21,8 +21,8 @@
   return valueOf(std::move(Built));
 }
 
-/// Backend servers announce themselves about once a second, so that a new leader has received an
-/// announcement of each of them within this time.
+/// Backend servers announce themselves about once a second, so within this time a new control
+/// leader has received an announcement of each of them.
 constexpr mono_duration NewLeaderGrace = std::chrono::milliseconds(3000);
 
 attempt_report reportOf(const attempt_result &Ending) {
@@ -209,9 +209,10 @@
 }
 
 mono_time decision_core::viewsValidUntil() const {
-  // With stale views, new work could go to a backend server that has announced that it is leaving.
+  // The directory has no age limit; without a full list nothing may be placed.
   if (usesPlacer())
     return Directory.hasFullList() ? mono_time::max() : mono_time::min();
+  // With stale views, new work could go to a backend server that has announced that it is leaving.
   return FreshUntil;
 }
 
--- a/programs/pollenstall-entry/decision_core_base.h
+++ b/programs/pollenstall-entry/decision_core_base.h
@@ -67,7 +67,7 @@
   /// @return The time by which step() must be called again.
   [[nodiscard]] std::optional<mono_time> nextWake() const;
 
-  /// @return Whether the backend server ends an attempt on a cancel request.
+  /// @return Whether cancel requests are sent to the backend server; true if it is unknown.
   [[nodiscard]] bool supportsCancel(const backend_key &Backend) const;
   /// @return The time until which the backend views are fresh enough to place work.
   [[nodiscard]] mono_time viewsValidUntil() const;
@@ -76,6 +76,7 @@
   [[nodiscard]] std::size_t liveRequests() const { return Dispatcher.liveRequests(); }
   [[nodiscard]] std::size_t abandonedAttempts() const { return Dispatcher.abandonedAttempts(); }
   [[nodiscard]] bool reachesNoBackend() const { return usesPlacer() && Placer.reachesNoBackend(); }
+  /// @return The number of claims on the capacity of engines; no claims of idempotency keys.
   [[nodiscard]] std::uint64_t claimsMade() const { return Placer.claimsMade(); }
   [[nodiscard]] std::size_t queued() const;
   /// @return JSON of requests, queue and backend servers, without prompts or keys.
--- a/programs/pollenstall-entry/decision_thread.cpp
+++ b/programs/pollenstall-entry/decision_thread.cpp
@@ -157,8 +157,8 @@
   if (MembershipEvents)
     MembershipEvents->drain(
         [this, Now](membership_event &&Event) { Core.handleEvent(Event, Now); });
-  if (Share)
-    Share->peerUpdates().drain(
+  if (WorkShare)
+    WorkShare->peerUpdates().drain(
         [this, Now](peer_work_update &&Others) { Core.updatePeerLoads(Others, Now); });
   Superseded = Core.isSuperseded();
   if (Control)
@@ -228,11 +228,11 @@
 }
 
 void decision_thread::handleEntries(const entries_listed &Listed) {
-  if (Share) {
+  if (WorkShare) {
     entries_update PeerEntries;
     for (const served_entry &Entry : Listed.Entries)
       PeerEntries.Entries.push_back({Entry.WorkAddress, Entry.Domain});
-    Share->commands().push(std::move(PeerEntries));
+    WorkShare->commands().push(std::move(PeerEntries));
   }
   if (!DecisionOptions.RetryReserve)
     return;
@@ -263,9 +263,10 @@
 }
 
 void decision_thread::publishLoads(mono_time Now) {
-  // A claim is published before it is used, however recent the last update is.
+  // A claim on the capacity of an engine is published before it is used, however recent the last
+  // update is.
   const bool Claimed = Core.claimsMade() != PublishedClaims;
-  if (!Share || (Now - LoadsPublishedAt < LoadPublishInterval && !Claimed))
+  if (!WorkShare || (Now - LoadsPublishedAt < LoadPublishInterval && !Claimed))
     return;
   PublishedClaims = Core.claimsMade();
   std::vector<work_load> Loads = Core.ownLoads(Now);
@@ -274,7 +275,7 @@
     return;
   LoadsPublishedAt = Now;
   PublishedLoads = Loads;
-  Share->commands().push(own_work_update{std::move(Loads), Claimed});
+  WorkShare->commands().push(own_work_update{std::move(Loads), Claimed});
 }
 
 bool decision_thread::loadsDiffer(const std::vector<work_load> &Loads, mono_time Now) const {
@@ -298,8 +299,9 @@
   // Before the first declaration, every route and key would be refused as unknown, so nothing is
   // admitted.
   const bool Declared = Freshness.current() && *Freshness.current() > revision();
-  const bool Awaits = DecisionOptions.Backends == backend_source::Control && !Declared;
-  return Awaits ? mono_time::min() : Freshness.leaseEnd();
+  const bool AwaitsFirstDeclaration =
+      DecisionOptions.Backends == backend_source::Control && !Declared;
+  return AwaitsFirstDeclaration ? mono_time::min() : Freshness.leaseEnd();
 }
 
 mono_time decision_thread::admissionUntil() const {
@@ -315,12 +317,13 @@
   const mono_time Until =
       DecisionOptions.FixedDeclaration ? mono_time::max() : Freshness.leaseEnd();
   const bool Changed = ReadinessChanged || (Admitting && !DeclarationSent);
-  const bool Extended = Admitting && (Until != SentLeaseEnd || Freshness.isBehind() != SentLags);
-  if (!Changed && !Extended)
+  const bool LeaseOrStaleChanged =
+      Admitting && (Until != SentLeaseEnd || Freshness.isBehind() != SentStale);
+  if (!Changed && !LeaseOrStaleChanged)
     return;
   SentLeaseEnd = Until;
-  SentLags = Freshness.isBehind();
-  Outbox.push(declaration_in_force{Admitting ? Declaration : nullptr, Until, SentLags});
+  SentStale = Freshness.isBehind();
+  Outbox.push(declaration_in_force{Admitting ? Declaration : nullptr, Until, SentStale});
   if (!Changed)
     return;
   Core.setReady(Admitting);
@@ -346,11 +349,11 @@
               logEvent(log_level::Error, "claim_end_not_recorded");
           },
           [this](cancel_attempt &&Cancel) {
-            const bool TakesCancels = Core.supportsCancel(Cancel.Backend);
+            const bool SupportsCancel = Core.supportsCancel(Cancel.Backend);
             logEvent(
                 log_level::Info, "attempt_cancelled",
                 {{"attempt", toText(Cancel.Attempt)}, {"backend", Cancel.Backend.Address.str()}});
-            Outbox.push(cancel_order{std::move(Cancel), TakesCancels});
+            Outbox.push(cancel_order{std::move(Cancel), SupportsCancel});
           },
           [this](start_attempt &&Start) {
             Start.Instance = Core.instanceOf(Start.Backend);
@@ -394,9 +397,9 @@
   LiveGauge.Set(static_cast<double>(Core.liveRequests()));
   AbandonedGauge.Set(static_cast<double>(Core.abandonedAttempts()));
   ReadyGauge.Set(Admitting ? 1.0 : 0.0);
-  if (!Share)
+  if (!WorkShare)
     return;
-  const work_share_counts Counts = Share->counts();
+  const work_share_counts Counts = WorkShare->counts();
   WorkDatagramsGauge.Set(static_cast<double>(Counts.SentDatagrams));
   WorkBytesGauge.Set(static_cast<double>(Counts.SentBytes));
 }
--- a/programs/pollenstall-entry/decision_thread_base.h
+++ b/programs/pollenstall-entry/decision_thread_base.h
@@ -68,7 +68,7 @@
   /// Sets the control link; call before start().
   void setControlLink(std::unique_ptr<control_link> Link) { Control = std::move(Link); }
   /// Sets the thread that exchanges work reports with other entries; call before start().
-  void setWorkShare(work_share &NewShare) { Share = &NewShare; }
+  void setWorkShare(work_share &NewShare) { WorkShare = &NewShare; }
   /// Sets the ring of the gossip thread; call before start().
   void setMembershipEvents(bounded_ring<membership_event> &Source) { MembershipEvents = &Source; }
   void start();
@@ -119,7 +119,7 @@
   bounded_ring<relay_order> Orders;
   event_outbox<relay_order> Outbox;
   bounded_ring<membership_event> *MembershipEvents{nullptr};
-  work_share *Share{nullptr};
+  work_share *WorkShare{nullptr};
   const work_share_tuning ShareTuning;
   std::vector<work_load> PublishedLoads;
   std::uint64_t PublishedClaims{0}; ///< Value of placer::claimsMade() at the last update.
@@ -133,7 +133,7 @@
   bool NoBackendReachable{false}; ///< Last state of reachability that was logged.
   bool DeclarationSent{false};    ///< Whether the relay has the current declaration.
   mono_time SentLeaseEnd{};       ///< Lease end last sent to the relay.
-  bool SentLags{false}; ///< Whether a newer declaration is pending, as last sent to the relay.
+  bool SentStale{false}; ///< Whether a newer declaration is pending, as last sent to the relay.
   std::uint64_t RejectedDeclarations{0};
 
   readiness_deadline Ready;
--- a/programs/pollenstall-entry/entry.cpp
+++ b/programs/pollenstall-entry/entry.cpp
@@ -34,7 +34,7 @@
   Gossip.reset();
   if (Decision)
     Decision->stop();
-  Share.reset();
+  WorkShare.reset();
   stopRelay();
 }
 
@@ -92,8 +92,8 @@
   Decision->start();
   if (Gossip)
     Gossip->start();
-  if (Share)
-    Share->start();
+  if (WorkShare)
+    WorkShare->start();
   RelayThread = std::thread([this] { Io.run(); });
   return writeAddresses();
 }
@@ -103,7 +103,7 @@
       control_link_builder(withPort(Settings.ControlAddresses, Settings.ControlPort),
                            Settings.Fleet)
           .process(Self, failure_domain_name(Settings.FailureDomain))
-          .workAddress(Share ? Share->address() : std::string())
+          .workAddress(WorkShare ? WorkShare->address() : std::string())
           .renewInterval(Settings.ControlRenew)
           .answerTimeout(Settings.ControlAnswer)
           .connectTimeout(Settings.ControlConnect)
@@ -117,9 +117,9 @@
   auto Created = work_share::create(Settings.Fleet, Self, Settings.WorkAddress);
   if (!succeeded(Created))
     return entry_error{errorOf(Created).Text};
-  Share = std::move(valueOf(Created));
-  Decision->setWorkShare(*Share);
-  logListening("work", Share->address());
+  WorkShare = std::move(valueOf(Created));
+  Decision->setWorkShare(*WorkShare);
+  logListening("work", WorkShare->address());
   return done{};
 }
 
@@ -195,8 +195,8 @@
     Addresses["announcements"] = Announcements->address();
   if (Gossip)
     Addresses["gossip"] = Gossip->address().str();
-  if (Share)
-    Addresses["work"] = Share->address();
+  if (WorkShare)
+    Addresses["work"] = WorkShare->address();
   // The file is renamed into place, so that a process that waits for it never reads a partial one.
   const std::string TempPath = Settings.AddressFile + ".new";
   {
--- a/programs/pollenstall-entry/entry_base.h
+++ b/programs/pollenstall-entry/entry_base.h
@@ -57,8 +57,8 @@
   [[nodiscard]] std::string dump();
   [[nodiscard]] std::optional<std::string> dumpRelay(std::chrono::milliseconds Limit);
   [[nodiscard]] std::size_t openCalls();
-  /// Logs that a port is open. @param Listener What the port is for.
-  static void logListening(const char *Listener, const std::string &Address);
+  /// Logs that a port is open. @param Purpose What the port is for.
+  static void logListening(const char *Purpose, const std::string &Address);
   void handleCallEnd(const call_record &Record);
   void waitForZero(mono_time Deadline, const std::function<std::size_t()> &Count);
 
@@ -71,7 +71,7 @@
   std::unique_ptr<decision_thread> Decision;
   std::unique_ptr<gossip_service>
       Gossip; ///< Null if the list of backend servers comes from control hosts.
-  std::unique_ptr<work_share> Share; ///< Null if the list of backend servers comes from gossip.
+  std::unique_ptr<work_share> WorkShare; ///< Null if the list of backend servers comes from gossip.
   /// Guards AnnounceAddress and the producer side of the announcement ring: the announcement server
   /// has several threads.
   std::mutex AnnouncementGuard;
--- a/programs/pollenstall-entry/entry_report.cpp
+++ b/programs/pollenstall-entry/entry_report.cpp
@@ -32,8 +32,8 @@
 
 } // namespace
 
-void entry::logListening(const char *Listener, const std::string &Address) {
-  logEvent(log_level::Info, "listening", {{"what", std::string(Listener)}, {"address", Address}});
+void entry::logListening(const char *Purpose, const std::string &Address) {
+  logEvent(log_level::Info, "listening", {{"what", std::string(Purpose)}, {"address", Address}});
 }
 
 void entry::handleCallEnd(const call_record &Record) {
--- a/programs/pollenstall-entry/entry_stop.cpp
+++ b/programs/pollenstall-entry/entry_stop.cpp
@@ -14,8 +14,8 @@
 constexpr std::chrono::seconds CancelGrace{2};
 /// Time reserved before the kill to write the last answers.
 constexpr std::chrono::milliseconds KillMargin{1'000};
-/// The dispatcher ends the remaining requests at the limit; this is the time to write their
-/// answers.
+/// Time after the shutdown limit or the kill deadline, at which the dispatcher ends the remaining
+/// requests, to write their answers.
 constexpr std::chrono::seconds FinalWriteTime{1};
 
 } // namespace
--- a/src/relay/backend_exchange_relay.cpp
+++ b/src/relay/backend_exchange_relay.cpp
@@ -49,7 +49,7 @@
                                                     std::string_view First) {
   Call->RelayedBy = Order.Attempt.Ordinal;
   Call->Stage = Framing == answer_framing::Chunked && isEventStream() ? answer_stage::Stream
-                                                                      : answer_stage::FixedLength;
+                                                                      : answer_stage::NoStream;
   Call->FirstByte = boot_clock::now();
   // If a stream breaks off, another attempt continues it with the same body.
   if (!Call->HeaderRouted || !Call->Facts.Resumable)
@@ -156,8 +156,8 @@
   return Length && *Length <= Context.Limits.HeldAnswerBytes;
 }
 
-/// An answer without events that ends before its length is a bad answer, not a broken stream: a
-/// resume would append events to half of a JSON body.
+/// Once its head has been relayed, a truncated answer without events is a BadAnswer, not a broken
+/// stream: a resume would append events to half of a JSON body.
 asio::awaitable<exchange_end> backend_exchange::relayWholeAnswer() {
   auto Framing = wholeAnswerFraming();
   EndsWithConnection = !Framing;
--- a/src/relay/call_interface_type.h
+++ b/src/relay/call_interface_type.h
@@ -60,13 +60,14 @@
       Instance; ///< Identifies the server's incarnation; another incarnation refuses the request.
   client_account_name Account; ///< Empty if the call needs no client account.
   std::vector<helper_engine> Helpers;
-  std::uint64_t LastEvent{0}; ///< The caller resumes after this event; 0: from the start.
+  std::uint64_t LastEvent{
+      0}; ///< Last event that the caller has; the server must continue after it. 0: from the start.
 };
 
 /// Facts from the head of an answer.
 struct answer_facts {
   bool NotRun{false};    ///< The server states that it did not start the request.
-  bool OtherSend{false}; ///< The answer belongs to another send.
+  bool OtherSend{false}; ///< The answer names another request than the one that the caller sent.
   backend_address
       AtFault; ///< Another server that prevented the request from running; empty if none is named.
 };
--- a/src/relay/caller_session.cpp
+++ b/src/relay/caller_session.cpp
@@ -186,8 +186,8 @@
     return std::nullopt;
   call_error Error =
       unavailableError("request_crashes_servers",
-                       "Servers crashed each time this request ran (" + toText(*Fingerprint) +
-                           "). It is not forwarded before the retry time.");
+                       "Servers crashed each time an identical request ran (" +
+                           toText(*Fingerprint) + "). It is refused until the retry time.");
   Error.RetryAfter = std::chrono::ceil<std::chrono::seconds>(*Until - Now);
   Error.Repeatable = false;
   return Error;
--- a/src/relay/caller_session_end.cpp
+++ b/src/relay/caller_session_end.cpp
@@ -18,8 +18,8 @@
 
 /// Bounds the name for the log, because any caller may choose it, authenticated or not.
 std::string loggedName(const std::string &SendName) {
-  constexpr std::size_t MaxTextBytesInFlight = 128;
-  return SendName.substr(0, MaxTextBytesInFlight);
+  constexpr std::size_t MaxLoggedNameBytes = 128;
+  return SendName.substr(0, MaxLoggedNameBytes);
 }
 
 /**
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -79,7 +79,7 @@
     const attempt_id Attempt = Order.Cancel.Attempt;
     if (const auto Found = Exchanges.find(Attempt); Found != Exchanges.end())
       Found->second->abandon();
-    if (!Order.TakesCancels)
+    if (!Order.SupportsCancel)
       Context.Outbox.push(cancel_confirmed{Attempt});
     else if (Cancels.insert(Attempt).second)
       asio::co_spawn(Context.Io, cancel(Order.Cancel), rethrow);
--- a/src/relay/relay_metrics.cpp
+++ b/src/relay/relay_metrics.cpp
@@ -41,7 +41,8 @@
     : Connections(
           gauge(Registry, "pollenstall_caller_connections", "Open connections from callers")),
       OpenCalls(gauge(Registry, "pollenstall_open_requests", "Requests without a final answer")),
-      OpenStreams(gauge(Registry, "pollenstall_open_streams", "Streams being relayed")),
+      OpenStreams(
+          gauge(Registry, "pollenstall_open_streams", "Attempts in progress, streamed or not")),
       BodyBytes(gauge(Registry, "pollenstall_body_bytes", "Bytes of request bodies held")),
       Requests(familyOf(prometheus::BuildCounter, "pollenstall_requests_total",
                         "Requests by outcome and reason", Registry)),
--- a/src/relay/relay_metrics_base.h
+++ b/src/relay/relay_metrics_base.h
@@ -37,7 +37,7 @@
 
   prometheus::Gauge &Connections; ///< Callers' connections.
   prometheus::Gauge &OpenCalls;   ///< Requests without a final answer.
-  prometheus::Gauge &OpenStreams; ///< Streams being relayed.
+  prometheus::Gauge &OpenStreams; ///< Attempts in progress at this entry, streamed or not.
   prometheus::Gauge &BodyBytes;   ///< Held in request bodies.
 
 private:
--- a/src/relay/relay_type.h
+++ b/src/relay/relay_type.h
@@ -51,9 +51,10 @@
 /// A cancel order, with a fact about the backend server that the relay does not know.
 struct cancel_order {
   cancel_attempt Cancel;
-  /// Whether the backend server accepts cancel requests. A plain service holds no memory: closing
-  /// the connection is enough, and the cancel is confirmed at once.
-  bool TakesCancels{true};
+  /// Whether the backend server accepts cancel requests. Otherwise closing the connection ends the
+  /// attempt, and the cancel is confirmed at once: a plain service holds no memory, and an engine
+  /// of the control directory ends an attempt when its connection closes.
+  bool SupportsCancel{true};
 };
 
 /// Asks an engine which attempts it holds. The answer is attempts_listed; there may be none.
--- a/src/relay/relayed_call_base.h
+++ b/src/relay/relayed_call_base.h
@@ -20,10 +20,10 @@
 
 /// How much of the answer has been sent to the caller.
 enum class answer_stage : std::uint8_t {
-  None,        ///< Nothing; an error answer is still possible.
-  FixedLength, ///< The head, and perhaps a part, of an answer of known length.
-  Stream,      ///< The head and some events.
-  Ended,       ///< The complete answer.
+  None,     ///< Nothing; an error answer is still possible.
+  NoStream, ///< The head, and perhaps a part, of an answer that is not an event stream.
+  Stream,   ///< The head and some events.
+  Ended,    ///< The complete answer.
 };
 
 /// The request as sent to backend servers, the same for each attempt.
--- a/src/relay/request_body_type.h
+++ b/src/relay/request_body_type.h
@@ -11,24 +11,24 @@
 /// A share of the memory for bodies; released by the destructor.
 class body_reservation {
 public:
-  body_reservation(std::size_t &Total, std::size_t Size) : Held(&Total), Bytes(Size) {
-    *Held += Bytes;
+  body_reservation(std::size_t &Total, std::size_t Size) : TotalBytes(&Total), OwnBytes(Size) {
+    *TotalBytes += OwnBytes;
   }
   body_reservation(body_reservation &&Other) noexcept
-      : Held(Other.Held), Bytes(std::exchange(Other.Bytes, 0)) {}
+      : TotalBytes(Other.TotalBytes), OwnBytes(std::exchange(Other.OwnBytes, 0)) {}
   body_reservation &operator=(body_reservation &&) = delete;
-  ~body_reservation() { *Held -= Bytes; }
+  ~body_reservation() { *TotalBytes -= OwnBytes; }
 
   /// Changes the share to the body's actual size.
   void resize(std::size_t Size) {
-    *Held += Size;
-    *Held -= Bytes;
-    Bytes = Size;
+    *TotalBytes += Size;
+    *TotalBytes -= OwnBytes;
+    OwnBytes = Size;
   }
 
 private:
-  std::size_t *Held;
-  std::size_t Bytes;
+  std::size_t *TotalBytes;
+  std::size_t OwnBytes;
 };
 
 /// The only copy of a body in this process.
--- a/tests/entry/bad_input_test.cpp
+++ b/tests/entry/bad_input_test.cpp
@@ -51,24 +51,25 @@
   }
 };
 
-const std::string Key = "Host: e\r\nAuthorization: Bearer caller-key\r\n";
+const std::string HostAndKeyLines = "Host: e\r\nAuthorization: Bearer caller-key\r\n";
 
 TEST_F(BadInputTest, NamesTheInvalidBodyField) {
   const std::string Good = chatBody("m", "x", false, 1);
   const std::vector<bad_case> Cases{
-      {"broken JSON", Good.substr(0, Good.size() - 2), callerKey(), 400, "body"},
+      {"broken JSON", Good.substr(0, Good.size() - 2), callerAuthorization(), 400, "body"},
       {"not UTF-8", "{\"model\":\"m\",\"messages\":[{\"role\":\"u\",\"content\":\"\xff\"}]}",
-       callerKey(), 400, "body"},
-      {"wrong type", R"({"model":7})", callerKey(), 400, "model"},
-      {"no messages", R"({"model":"m"})", callerKey(), 400, "messages"},
-      {"wrong content", R"({"model":"m","messages":[{"role":"user","content":3}]})", callerKey(),
-       400, "messages[0].content"},
-      {"unknown model", chatBody("other", "x", false), callerKey(), 404, "model"},
-      {"answer over the limit", chatBody("m", "x", false, 101), callerKey(), 400, "max_tokens"},
-      {"prompt over the limit", chatBody("m", std::string(19'000, 'x'), false), callerKey(), 400,
-       "messages"},
-      {"body over the limit", chatBody("m", std::string(30'000, 'x'), false), callerKey(), 413,
-       "body"},
+       callerAuthorization(), 400, "body"},
+      {"wrong type", R"({"model":7})", callerAuthorization(), 400, "model"},
+      {"no messages", R"({"model":"m"})", callerAuthorization(), 400, "messages"},
+      {"wrong content", R"({"model":"m","messages":[{"role":"user","content":3}]})",
+       callerAuthorization(), 400, "messages[0].content"},
+      {"unknown model", chatBody("other", "x", false), callerAuthorization(), 404, "model"},
+      {"answer over the limit", chatBody("m", "x", false, 101), callerAuthorization(), 400,
+       "max_tokens"},
+      {"prompt over the limit", chatBody("m", std::string(19'000, 'x'), false),
+       callerAuthorization(), 400, "messages"},
+      {"body over the limit", chatBody("m", std::string(30'000, 'x'), false), callerAuthorization(),
+       413, "body"},
       {"no key", Good, {}, 401, "Authorization"},
       {"wrong key", Good, {{"Authorization", "Bearer wrong"}}, 401, "Authorization"},
       {"no bearer", Good, {{"Authorization", "Basic caller-key"}}, 401, "Authorization"}};
@@ -80,7 +81,7 @@
 TEST_F(BadInputTest, NamesTheInvalidHeaderOrPath) {
   const std::string Good = chatBody("m", "x", false, 1);
   const auto Post = [&](const std::string &Name, const std::string &Value) {
-    http_headers Headers = callerKey();
+    http_headers Headers = callerAuthorization();
     Headers.emplace_back(Name, Value);
     return Fleet.caller().post("/v1/chat/completions", Good, Headers);
   };
@@ -91,14 +92,14 @@
   expectRefused(Post("X-Prompt-Tokens", "-1"), {"", "", {}, 400, "X-Prompt-Tokens"});
   expectRefused(Post("Idempotency-Key", std::string(300, 'k')),
                 {"", "", {}, 400, "Idempotency-Key"});
-  expectRefused(Fleet.caller().get("/nowhere", callerKey()), {"", "", {}, 404, "path"});
-  expectRefused(Fleet.caller().get("/v1/chat/completions", callerKey()),
+  expectRefused(Fleet.caller().get("/nowhere", callerAuthorization()), {"", "", {}, 404, "path"});
+  expectRefused(Fleet.caller().get("/v1/chat/completions", callerAuthorization()),
                 {"", "", {}, 405, "method"});
   EXPECT_EQ(Fleet.engine().stat("starts"), 0);
 }
 
 TEST_F(BadInputTest, RefusesAmbiguousMessagesAndClosesTheConnection) {
-  const std::string Start = "POST /v1/chat/completions HTTP/1.1\r\n" + Key;
+  const std::string Start = "POST /v1/chat/completions HTTP/1.1\r\n" + HostAndKeyLines;
   expectRawRefused(Start + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
                    "400", "Content-Length");
   expectRawRefused(Start + "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabc", "400",
@@ -106,7 +107,7 @@
   expectRawRefused(Start + "Transfer-Encoding: gzip\r\n\r\n", "400", "Transfer-Encoding");
   expectRawRefused(Start + "X-A: b\r\n folded\r\n\r\n", "400", "headers");
   expectRawRefused(Start + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", "400", "body");
-  expectRawRefused("GET / HTTP/1.0\r\n" + Key + "\r\n", "505", "version");
+  expectRawRefused("GET / HTTP/1.0\r\n" + HostAndKeyLines + "\r\n", "505", "version");
   expectRawRefused("\x16\x03\x01 not http at all\r\n\r\n", "400", "headers");
   expectRawRefused(Start + "X-Long: " + std::string(9'000, 'x') + "\r\n\r\n", "431", "headers");
   EXPECT_EQ(Fleet.engine().stat("starts"), 0);
@@ -116,10 +117,10 @@
   // The caller sends half a head or half a body, then nothing. It gets a 408 within the limit and
   // its connection is closed; without the limit each such caller would hold memory indefinitely.
   expectRawRefused("POST /v1/chat/completions HTTP/1.1\r\nHost: e\r\n", "408", "headers");
-  expectRawRefused("POST /v1/chat/completions HTTP/1.1\r\n" + Key +
+  expectRawRefused("POST /v1/chat/completions HTTP/1.1\r\n" + HostAndKeyLines +
                        "Content-Length: 100\r\n\r\n{\"model\"",
                    "408", "body");
-  expectRawRefused("POST /v1/chat/completions HTTP/1.1\r\n" + Key +
+  expectRawRefused("POST /v1/chat/completions HTTP/1.1\r\n" + HostAndKeyLines +
                        "Transfer-Encoding: chunked\r\n\r\n5\r\n{\"mod",
                    "408", "body");
 }
@@ -138,7 +139,7 @@
   const http_client Client(Fleet.announcementsAddress());
   const http_headers FleetKey{{"Authorization", "Bearer fleet-key"}};
   EXPECT_EQ(Client.post("/v1/announcements", "{}").Status, 401);
-  EXPECT_EQ(Client.post("/v1/announcements", "{}", callerKey()).Status, 401);
+  EXPECT_EQ(Client.post("/v1/announcements", "{}", callerAuthorization()).Status, 401);
   const http_answer Answer = Client.post("/v1/announcements", R"({"address":"nowhere"})", FleetKey);
   EXPECT_EQ(Answer.Status, 400);
   EXPECT_EQ(textIn(pollenstall::errorOf(Answer), "param"), "address");
--- a/tests/entry/broken_answer_test.cpp
+++ b/tests/entry/broken_answer_test.cpp
@@ -32,7 +32,8 @@
 
 TEST_F(BrokenAnswerTest, StreamThatCannotResumeEndsInAnError) {
   // This engine cannot resume. After the break the caller gets an error event with the outcome
-  // "unknown" and an unterminated HTTP body, so that no reader accepts the partial answer.
+  // "unknown" and an HTTP body without its last chunk, so that no client
+  // mistakes the part for the complete answer.
   entry_fleet Fleet({.EngineTables = "[capabilities]\nresumes = false\n"});
   ASSERT_TRUE(Fleet.engine().faults(R"({"cut_after_events":5})"));
   const auto Stream = Fleet.stream("a question", 30);
@@ -61,7 +62,7 @@
   // The engine connection breaks after half of the body. If the half were forwarded, only a reset
   // could signal the truncation, and a client library that misses the reset waits forever. The call
   // is not idempotent, so the caller gets the outcome "unknown" at once.
-  entry_fleet Fleet({.Engines = 2});
+  entry_fleet Fleet({.EngineCount = 2});
   for (std::size_t Index = 0; Index < Fleet.engines(); ++Index)
     ASSERT_TRUE(Fleet.engine(Index).faults(R"({"half_answer_next":1})"));
   const http_answer Answer = Fleet.chat("send", 40, {{"X-Pollenstall-Idempotent", "false"}});
@@ -76,7 +77,7 @@
   // The same break, once on each engine, but the call is idempotent. The caller has no byte of an
   // answer yet, so the call is retried until the third attempt completes, and the caller gets one
   // complete answer.
-  entry_fleet Fleet({.Engines = 2});
+  entry_fleet Fleet({.EngineCount = 2});
   ASSERT_TRUE(Fleet.engine(0).faults(R"({"half_answer_next":1})"));
   ASSERT_TRUE(Fleet.engine(1).faults(R"({"half_answer_next":1})"));
   EXPECT_TRUE(Fleet.chat("a question", 40).ok());
@@ -98,7 +99,7 @@
 TEST_F(BrokenAnswerTest, AnswerToAnotherAttemptIsDropped) {
   // Each engine answers once with the id of another attempt, as on mixed-up connections. The entry
   // drops both answers and closes their connections; the caller gets its own at the third attempt.
-  entry_fleet Fleet({.Engines = 2});
+  entry_fleet Fleet({.EngineCount = 2});
   for (std::size_t Index = 0; Index < Fleet.engines(); ++Index)
     ASSERT_TRUE(Fleet.engine(Index).faults(R"({"wrong_attempt_next":1})"));
   const http_answer Answer = Fleet.chat("a question", 3);
@@ -107,8 +108,8 @@
   expectIdle(Fleet);
 }
 
-TEST_F(BrokenAnswerTest, DeclinedAndFailedWorkIsRetriedElsewhere) {
-  entry_fleet Fleet({.Engines = 2});
+TEST_F(BrokenAnswerTest, DeclinedAndFailedWorkIsRetried) {
+  entry_fleet Fleet({.EngineCount = 2});
   for (std::size_t Index = 0; Index < Fleet.engines(); ++Index)
     ASSERT_TRUE(Fleet.engine(Index).faults(R"({"decline_next":1,"error_next":0})"));
   EXPECT_TRUE(Fleet.chat("a question").ok());
@@ -121,7 +122,7 @@
 TEST_F(BrokenAnswerTest, NonIdempotentWorkEndsAsUnknown) {
   // The caller marks its call as not idempotent. The engine starts it and fails with a 500: the
   // call may have had its effect, so it is not retried, and the caller gets "unknown".
-  entry_fleet Fleet({.Engines = 2});
+  entry_fleet Fleet({.EngineCount = 2});
   for (std::size_t Index = 0; Index < Fleet.engines(); ++Index)
     ASSERT_TRUE(Fleet.engine(Index).faults(R"({"error_next":1})"));
   const http_answer Answer = Fleet.chat("send", 1, {{"X-Pollenstall-Idempotent", "false"}});
--- a/tests/entry/entry_fleet.cpp
+++ b/tests/entry/entry_fleet.cpp
@@ -15,8 +15,9 @@
 constexpr const char *OperatorKey = "operator-key";
 constexpr const char *FleetKey = "fleet-key";
 
-std::string declarationText(const fleet_options &Plan) {
-  return "[[service]]\nname = \"llm\"\nkind = \"model\"\nmodels = [\"m\"]\n" + Plan.ServiceLines +
+std::string declarationText(const fleet_options &Options) {
+  return "[[service]]\nname = \"llm\"\nkind = \"model\"\nmodels = [\"m\"]\n" +
+         Options.ServiceLines +
          "[[service]]\nname = \"pages\"\nkind = \"plain\"\nroutes = [{ path_prefix = \"/pages\" }, "
          "{ path_prefix = \"/send\", idempotent = false }]\n"
          "[[group]]\nname = \"engines\"\nservice = \"llm\"\nlabels = {}\n"
@@ -25,24 +26,26 @@
          "[[selector]]\nname = \"any-page\"\nservice = \"pages\"\n"
          "groups = [{ group = \"sites\" }]\n"
          "[[account]]\nname = \"club\"\nkey_hashes = [\"" +
-         keyHash(CallerKey) + "\"]\n" + Plan.AccountLines + "[limits]\nretry_percent = 100\n";
+         keyHash(CallerKey) + "\"]\n" + Options.AccountLines + "[limits]\nretry_percent = 100\n";
 }
 
-std::string settingsText(const fleet_options &Plan, const temp_folder &Folder,
+std::string settingsText(const fleet_options &Options, const temp_folder &Folder,
                          const std::string &AnnouncementsAddress) {
-  return Plan.EntryTop + "[host]\nname = \"e1\"\nfailure_domain = \"a\"\n" +
+  return Options.EntryTopLevelLines + "[host]\nname = \"e1\"\nfailure_domain = \"a\"\n" +
          "[fleet]\nname = \"test\"\nkey_file = \"" + Folder.path("fleet.key") + "\"\n" +
          "[operators]\nkey_hash = \"" + keyHash(OperatorKey) + "\"\n" +
          "[listen]\ncallers = \"127.0.0.1:0\"\noperators = \"127.0.0.1:0\"\n"
          "announcements = \"" +
          AnnouncementsAddress + "\"\ngossip = \"127.0.0.1:0\"\naddress_file = \"" +
          Folder.path("addresses.json") + "\"\n[declaration]\nfile = \"" +
-         Folder.path("declaration.toml") + "\"\n[limits]\n" + Plan.EntryLimits;
+         Folder.path("declaration.toml") + "\"\n[limits]\n" + Options.EntryLimits;
 }
 
 } // namespace
 
-http_headers callerKey() { return {{"Authorization", std::string("Bearer ") + CallerKey}}; }
+http_headers callerAuthorization() {
+  return {{"Authorization", std::string("Bearer ") + CallerKey}};
+}
 
 boost::json::object errorOf(const http_answer &Answer) {
   const boost::json::value Body = Answer.json();
@@ -56,9 +59,9 @@
   return Value && Value->is_string() ? std::string(Value->get_string()) : std::string();
 }
 
-entry_fleet::entry_fleet(const fleet_options &Plan) : Settings(Plan) {
-  startEntry(Plan);
-  startBackends(Plan);
+entry_fleet::entry_fleet(const fleet_options &Options) : FleetOptions(Options) {
+  startEntry(Options);
+  startBackends(Options);
   const std::size_t BackendCount = Engines.size() + PlainServers.size();
   const bool AllKnown = eventually([this, BackendCount] {
     return knownBackends() == BackendCount && operators().get("/readyz").Status == 200;
@@ -66,13 +69,13 @@
   requireInvariant(AllKnown, "the entry knows every backend server");
 }
 
-void entry_fleet::startEntry(const fleet_options &Plan) {
+void entry_fleet::startEntry(const fleet_options &Options) {
   (void)Folder.write("fleet.key", FleetKey);
-  (void)Folder.write("declaration.toml", declarationText(Plan));
+  (void)Folder.write("declaration.toml", declarationText(Options));
   const std::string File = Folder.path("addresses.json");
   std::filesystem::remove(File);
   const std::string Address = Announcements.empty() ? "127.0.0.1:0" : Announcements;
-  Entry = child_process::withSettings("pollenstall-entry", settingsText(Plan, Folder, Address));
+  Entry = child_process::withSettings("pollenstall-entry", settingsText(Options, Folder, Address));
   const bool Started = eventually([&File] { return !readFile(File).empty(); });
   requireInvariant(Started, "the entry starts", [this] {
     std::string Text;
@@ -89,17 +92,17 @@
 void entry_fleet::restartEntry() {
   Entry->kill();
   (void)Entry->wait();
-  startEntry(Settings);
+  startEntry(FleetOptions);
 }
 
-void entry_fleet::startBackends(const fleet_options &Plan) {
+void entry_fleet::startBackends(const fleet_options &Options) {
   const std::string Announce = "[announce]\nto = [\"" + Announcements + "\"]\nkey_file = \"" +
                                Folder.path("fleet.key") + "\"\ninterval_ms = 100\n";
-  for (int Index = 0; Index < Plan.Engines; ++Index)
+  for (int Index = 0; Index < Options.EngineCount; ++Index)
     Engines.push_back(std::make_unique<backend_process>(
-        "fleet = \"test\"\nservice = \"llm\"\nmodels = [\"m\"]\n" + Plan.EngineTop + Announce +
-        Plan.EngineTables));
-  for (int Index = 0; Index < Plan.Plain; ++Index)
+        "fleet = \"test\"\nservice = \"llm\"\nmodels = [\"m\"]\n" + Options.EngineTopLevelLines +
+        Announce + Options.EngineTables));
+  for (int Index = 0; Index < Options.PlainServerCount; ++Index)
     PlainServers.push_back(std::make_unique<backend_process>(
         "fleet = \"test\"\nservice = \"pages\"\nkind = \"plain\"\n" + Announce));
 }
@@ -117,7 +120,7 @@
 
 http_answer entry_fleet::chat(const std::string &Prompt, int AnswerTokens,
                               http_headers ExtraHeaders) const {
-  for (auto &Header : callerKey())
+  for (auto &Header : callerAuthorization())
     ExtraHeaders.push_back(Header);
   return caller().post("/v1/chat/completions", chatBody("m", Prompt, false, AnswerTokens),
                        ExtraHeaders);
@@ -126,7 +129,8 @@
 std::unique_ptr<http_stream> entry_fleet::stream(const std::string &Prompt,
                                                  int AnswerTokens) const {
   return std::make_unique<http_stream>(Callers, "POST", "/v1/chat/completions",
-                                       chatBody("m", Prompt, true, AnswerTokens), callerKey());
+                                       chatBody("m", Prompt, true, AnswerTokens),
+                                       callerAuthorization());
 }
 
 double entry_fleet::metric(const std::string &Name, const std::string &Label) const {
--- a/tests/entry/entry_fleet_base.h
+++ b/tests/entry/entry_fleet_base.h
@@ -12,20 +12,20 @@
 
 /// Options of a test fleet.
 struct fleet_options {
-  std::string EntryLimits{};  ///< Lines of the table [limits].
-  std::string EntryTop{};     ///< Lines at the top of the entry's settings.
-  std::string ServiceLines{}; ///< Additional lines in the model service's declaration.
-  std::string AccountLines{}; ///< Additional lines in the account's declaration.
-  std::string EngineTop{};    ///< Lines at the top of the engines' settings.
-  std::string EngineTables{}; ///< Tables of the engines' settings.
-  int Engines{1};
-  int Plain{0};
+  std::string EntryLimits{};         ///< Lines of the table [limits].
+  std::string EntryTopLevelLines{};  ///< Lines at the top of the entry's settings.
+  std::string ServiceLines{};        ///< Additional lines in the model service's declaration.
+  std::string AccountLines{};        ///< Additional lines in the account's declaration.
+  std::string EngineTopLevelLines{}; ///< Lines at the top of the engines' settings.
+  std::string EngineTables{};        ///< Tables of the engines' settings.
+  int EngineCount{1};
+  int PlainServerCount{0};
 };
 
 /// An entry and backend servers; the constructor returns once the entry knows all of them.
 class entry_fleet {
 public:
-  explicit entry_fleet(const fleet_options &Plan = {});
+  explicit entry_fleet(const fleet_options &Options = {});
 
   [[nodiscard]] http_client caller() const { return http_client(Callers); }
   [[nodiscard]] http_client operators() const { return http_client(Operators); }
@@ -47,18 +47,18 @@
                                                     int AnswerTokens) const;
   /// @return The JSON of /dump.
   [[nodiscard]] boost::json::value dump() const;
-  /// @return The sum of all samples of a metric whose labels contain Label.
+  /// @return The sum of the metric's samples whose line contains the text Label.
   [[nodiscard]] double metric(const std::string &Name, const std::string &Label = {}) const;
   /// @return Whether no request, attempt or memory block is in use anywhere.
   [[nodiscard]] bool isIdle();
 
 private:
-  void startEntry(const fleet_options &Plan);
-  void startBackends(const fleet_options &Plan);
+  void startEntry(const fleet_options &Options);
+  void startBackends(const fleet_options &Options);
   [[nodiscard]] std::size_t knownBackends() const;
 
   temp_folder Folder;
-  fleet_options Settings;
+  fleet_options FleetOptions;
   std::unique_ptr<child_process> Entry;
   std::vector<std::unique_ptr<backend_process>> Engines;
   std::vector<std::unique_ptr<backend_process>> PlainServers;
@@ -68,7 +68,7 @@
 };
 
 /// @return The Authorization header with the key of the caller.
-http_headers callerKey();
+http_headers callerAuthorization();
 /// @return The "error" object of an answer, or an empty object.
 boost::json::object errorOf(const http_answer &Answer);
 /// @return The string member, or an empty string.
--- a/tests/entry/leaving_caller_test.cpp
+++ b/tests/entry/leaving_caller_test.cpp
@@ -80,7 +80,7 @@
   // comes. Only the restarted entry can release it: it finds the attempt in the engine's list, sees
   // that its owner is an earlier incarnation, and cancels it.
   entry_fleet Fleet({.ServiceLines = "default_timeout_ms = 800000\n",
-                     .EngineTop = "resume_window_ms = 3600000\n",
+                     .EngineTopLevelLines = "resume_window_ms = 3600000\n",
                      .EngineTables = "[step]\nbase_us = 5000\n"});
   const auto Stream = Fleet.stream("a question", 4'000);
   ASSERT_TRUE(Stream->next());
--- a/tests/entry/stopping_test.cpp
+++ b/tests/entry/stopping_test.cpp
@@ -25,7 +25,7 @@
 }
 
 TEST(Stopping, EndsWorkAtTheLimitWithAnError) {
-  entry_fleet Fleet({.EntryTop = "shutdown_limit_s = 0.2\n",
+  entry_fleet Fleet({.EntryTopLevelLines = "shutdown_limit_s = 0.2\n",
                      .ServiceLines = "default_timeout_ms = 800000\n",
                      .EngineTables = "[step]\nbase_us = 20000\n"});
   const auto Stream = Fleet.stream("a question", 4'000);
@@ -40,7 +40,7 @@
 
 // The platform sends SIGHUP when a settings file has changed. By default SIGHUP would end the
 // process, which would interrupt every stream of the entry.
-TEST(Stopping, SettingsChangeEndsNothing) {
+TEST(Stopping, SighupInterruptsNoStream) {
   entry_fleet Fleet({.EngineTables = "[step]\nbase_us = 20000\n"});
   const auto Stream = Fleet.stream("a question", 30);
   ASSERT_TRUE(Stream->next());
--- a/tests/entry/whole_path_test.cpp
+++ b/tests/entry/whole_path_test.cpp
@@ -21,7 +21,7 @@
 
 class WholePathTest : public ::testing::Test {
 protected:
-  entry_fleet Fleet{{.Engines = 2, .Plain = 1}};
+  entry_fleet Fleet{{.EngineCount = 2, .PlainServerCount = 1}};
 };
 
 TEST_F(WholePathTest, CompleteAnswerArrivesUnchanged) {
@@ -55,17 +55,17 @@
 
 TEST_F(WholePathTest, CompletionsInterfaceAndModelListWork) {
   const http_answer Answer = Fleet.caller().post(
-      "/v1/completions", R"({"model":"m","prompt":"once","max_tokens":2})", callerKey());
+      "/v1/completions", R"({"model":"m","prompt":"once","max_tokens":2})", callerAuthorization());
   EXPECT_TRUE(Answer.ok()) << Answer.Body;
-  const http_answer Models = Fleet.caller().get("/v1/models", callerKey());
+  const http_answer Models = Fleet.caller().get("/v1/models", callerAuthorization());
   ASSERT_TRUE(Models.ok());
   EXPECT_EQ(Models.json().at("data").at(0).at("id"), "m");
-  EXPECT_TRUE(Fleet.caller().get("/v1/models/m", callerKey()).ok());
-  EXPECT_EQ(Fleet.caller().get("/v1/models/x", callerKey()).Status, 404);
+  EXPECT_TRUE(Fleet.caller().get("/v1/models/m", callerAuthorization()).ok());
+  EXPECT_EQ(Fleet.caller().get("/v1/models/x", callerAuthorization()).Status, 404);
 }
 
 TEST_F(WholePathTest, PlainCallKeepsMethodPathQueryBodyAndHeaders) {
-  http_headers Headers = callerKey();
+  http_headers Headers = callerAuthorization();
   Headers.emplace_back("X-Mine", "kept");
   Headers.emplace_back("X-Pollenstall-Account", "someone-else");
   Headers.emplace_back("traceparent", "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01");
@@ -90,11 +90,11 @@
   EXPECT_TRUE(eventually([this] { return Fleet.metric("pollenstall_body_bytes") == 0; }));
 }
 
-TEST_F(WholePathTest, ReadsChunkedBodiesExpectationsAndPipelinedRequests) {
+TEST_F(WholePathTest, HandlesChunkedBodiesExpectContinueAndPipelining) {
   raw_socket Socket(Fleet.callersAddress());
   const std::string Body = chatBody("m", "x", false, 1);
-  const std::string Key = "Host: e\r\nAuthorization: Bearer caller-key\r\n";
-  ASSERT_TRUE(Socket.send("POST /v1/chat/completions HTTP/1.1\r\n" + Key +
+  const std::string HostAndKeyLines = "Host: e\r\nAuthorization: Bearer caller-key\r\n";
+  ASSERT_TRUE(Socket.send("POST /v1/chat/completions HTTP/1.1\r\n" + HostAndKeyLines +
                           "Expect: 100-continue\r\nContent-Length: " + std::to_string(Body.size()) +
                           "\r\n\r\n"));
   EXPECT_NE(Socket.receiveUntil("\r\n\r\n").find("100 Continue"), std::string::npos);
@@ -107,9 +107,9 @@
          << FirstHalf << "\r\n"
          << SecondHalf.size() << ";ext=1\r\n"
          << SecondHalf << "\r\n0\r\nTrailer: t\r\n\r\n";
-  ASSERT_TRUE(Socket.send("POST /v1/chat/completions HTTP/1.1\r\n" + Key +
+  ASSERT_TRUE(Socket.send("POST /v1/chat/completions HTTP/1.1\r\n" + HostAndKeyLines +
                           "Transfer-Encoding: chunked\r\n\r\n" + Chunks.str() +
-                          "GET /v1/models HTTP/1.1\r\n" + Key + "\r\n"));
+                          "GET /v1/models HTTP/1.1\r\n" + HostAndKeyLines + "\r\n"));
   const std::string Answers = Socket.receiveUntil("\"owned_by\"");
   EXPECT_NE(Answers.find("chat.completion"), std::string::npos);
   EXPECT_NE(Answers.find("\"owned_by\""), std::string::npos);
--- a/tests/relay/call_error_test.cpp
+++ b/tests/relay/call_error_test.cpp
@@ -40,9 +40,9 @@
     const finish_request NotRun{request_number(1), final_outcome::NotRun, Reason, {}};
     EXPECT_EQ(errorFor(NotRun, false).Repeatable, errorFor(NotRun, true).Repeatable);
   }
-  const finish_request NoVerdict{request_number(1), final_outcome::Unknown,
-                                 failure_reason::ClaimUnavailable, std::chrono::seconds(1)};
-  EXPECT_TRUE(errorFor(NoVerdict, false).Repeatable);
+  const finish_request ClaimUndecided{request_number(1), final_outcome::Unknown,
+                                      failure_reason::ClaimUnavailable, std::chrono::seconds(1)};
+  EXPECT_TRUE(errorFor(ClaimUndecided, false).Repeatable);
   const finish_request Refused{
       request_number(1), final_outcome::NotRun, failure_reason::QueueFull, {}};
   EXPECT_TRUE(errorFor(Refused, false).Repeatable);
--- a/tests/relay/crash_detector_test.cpp
+++ b/tests/relay/crash_detector_test.cpp
@@ -54,7 +54,9 @@
     (void)Relay.answer();
     return Crash.Fingerprints.at(0);
   }
-  void suspect(const request_fingerprint &CrashFingerprint, std::chrono::milliseconds BlockedFor) {
+  /// Puts a request on the suspect list. @param BlockedFor 0: suspected, but not blocked.
+  void publishSuspect(const request_fingerprint &CrashFingerprint,
+                      std::chrono::milliseconds BlockedFor) {
     Relay.order(suspects_update{std::make_shared<const suspect_list>(
         std::vector<published_suspect>{{CrashFingerprint, BlockedFor}}, boot_clock::now())});
   }
@@ -80,7 +82,7 @@
 // Guards against forwarding a blocked request, and against an answer that makes a client retry it
 // immediately.
 TEST_F(request_on_a_crashing_server, IsRefusedAsNotRunOnceItIsBlocked) {
-  suspect(crashOnce(), std::chrono::seconds(60));
+  publishSuspect(crashOnce(), std::chrono::seconds(60));
   Relay.send("the prompt");
   const std::string Answer = Relay.answer();
   EXPECT_TRUE(Answer.starts_with("HTTP/1.1 503 ")) << Answer;
@@ -99,7 +101,7 @@
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s1\r\nContent-Length: 2\r\n\r\nok");
   });
   Relay.call("the prompt");
-  suspect(CrashFingerprint, std::chrono::seconds(60));
+  publishSuspect(CrashFingerprint, std::chrono::seconds(60));
   Relay.start(Server);
   EXPECT_EQ(Relay.next<attempt_failed>().Failure, attempt_failure::NotWanted);
   EXPECT_TRUE(Server.requests().empty());
@@ -108,7 +110,7 @@
 // Guards against an innocent request that stays suspected.
 TEST_F(request_on_a_crashing_server, IsReportedAsClearedIfItWasSuspected) {
   const request_fingerprint CrashFingerprint = crashOnce();
-  suspect(CrashFingerprint, std::chrono::milliseconds(0));
+  publishSuspect(CrashFingerprint, std::chrono::milliseconds(0));
   const scripted_server Server([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)) + "0\r\n\r\n");
   });
--- a/tests/relay/event_scanner_test.cpp
+++ b/tests/relay/event_scanner_test.cpp
@@ -17,19 +17,19 @@
   explicit piecewise_scan(std::uint64_t LastId = 0) : Scanner(LastId) {}
 
   void feed(std::string_view Piece) {
-    Held.append(Piece);
-    const auto Scan = Scanner.scan(Held);
+    Unconsumed.append(Piece);
+    const auto Scan = Scanner.scan(Unconsumed);
     if (!succeeded(Scan)) {
       Error = errorOf(Scan);
       return;
     }
-    Relayed += Held.substr(0, valueOf(Scan).WholeBytes);
+    Relayed += Unconsumed.substr(0, valueOf(Scan).WholeBytes);
     Events += valueOf(Scan).Events;
-    Held.erase(0, valueOf(Scan).WholeBytes);
+    Unconsumed.erase(0, valueOf(Scan).WholeBytes);
   }
 
   event_scanner Scanner;
-  std::string Held;
+  std::string Unconsumed;
   std::string Relayed;
   std::uint64_t Events{0};
   std::optional<event_stream_error> Error;
--- a/tests/relay/header_routed_call_test.cpp
+++ b/tests/relay/header_routed_call_test.cpp
@@ -24,7 +24,7 @@
 // same body and the number of the last complete event, and continues after it. The caller reads one
 // stream without duplicate, missing or partial events.
 TEST(BrokenStream, ResumesElsewhereAfterItsLastCompleteEvent) {
-  const scripted_server Breaks([](auto &Socket, const received_request &) {
+  const scripted_server BreakingServer([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1) + eventText(2) + "id: 3\ndata: ha"));
     resetConnection(Socket);
   });
@@ -33,7 +33,7 @@
   });
   relay_harness Relay;
   Relay.call("the prompt");
-  Relay.start(Breaks, 1);
+  Relay.start(BreakingServer, 1);
   EXPECT_EQ(Relay.next<attempt_failed>().Failure, attempt_failure::BrokenMidway);
   Relay.start(Continuation, 2);
   Relay.next<attempt_completed>();
@@ -63,8 +63,9 @@
 }
 
 // An engine stalls in the middle of a stream and its connection stays open, because a machine
-// without power sends no reset. The caller would leave after two seconds; the rest is requested
-// from another engine three gaps after the last event.
+// without power sends no reset. The caller would leave after two seconds; the attempt
+// is abandoned after three gaps, but at least MinIdleTimeout, without an event, and the rest is
+// requested from another engine.
 TEST(StalledStream, IsAbandonedIfAnotherAttemptMayFollow) {
   const scripted_server Silent([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)));
@@ -97,22 +98,22 @@
 // record must contain the longest gap, even if the next event came from another engine.
 TEST(StreamWithAPause, IsRecordedWithItsLongestGap) {
   constexpr std::chrono::milliseconds Pause{60};
-  const scripted_server Breaks([&](auto &Socket, const received_request &) {
+  const scripted_server BreakingServer([&](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)));
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
     sendText(Socket, chunkOf(eventText(2)));
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
     resetConnection(Socket);
   });
-  const scripted_server Resumes([&](auto &Socket, const received_request &) {
+  const scripted_server ResumingServer([&](auto &Socket, const received_request &) {
     std::this_thread::sleep_for(Pause);
     sendText(Socket, streamHead() + chunkOf(eventText(3)) + "0\r\n\r\n");
   });
   relay_harness Relay;
   Relay.call("p");
-  Relay.start(Breaks, 1);
+  Relay.start(BreakingServer, 1);
   Relay.next<attempt_failed>();
-  Relay.start(Resumes, 2);
+  Relay.start(ResumingServer, 2);
   Relay.next<attempt_completed>();
   Relay.finish(final_outcome::Complete, failure_reason::None);
   EXPECT_FALSE(Relay.answer().empty());
@@ -211,7 +212,7 @@
 // The second engine was asked to resume after event 2 but counts differently and starts one event
 // too early. The caller already has event 2.
 TEST(BrokenStream, DropsEventsThatTheCallerAlreadyHas) {
-  const scripted_server Breaks([](auto &Socket, const received_request &) {
+  const scripted_server BreakingServer([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1) + eventText(2)));
     resetConnection(Socket);
   });
@@ -220,7 +221,7 @@
   });
   relay_harness Relay;
   Relay.call("p");
-  Relay.start(Breaks, 1);
+  Relay.start(BreakingServer, 1);
   Relay.next<attempt_failed>();
   Relay.start(Early, 2);
   Relay.next<attempt_completed>();
@@ -233,18 +234,18 @@
 // The second engine skips an event. If it were relayed, the stream would lack a part and still look
 // complete.
 TEST(BrokenStream, EndsTruncatedIfTheNextEngineSkipsAnEvent) {
-  const scripted_server Breaks([](auto &Socket, const received_request &) {
+  const scripted_server BreakingServer([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(1)));
     resetConnection(Socket);
   });
-  const scripted_server Skips([](auto &Socket, const received_request &) {
+  const scripted_server SkippingServer([](auto &Socket, const received_request &) {
     sendText(Socket, streamHead() + chunkOf(eventText(3)) + "0\r\n\r\n");
   });
   relay_harness Relay;
   Relay.call("p");
-  Relay.start(Breaks, 1);
+  Relay.start(BreakingServer, 1);
   Relay.next<attempt_failed>();
-  Relay.start(Skips, 2);
+  Relay.start(SkippingServer, 2);
   EXPECT_EQ(Relay.next<attempt_failed>().Failure, attempt_failure::BrokenMidway);
   Relay.finish(final_outcome::Unknown, failure_reason::BackendFailed);
   const std::string Answer = Relay.answer();
@@ -255,12 +256,12 @@
 // An answer without a length ends with its connection. It is complete if the server closes and
 // truncated if it resets, and the caller must not mistake a part for the complete answer.
 TEST(AnswerWithoutALength, IsCompleteIfTheServerCloses) {
-  const scripted_server Closes([](auto &Socket, const received_request &) {
+  const scripted_server ClosingServer([](auto &Socket, const received_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s1\r\nConnection: close\r\n\r\nall of it");
   });
   relay_harness Relay(retry_mode::Never);
   Relay.call("p");
-  Relay.start(Closes, 1, false);
+  Relay.start(ClosingServer, 1, false);
   Relay.next<attempt_completed>();
   Relay.finish(final_outcome::Complete, failure_reason::None);
   const std::string Answer = Relay.answer();
@@ -286,7 +287,7 @@
 // yet, so another server's answer can be used: the caller reads one complete answer.
 TEST(AnswerWithALength, IsRetriedElsewhereIfItBreaksOff) {
   const std::string Head = "HTTP/1.1 200 OK\r\nX-Send: s1\r\nContent-Length: 10\r\n\r\n";
-  const scripted_server Breaks([&Head](auto &Socket, const received_request &) {
+  const scripted_server BreakingServer([&Head](auto &Socket, const received_request &) {
     sendText(Socket, Head + "half:");
     std::this_thread::sleep_for(std::chrono::milliseconds(20)); // Lets the bytes be sent first.
     resetConnection(Socket);
@@ -295,7 +296,7 @@
       [&Head](auto &Socket, const received_request &) { sendText(Socket, Head + "all of it."); });
   relay_harness Relay(retry_mode::Always);
   Relay.call("p");
-  Relay.start(Breaks, 1);
+  Relay.start(BreakingServer, 1);
   EXPECT_EQ(Relay.next<attempt_failed>().Failure, attempt_failure::BrokenSent);
   Relay.start(Answers, 2);
   Relay.next<attempt_completed>();
@@ -325,13 +326,13 @@
 // A server states that it did not start the request. The caller receives 503, the one status that
 // guarantees that the request was not run.
 TEST(BackendAnswer, ThatSaysNotRunBecomesA503) {
-  const scripted_server Full([](auto &Socket, const received_request &) {
+  const scripted_server FullServer([](auto &Socket, const received_request &) {
     sendText(Socket,
              "HTTP/1.1 503 Full\r\nX-Send: s1\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
   });
   relay_harness Relay(retry_mode::Never);
   Relay.call("p");
-  Relay.start(Full, 1, false);
+  Relay.start(FullServer, 1, false);
   EXPECT_EQ(Relay.next<attempt_failed>().Failure, attempt_failure::Declined);
   Relay.finish(final_outcome::NotRun, failure_reason::DeadlineExceeded);
   const std::string Answer = Relay.answer();
@@ -379,8 +380,9 @@
   EXPECT_TRUE(Relay.answer().ends_with("ok"));
 }
 
-// A stopping host is notified in advance. A caller's idle connection would carry the next request
-// to a host that no longer accepts any; if it is closed, the caller goes to another host.
+// A host learns of its stop in advance and drains first. A caller's idle connection would carry the
+// next request to a host that no longer accepts any; if it is closed, the caller goes to another
+// host.
 TEST(StoppingHost, ClosesIdleConnectionsAtOnce) {
   relay_harness Relay;
   Relay.connect();
--- a/tests/relay/late_send_test.cpp
+++ b/tests/relay/late_send_test.cpp
@@ -1,5 +1,5 @@
-/** @file late_send_test.cpp Callers that disconnect, or whose deadline passes, before the first
- * byte of their request is sent. */
+/** @file late_send_test.cpp Callers that disconnect, or whose deadline passes, before the entry
+ * sends the first byte of their request to a backend server. */
 #include "relay_harness_base.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace pollenstall {
 namespace {
 
-const std::string Held = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+const std::string HoldConfirmedAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 constexpr tokens Amount{5'000};
 
 /// The attempt waits for an engine's answer about memory, and the decision thread, which would
@@ -18,20 +18,20 @@
 struct request_waiting_for_memory : testing::Test {
   void callWithHold(relay_harness &Relay, const std::string &MoreHeaders = {}) {
     Relay.call("p", MoreHeaders);
-    Relay.start(Writer, 1, true, {{Holder.key(), Amount}});
+    Relay.start(AnsweringServer, 1, true, {{HoldingServer.key(), Amount}});
     HoldRequested.get_future().wait();
   }
 
   std::promise<void> HoldRequested;
   std::promise<void> MayAnswer;
-  const scripted_server Holder{[this](auto &Socket, const received_request &Request) {
+  const scripted_server HoldingServer{[this](auto &Socket, const received_request &Request) {
     if (Request.Head.find("/hold/") != std::string::npos) {
       HoldRequested.set_value();
       MayAnswer.get_future().wait();
     }
-    sendText(Socket, Held);
+    sendText(Socket, HoldConfirmedAnswer);
   }};
-  const scripted_server Writer{[](auto &Socket, const received_request &) {
+  const scripted_server AnsweringServer{[](auto &Socket, const received_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s1\r\nContent-Length: 2\r\n\r\nok");
   }};
 };
@@ -44,7 +44,7 @@
   Relay.next<caller_left>();
   MayAnswer.set_value();
   EXPECT_EQ(Relay.next<attempt_failed>().Failure, attempt_failure::NotWanted);
-  EXPECT_TRUE(Writer.requests().empty());
+  EXPECT_TRUE(AnsweringServer.requests().empty());
 }
 
 // Guards against sending a request to an engine after its deadline.
@@ -54,16 +54,16 @@
   std::this_thread::sleep_until(Relay.Facts.Deadline);
   MayAnswer.set_value();
   EXPECT_EQ(Relay.next<attempt_failed>().Failure, attempt_failure::NotWanted);
-  EXPECT_TRUE(Writer.requests().empty());
+  EXPECT_TRUE(AnsweringServer.requests().empty());
 }
 
 // Guards against holding memory for a caller that has disconnected.
 TEST_F(request_waiting_for_memory, AsksNoFurtherEngineAfterItsCallerHasDisconnected) {
   const scripted_server Second(
-      [](auto &Socket, const received_request &) { sendText(Socket, Held); });
+      [](auto &Socket, const received_request &) { sendText(Socket, HoldConfirmedAnswer); });
   relay_harness Relay;
   Relay.call("p");
-  Relay.start(Writer, 1, true, {{Holder.key(), Amount}, {Second.key(), Amount}});
+  Relay.start(AnsweringServer, 1, true, {{HoldingServer.key(), Amount}, {Second.key(), Amount}});
   HoldRequested.get_future().wait();
   Relay.hangUp();
   Relay.next<caller_left>();
@@ -88,7 +88,7 @@
 
 // Guards against sending a request although the close of its caller's connection has already
 // arrived and only needs to be processed.
-TEST_F(request_on_a_pooled_connection, IsNotSentAfterTheCloseOfItsCaller) {
+TEST_F(request_on_a_pooled_connection, IsNotSentIfItsCallersCloseIsUnprocessed) {
   relay_harness Relay;
   Relay.call("p");
   Relay.start(Server, 1);
--- a/tests/relay/memory_holds_test.cpp
+++ b/tests/relay/memory_holds_test.cpp
@@ -9,7 +9,7 @@
 namespace pollenstall {
 namespace {
 
-const std::string Held = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+const std::string HoldConfirmedAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 const std::string NoRoom = "HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n";
 constexpr tokens Amount{5'000};
 
@@ -49,10 +49,10 @@
     };
   }
 
-  static void callWithHolds(relay_harness &Relay, const scripted_server &Writer,
+  static void callWithHolds(relay_harness &Relay, const scripted_server &AnsweringServer,
                             std::vector<memory_hold> Holds) {
     Relay.call("p");
-    Relay.start(Writer, 1, true, std::move(Holds));
+    Relay.start(AnsweringServer, 1, true, std::move(Holds));
   }
 
   request_log Requests;
@@ -60,11 +60,11 @@
 };
 
 TEST_F(memory_holds_of_two_engines, AreAcquiredBeforeThePromptAndReleasedAfterTheAnswer) {
-  const scripted_server First(answering("first", Held));
-  const scripted_server Second(answering("second", Held));
-  const scripted_server Writer(answering("writer", Ok));
+  const scripted_server First(answering("first", HoldConfirmedAnswer));
+  const scripted_server Second(answering("second", HoldConfirmedAnswer));
+  const scripted_server AnsweringServer(answering("writer", Ok));
   relay_harness Relay;
-  callWithHolds(Relay, Writer, {{First.key(), Amount}, {Second.key(), Amount}});
+  callWithHolds(Relay, AnsweringServer, {{First.key(), Amount}, {Second.key(), Amount}});
   Relay.next<attempt_completed>();
   Relay.finish(final_outcome::Complete, failure_reason::None);
   EXPECT_TRUE(Relay.answer().ends_with("ok"));
@@ -76,15 +76,15 @@
 // The second engine has no room. The attempt fails before its prompt is sent, and the first
 // engine's memory is released at once: two prompts that each hold a part would deadlock.
 TEST_F(memory_holds_of_two_engines, AreReleasedIfOneEngineRefuses) {
-  const scripted_server First(answering("first", Held));
+  const scripted_server First(answering("first", HoldConfirmedAnswer));
   const scripted_server Second(answering("second", NoRoom));
-  const scripted_server Writer(answering("writer", Ok));
+  const scripted_server AnsweringServer(answering("writer", Ok));
   relay_harness Relay;
-  callWithHolds(Relay, Writer, {{First.key(), Amount}, {Second.key(), Amount}});
+  callWithHolds(Relay, AnsweringServer, {{First.key(), Amount}, {Second.key(), Amount}});
   EXPECT_EQ(Relay.next<attempt_failed>().Failure, attempt_failure::Declined);
   EXPECT_EQ(Requests.wait(4), (std::vector<std::string>{"first /hold/", "second /hold/",
                                                         "first /free/", "second /free/"}));
-  EXPECT_TRUE(Writer.requests().empty());
+  EXPECT_TRUE(AnsweringServer.requests().empty());
 }
 
 // The attempt is cancelled while a hold request is in flight. A release on its own connection could
@@ -102,20 +102,20 @@
       Cancelled.get_future().wait();
       Overtaken.set_value(Self->hasPendingConnection());
     }
-    sendText(Socket, Held);
+    sendText(Socket, HoldConfirmedAnswer);
   });
   Self = &First;
-  const scripted_server Writer(answering("writer", Ok));
+  const scripted_server AnsweringServer(answering("writer", Ok));
   relay_harness Relay;
-  callWithHolds(Relay, Writer, {{First.key(), Amount}});
+  callWithHolds(Relay, AnsweringServer, {{First.key(), Amount}});
   HoldRequested.get_future().wait();
   Relay.order(cancel_order{
-      {{{host_name("entry"), incarnation(1)}, Relay.Facts.Id, 1}, Writer.key()}, false});
+      {{{host_name("entry"), incarnation(1)}, Relay.Facts.Id, 1}, AnsweringServer.key()}, false});
   Relay.settle();
   Cancelled.set_value();
   EXPECT_FALSE(Overtaken.get_future().get());
   EXPECT_EQ(Requests.wait(2), (std::vector<std::string>{"first /hold/", "first /free/"}));
-  EXPECT_TRUE(Writer.requests().empty());
+  EXPECT_TRUE(AnsweringServer.requests().empty());
 }
 
 } // namespace
--- a/tests/relay/relay_harness_base.h
+++ b/tests/relay/relay_harness_base.h
@@ -33,7 +33,8 @@
   /// Sends a request without waiting for it to reach the decision thread.
   void send(const std::string &Body, const std::string &MoreHeaders = {},
             const std::string &Path = "/a/b");
-  /// Sends a request in the background; answer() waits for the end of its connection.
+  /// Sends a request and waits until it reaches the decision thread; answer() then waits for the
+  /// end of its connection.
   void call(const std::string &Body, const std::string &MoreHeaders = {});
   /// Opens a connection without sending anything.
   void connect();
