--- a/programs/pollenstall-entry/decision_core_base.h
+++ b/programs/pollenstall-entry/decision_core_base.h
@@ -1,5 +1,5 @@
-/** @file decision_core_base.h Combines dispatcher, scheduler and selectors, without a thread or a
- * clock. */
+/** @file decision_core_base.h Combines dispatcher, scheduler or placer, and selectors, without a
+ * thread or a clock. */
 #ifndef POLLENSTALL_ENTRY_DECISION_CORE_BASE_H
 #define POLLENSTALL_ENTRY_DECISION_CORE_BASE_H
 
@@ -41,7 +41,7 @@
   void handleEvent(const membership_event &Event, mono_time Now);
   void handleEvent(const dispatch_event &Event, mono_time Now);
   void handleEvent(const backends_listed &Listed, mono_time Now);
-  /// Updates the work in flight at other entries where it changed, and the facts of the exchange.
+  /// Updates the changed loads of other entries and the state of the work report exchange.
   void updatePeerLoads(const peer_work_update &Others, mono_time Now) {
     Placer.updateExchange(Others.ExchangeStats);
     Placer.updateOthersLoads(Others.ChangedLoads, Now);
@@ -67,7 +67,7 @@
   /// @return The time by which step() must be called again.
   [[nodiscard]] std::optional<mono_time> nextWake() const;
 
-  /// @return Whether the backend server ends an attempt on a cancel request.
+  /// @return Whether cancel requests are sent to the backend server; true if it is unknown.
   [[nodiscard]] bool supportsCancel(const backend_key &Backend) const;
   /// @return The time until which the backend views are fresh enough to place work.
   [[nodiscard]] mono_time viewsValidUntil() const;
@@ -76,6 +76,7 @@
   [[nodiscard]] std::size_t liveRequests() const { return Dispatcher.liveRequests(); }
   [[nodiscard]] std::size_t abandonedAttempts() const { return Dispatcher.abandonedAttempts(); }
   [[nodiscard]] bool reachesNoBackend() const { return usesPlacer() && Placer.reachesNoBackend(); }
+  /// @return The number of claims on the capacity of engines; no claims of idempotency keys.
   [[nodiscard]] std::uint64_t claimsMade() const { return Placer.claimsMade(); }
   [[nodiscard]] std::size_t queued() const;
   /// @return JSON of requests, queue and backend servers, without prompts or keys.
--- a/src/relay/relay_type.h
+++ b/src/relay/relay_type.h
@@ -27,7 +27,8 @@
   ms UserTimeout{10'000};   ///< Maximum time that sent bytes may stay unacknowledged by a peer.
   /// Maximum time that a request waits for a declaration in force before it is refused.
   ms ReadyWait{0};
-  ms CancelTimeout{2'000};           ///< For one cancel request.
+  ms CancelTimeout{
+      2'000}; ///< For one request of the entry itself: cancel, memory hold or list of attempts.
   ms BackendIdle{30'000};            ///< Idle timeout of a pooled connection to a backend server.
   std::size_t MaxConnections{8'192}; ///< Maximum number of callers' connections.
   std::size_t MaxEventBytes{1U << 20U}; ///< Maximum size of one event of a stream.
@@ -50,9 +51,10 @@
 /// A cancel order, with a fact about the backend server that the relay does not know.
 struct cancel_order {
   cancel_attempt Cancel;
-  /// Whether the backend server accepts cancel requests. A plain service holds no memory: closing
-  /// the connection is enough, and the cancel is confirmed at once.
-  bool TakesCancels{true};
+  /// Whether the backend server accepts cancel requests. Otherwise closing the connection ends the
+  /// attempt, and the cancel is confirmed at once: a plain service holds no memory, and an engine
+  /// of the control directory ends an attempt when its connection closes.
+  bool SupportsCancel{true};
 };
 
 /// Asks an engine which attempts it holds. The answer is attempts_listed; there may be none.
@@ -66,12 +68,12 @@
   std::vector<attempt_id> Attempts;
 };
 
-/// Requests to refuse, or whose successful end must be reported.
+/// The suspected requests. The relay refuses the blocked ones and reports any that completes.
 struct suspects_update {
   std::shared_ptr<const suspect_list> List;
 };
 
-/// Crash reports sent by the relay.
+/// Messages of the relay about suspected requests: a server crashed, or a suspect completed.
 using crash_update = std::variant<crash_report, suspect_cleared>;
 
 /// Orders from the decision thread to the relay thread. Claims go to the control link instead.
--- a/tests/entry/leaving_caller_test.cpp
+++ b/tests/entry/leaving_caller_test.cpp
@@ -52,8 +52,8 @@
 }
 
 TEST_F(LeavingCallerTest, WhoStopsReadingPausesTheEngineAndIsDisconnected) {
-  // The caller's buffers fill up. The entry stops reading from the engine, buffers no more than one
-  // read, and closes the caller's connection after the stall limit.
+  // The caller's buffers fill up. The entry stops reading from the engine, keeps at most the bytes
+  // of one read in memory, and closes the caller's connection after the stall limit.
   raw_socket Socket(Fleet.callersAddress(), 2'048);
   ASSERT_TRUE(Fleet.engine().faults(R"({"slow_factor":0.02})"));
   const std::string Body = chatBody("m", "q", true, 8'000);
@@ -80,7 +80,7 @@
   // comes. Only the restarted entry can release it: it finds the attempt in the engine's list, sees
   // that its owner is an earlier incarnation, and cancels it.
   entry_fleet Fleet({.ServiceLines = "default_timeout_ms = 800000\n",
-                     .EngineTop = "resume_window_ms = 3600000\n",
+                     .EngineTopLevelLines = "resume_window_ms = 3600000\n",
                      .EngineTables = "[step]\nbase_us = 5000\n"});
   const auto Stream = Fleet.stream("a question", 4'000);
   ASSERT_TRUE(Stream->next());
