--- a/bench/decision/suspect_bench.cpp
+++ b/bench/decision/suspect_bench.cpp
@@ -33,8 +33,8 @@
   [[nodiscard]] const relayed_call &call() const { return Call; }
 
 private:
-  static planned_call makePlannedCall() {
-    planned_call Planned;
+  static checked_call makePlannedCall() {
+    checked_call Planned;
     Planned.Facts.Account = client_account_name("account-17");
     Planned.Facts.Service = service_name("llm");
     return Planned;
--- a/programs/pollenstall-entry/decision_thread.cpp
+++ b/programs/pollenstall-entry/decision_thread.cpp
@@ -181,8 +181,12 @@
   std::visit(
       overloaded{
           [this](const declaration_received &Received) { handleDeclaration(Received); },
-          [this](const declaration_announced &Newer) { Freshness.recordAnnounced(Newer.Revision); },
-          [this](const lease_extended &Lease) { Freshness.extend(Lease.Revision, Lease.Until); },
+          [this](const declaration_announced &Newer) {
+            DeclarationLease.recordAnnounced(Newer.Revision);
+          },
+          [this](const lease_extended &Lease) {
+            DeclarationLease.extend(Lease.Revision, Lease.Until);
+          },
           [this, Now](const claim_answered &Answer) {
             Core.handleEvent(dispatch_event(Answer), Now);
           },
@@ -198,7 +202,7 @@
 }
 
 void decision_thread::handleDeclaration(const declaration_received &Received) {
-  const declaration_action Verdict = Freshness.actionFor(Received.Revision);
+  const declaration_action Verdict = DeclarationLease.actionFor(Received.Revision);
   if (Verdict == declaration_action::Stale)
     return;
   if (Verdict == declaration_action::Take) {
@@ -217,7 +221,7 @@
       valueOf(Parsed).Limits.RetryPercent =
           static_cast<std::uint32_t>(std::lround(*DecisionOptions.RetryShare * 100));
     installDeclaration(std::make_shared<const declaration_index>(valueOf(std::move(Parsed))));
-    Freshness.markInUse(Received.Revision);
+    DeclarationLease.markInUse(Received.Revision);
     RevisionGauge.Set(static_cast<double>(Received.Revision.value()));
     logEvent(log_level::Info, "declaration_in_use",
              {{"revision", static_cast<std::int64_t>(Received.Revision.value())},
@@ -298,10 +302,10 @@
     return mono_time::max();
   // Before the first declaration, every route and key would be refused as unknown, so nothing is
   // admitted.
-  const bool Declared = Freshness.current() && *Freshness.current() > revision();
+  const bool Declared = DeclarationLease.current() && *DeclarationLease.current() > revision();
   const bool AwaitsFirstDeclaration =
       DecisionOptions.Backends == backend_source::Control && !Declared;
-  return AwaitsFirstDeclaration ? mono_time::min() : Freshness.leaseEnd();
+  return AwaitsFirstDeclaration ? mono_time::min() : DeclarationLease.leaseEnd();
 }
 
 mono_time decision_thread::admissionUntil() const {
@@ -315,14 +319,14 @@
   Ready.set(ReadyUntil);
   const bool ReadinessChanged = std::exchange(Admitting, Now < ReadyUntil) != (Now < ReadyUntil);
   const mono_time Until =
-      DecisionOptions.FixedDeclaration ? mono_time::max() : Freshness.leaseEnd();
+      DecisionOptions.FixedDeclaration ? mono_time::max() : DeclarationLease.leaseEnd();
   const bool Changed = ReadinessChanged || (Admitting && !DeclarationSent);
   const bool LeaseOrStaleChanged =
-      Admitting && (Until != SentLeaseEnd || Freshness.isBehind() != SentStale);
+      Admitting && (Until != SentLeaseEnd || DeclarationLease.isBehind() != SentStale);
   if (!Changed && !LeaseOrStaleChanged)
     return;
   SentLeaseEnd = Until;
-  SentStale = Freshness.isBehind();
+  SentStale = DeclarationLease.isBehind();
   Outbox.push(declaration_in_force{Admitting ? Declaration : nullptr, Until, SentStale});
   if (!Changed)
     return;
--- a/programs/pollenstall-entry/decision_thread_base.h
+++ b/programs/pollenstall-entry/decision_thread_base.h
@@ -126,7 +126,7 @@
   mono_time LoadsPublishedAt{};
   wakeup_event WakeEvent;
   std::unique_ptr<control_link> Control;
-  declaration_lease Freshness;
+  declaration_lease DeclarationLease;
   declaration_view Declaration;
   decision_core Core;
   bool Admitting{false};          ///< Whether new requests were admitted at the last check.
--- a/programs/pollenstall-entry/entry_settings.cpp
+++ b/programs/pollenstall-entry/entry_settings.cpp
@@ -66,7 +66,8 @@
              checkAddress,
              "Announcement addresses of other entries, sent to backend servers as fallbacks.")
       .texts("control.addresses", &entry_settings::ControlAddresses, presence::Optional, Address,
-             checkAddress, "Addresses of control hosts for entries; at least some of them.")
+             checkAddress,
+             "Addresses at which control hosts serve entries; need not list all control hosts.")
       .number("control.port", &entry_settings::ControlPort, {0U, 0U, 65'535U},
               "Port for entries on the hosts of control.addresses; 0 uses the ports given there.")
       .span("control.renew_ms", &entry_settings::ControlRenew,
@@ -80,8 +81,8 @@
             "Connect timeout of a control host; after it another one is tried.")
       .text("declaration.file", &entry_settings::DeclarationFile, presence::Optional, "a path", {},
             "File with a fixed declaration instead of control hosts, for trials: it is read once, "
-            "no lease limits it, and calls with an idempotency key that must run once are "
-            "refused.");
+            "no lease limits it, and non-idempotent calls with an idempotency key are refused, "
+            "because no control host can record the key.");
 }
 
 std::optional<std::string> checkInterface(const std::string &Text) {
@@ -106,8 +107,10 @@
             "Source of the list of backend servers: gossip between entries, or the control hosts.",
             "gossip")
       .fraction("retries.share", &entry_settings::RetryShare, 0.0, 100.0, "as declared",
-                "Retries per first attempt; overrides the limits of the declaration.")
-      .fraction("retries.reserve", &entry_settings::RetryReserve, 0.0, 1e9, "a small one each",
+                "Maximum ratio of retries to first attempts; overrides limits.retry_percent of the "
+                "declaration.")
+      .fraction("retries.reserve", &entry_settings::RetryReserve, 0.0, 1e9,
+                "a small reserve for each entry",
                 "Additional retries per window for all entries together.")
       .span("retries.window_s", &entry_settings::RetryWindow,
             {10 * Second, milliseconds(100), Hour}, "Length of the window of retries.reserve.")
@@ -115,9 +118,10 @@
             {milliseconds(0), milliseconds(0), Hour},
             "Time after SIGTERM during which requests are still admitted, until the load balancer "
             "has seen that this host is not ready.")
-      .span("shutdown_kill_s", &entry_settings::KillAfter, {milliseconds(0), milliseconds(0), Hour},
-            "Time after SIGTERM at which the process is killed; all requests end a second earlier. "
-            "0: it is not killed.");
+      .span(
+          "shutdown_kill_s", &entry_settings::KillAfter, {milliseconds(0), milliseconds(0), Hour},
+          "Time after SIGTERM at which the platform kills the process; the entry ends all requests "
+          "a second earlier. 0: it is not killed.");
 }
 
 void addLimits(settings_table<entry_settings> &Table) {
@@ -159,13 +163,13 @@
             "Maximum wait of a request that arrives while no declaration is in force.")
       .span("limits.cancel_timeout_ms", &entry_settings::CancelTimeout,
             {2 * Second, milliseconds(10), Minute},
-            "Timeout of one cancel request to a backend server.")
+            "Timeout of one request of the entry itself to a backend server, such as a cancel.")
       .span("limits.backend_idle_ms", &entry_settings::BackendIdle,
             {30 * Second, milliseconds(10), Hour},
             "Idle timeout of a connection to a backend server.")
       .span("shutdown_limit_s", &entry_settings::ShutdownLimit,
             {30 * Second, milliseconds(0), Hour},
-            "Time after SIGTERM in which admitted requests may still run.")
+            "Time after the drain (shutdown_drain_ms) in which admitted requests may still run.")
       .text("log_level", &entry_settings::LogLevel, presence::Optional,
             "debug, info, warning or error", checkLogLevel, "Minimum level of logged events.",
             "info");
--- a/src/relay/backend_exchange.cpp
+++ b/src/relay/backend_exchange.cpp
@@ -278,7 +278,7 @@
   const auto &Message = Feed->message().get();
   const unsigned Status = Message.result_int();
   const answer_facts Facts = Context.Interface.ReadAnswer(Message, Call->SendName);
-  if (Facts.OtherSend)
+  if (Facts.AnswersOtherRequest)
     return attempt_failure::BadAnswer;
   AtFault = Facts.AtFault;
   if (Facts.NotRun)
--- a/src/relay/call_plan.cpp
+++ b/src/relay/call_plan.cpp
@@ -114,7 +114,7 @@
 }
 
 /// Plans what all kinds of calls have in common.
-result<planned_call, call_error> planCommon(const call_plan &Plan, const request_head &Head,
+result<checked_call, call_error> planCommon(const call_plan &Plan, const request_head &Head,
                                             const service_declaration &Service, bool Idempotent,
                                             mono_time Now) {
   const auto Timeout = timeoutOf(Head, Service);
@@ -126,7 +126,7 @@
   const std::string_view Key = Head.header(KeyHeader);
   if (Key.size() > MaxIdempotencyKey)
     return invalidField(std::string(KeyHeader), "must not be longer than 255 bytes");
-  planned_call Call;
+  checked_call Call;
   Call.Kind = Service.Kind;
   Call.Facts.Account = Plan.Account;
   Call.Facts.Service = Service.Name;
@@ -160,7 +160,7 @@
   return std::nullopt;
 }
 
-result<planned_call, call_error> planPrompt(const call_plan &Plan, prompt_form Form,
+result<checked_call, call_error> planPrompt(const call_plan &Plan, prompt_form Form,
                                             const request_head &Head, std::string_view Body,
                                             const token_estimator &Tokens, mono_time Now) {
   auto Parsed = readPrompt(Body, Form);
@@ -185,7 +185,7 @@
   auto Planned = planCommon(Plan, Head, *Service, true, Now);
   if (!succeeded(Planned))
     return errorOf(Planned);
-  planned_call Call = valueOf(std::move(Planned));
+  checked_call Call = valueOf(std::move(Planned));
   Call.Facts.Model = Model;
   Call.Facts.Prompt = Estimated;
   Call.Facts.AnswerLimit = tokens(Prompt.AnswerLimit.value_or(Service->MaxAnswer.value()));
@@ -227,7 +227,7 @@
   return planPlain(std::move(Plan), Head);
 }
 
-result<planned_call, call_error> planBody(const call_plan &Plan, const request_head &Head,
+result<checked_call, call_error> planBody(const call_plan &Plan, const request_head &Head,
                                           std::string_view Body, const token_estimator &Tokens,
                                           mono_time Now) {
   if (const auto *Model = std::get_if<model_call>(&Plan.Kind))
--- a/src/relay/call_plan_func.h
+++ b/src/relay/call_plan_func.h
@@ -15,7 +15,7 @@
 
 /// What is known about a call after its body has been read, including the facts for the decision
 /// thread.
-struct planned_call {
+struct checked_call {
   request_facts Facts; ///< Id is not set yet.
   service_kind Kind{service_kind::Model};
   byte_count PromptBytes;
@@ -30,14 +30,14 @@
                                                    const call_interface &Interface);
 
 /// Returns the facts of a call of a declared route; its body is forwarded without being parsed.
-planned_call planFromHeaders(const call_plan &Plan, mono_time Now);
+checked_call planFromHeaders(const call_plan &Plan, mono_time Now);
 
 /**
  * Checks the body and the headers that limit the call.
  * @param Tokens Estimates prompt tokens from prompt bytes.
  * @param Now When the complete head had arrived; the deadline counts from then.
  */
-result<planned_call, call_error> planBody(const call_plan &Plan, const request_head &Head,
+result<checked_call, call_error> planBody(const call_plan &Plan, const request_head &Head,
                                           std::string_view Body, const token_estimator &Tokens,
                                           mono_time Now);
 
--- a/src/relay/caller_session.cpp
+++ b/src/relay/caller_session.cpp
@@ -193,7 +193,7 @@
   return Error;
 }
 
-std::shared_ptr<relayed_call> caller_session::makeCall(planned_call Planned, const call_plan &Plan,
+std::shared_ptr<relayed_call> caller_session::makeCall(checked_call Planned, const call_plan &Plan,
                                                        const request_head &Head,
                                                        std::shared_ptr<const request_body> Body) {
   Context.LastRequest = Context.LastRequest.next();
--- a/src/relay/caller_session_base.h
+++ b/src/relay/caller_session_base.h
@@ -54,7 +54,7 @@
   result<std::shared_ptr<relayed_call>, call_error>
   admit(const call_plan &Plan, const request_head &Head, request_body &&Body, mono_time Arrived);
   [[nodiscard]] std::optional<call_error> suspectError(const relayed_call &Call) const;
-  std::shared_ptr<relayed_call> makeCall(planned_call Planned, const call_plan &Plan,
+  std::shared_ptr<relayed_call> makeCall(checked_call Planned, const call_plan &Plan,
                                          const request_head &Head,
                                          std::shared_ptr<const request_body> Body);
   void record(const relayed_call &Call, const finish_request &Finish) const;
--- a/src/relay/header_routed_plan.cpp
+++ b/src/relay/header_routed_plan.cpp
@@ -55,11 +55,11 @@
   return Plan;
 }
 
-planned_call planFromHeaders(const call_plan &Plan, mono_time Now) {
+checked_call planFromHeaders(const call_plan &Plan, mono_time Now) {
   const header_routed_call &Call = std::get<header_routed_call>(Plan.Kind);
   const call_route &Route = *Call.Route;
   const account_declaration *Account = Plan.Declaration->findAccountByName(Plan.Account);
-  planned_call Planned;
+  checked_call Planned;
   Planned.Kind = service_kind::Plain;
   request_facts &Facts = Planned.Facts;
   Facts.Account = Plan.Account;
--- a/src/relay/relayed_call_base.h
+++ b/src/relay/relayed_call_base.h
@@ -40,7 +40,7 @@
 /// thread.
 class relayed_call {
 public:
-  relayed_call(boost::asio::io_context &Io, planned_call Plan,
+  relayed_call(boost::asio::io_context &Io, checked_call Plan,
                std::shared_ptr<caller_connection> Connection)
       : Facts(std::move(Plan.Facts)), Kind(Plan.Kind), PromptBytes(Plan.PromptBytes),
         Caller(std::move(Connection)), Changed(Io) {}
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -212,9 +212,9 @@
 }
 
 TEST(PlatformAnswerHeadTest, IdentifiesTheSendAndWhetherItRan) {
-  EXPECT_FALSE(answerWith(200, {{"Attempt-Id", "a1"}}).OtherSend);
-  EXPECT_TRUE(answerWith(200, {{"Attempt-Id", "a0"}}).OtherSend);
-  EXPECT_TRUE(answerWith(200, {}).OtherSend)
+  EXPECT_FALSE(answerWith(200, {{"Attempt-Id", "a1"}}).AnswersOtherRequest);
+  EXPECT_TRUE(answerWith(200, {{"Attempt-Id", "a0"}}).AnswersOtherRequest);
+  EXPECT_TRUE(answerWith(200, {}).AnswersOtherRequest)
       << "a success without Attempt-Id belongs to another send";
   EXPECT_TRUE(answerWith(503, {{"Not-Executed", "1"}}).NotRun);
   EXPECT_TRUE(answerWith(421, {}).NotRun);
--- a/tests/relay/relay_harness.cpp
+++ b/tests/relay/relay_harness.cpp
@@ -43,7 +43,7 @@
                         const std::string &SendName) {
     answer_facts Facts;
     Facts.NotRun = Head.count("X-Not-Run") > 0;
-    Facts.OtherSend = Head["X-Send"] != SendName;
+    Facts.AnswersOtherRequest = Head["X-Send"] != SendName;
     return Facts;
   };
   Calls.AcquireHold = [](const hold_request &Hold) {
--- a/tests/relay/request_fingerprint_test.cpp
+++ b/tests/relay/request_fingerprint_test.cpp
@@ -17,7 +17,7 @@
   };
 
   relayed_call callOf(const sent_request &Sent) {
-    planned_call Planned;
+    checked_call Planned;
     Planned.Facts.Account = client_account_name(Sent.Account);
     Planned.Facts.Service = service_name(Sent.Service);
     relayed_call Call(Io, std::move(Planned), nullptr);
