--- a/src/relay/call_error.cpp
+++ b/src/relay/call_error.cpp
@@ -91,11 +91,11 @@
   }
 }
 
-/// Libraries retry 409 and 502 too. Without an idempotency key the second send is a new request,
+/// Libraries retry 409 and 502 too. Without an idempotency key a repeated request is a new request,
 /// and non-idempotent work whose first run broke off would run twice.
 bool isRepeatable(const finish_request &Finish, unsigned Status, bool Idempotent) {
   // An unknown outcome with a retry time belongs to an idempotency key whose claim the
-  // control hosts have not decided yet: the claim prevents the second send from running again.
+  // control hosts have not decided yet: the claim prevents the repeated request from running again.
   const bool RunsTwice =
       Finish.Outcome == final_outcome::Unknown && !Idempotent && !Finish.RetryAfter;
   return !RunsTwice && Status != Conflict && Finish.Reason != failure_reason::TooLargeForFleet;
--- a/src/relay/call_interface_type.h
+++ b/src/relay/call_interface_type.h
@@ -66,9 +66,8 @@
 
 /// Facts from the head of an answer.
 struct answer_facts {
-  bool NotRun{false}; ///< The server states that it did not start the request.
-  bool AnswersOtherRequest{
-      false}; ///< The answer names another request than the one that the caller sent.
+  bool NotRun{false};              ///< The server states that it did not start the request.
+  bool AnswersOtherRequest{false}; ///< The answer lacks the caller's name for this request.
   backend_address
       AtFault; ///< Another server that prevented the request from running; empty if none is named.
 };
--- a/src/relay/call_record_type.h
+++ b/src/relay/call_record_type.h
@@ -14,7 +14,7 @@
 /// One ended call.
 struct call_record {
   std::string RequestId;
-  std::string SendName; ///< The caller's own name for the call; empty if it sent none.
+  std::string SendName; ///< The caller's own name for this request; empty if it sent none.
   std::string Account;  ///< Empty if the key is unknown.
   std::string Service;
   std::string Backend; ///< Backend server of the last attempt; empty if there was none.
--- a/tests/relay/header_routed_call_test.cpp
+++ b/tests/relay/header_routed_call_test.cpp
@@ -309,7 +309,7 @@
 
 // A pooled connection delivers the answer to a different request. If it were relayed, a caller
 // would read somebody else's answer.
-TEST(BackendAnswer, ToAnotherSendIsNotRelayed) {
+TEST(BackendAnswer, ToAnotherRequestIsNotRelayed) {
   const scripted_server Crossed([](auto &Socket, const received_request &) {
     sendText(Socket, "HTTP/1.1 200 OK\r\nX-Send: s0\r\nContent-Length: 6\r\n\r\nsecret");
   });
