--- a/tests/entry/leaving_caller_test.cpp
+++ b/tests/entry/leaving_caller_test.cpp
@@ -48,7 +48,8 @@
   Socket.close();
   expectIdle();
   EXPECT_EQ(Fleet.engine().stat("cancels"), 1);
-  EXPECT_EQ(Fleet.engine().stat("events_sent"), 0) << "the engine ran on to the first token";
+  EXPECT_EQ(Fleet.engine().stat("events_sent"), 0)
+      << "the engine must be cancelled before its first token";
 }
 
 TEST_F(LeavingCallerTest, WhoStopsReadingPausesTheEngineAndIsDisconnected) {
