--- a/tests/consensus/replica_driver_base.h
+++ b/tests/consensus/replica_driver_base.h
@@ -149,7 +149,7 @@
   /// Makes A leader; B acknowledges all entries.
   void becomeLeaderAndCommit() {
     becomeLeader();
-    ack(MemberB, status().LastIndex);
+    acknowledge(MemberB, status().LastIndex);
     ASSERT_EQ(status().Commit, status().LastIndex);
   }
 
--- a/tests/control_state/control_link_test.cpp
+++ b/tests/control_state/control_link_test.cpp
@@ -86,7 +86,7 @@
   // The answer with the grant is lost. The entry gets the verdict Unavailable and runs nothing, so
   // the key must be released, or no other request can use it until the claim expires.
   const auto Message = Ledger.acquire(sampleClaimRequest(1, Now), unix_millis(0));
-  const auto Events = Ledger.expire(Now);
+  const auto Events = Ledger.timeOut(Now);
   ASSERT_EQ(Events.size(), 1U);
   EXPECT_EQ(Events[0].Status, claim_status::Unavailable);
   const auto Releases = Ledger.takeReleases();
